--- a/Libraries/LibLots/Lot.cpp
+++ b/Libraries/LibBatch/BatchJob.cpp
@@ -1,8 +1,8 @@
-#include "LibLots/Lot.h"
+#include "LibBatch/BatchJob.h"
 
 #include <nlohmann/json.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
@@ -32,17 +32,17 @@
 } // namespace
 
 std::uint64_t
-TokensOf(const std::vector<LotItem>& aItems)
+TokensOf(const std::vector<BatchItem>& aItems)
 {
   std::uint64_t tokens = 0;
-  for (const LotItem& item : aItems) {
+  for (const BatchItem& item : aItems) {
     tokens += item.tokens_;
   }
   return tokens;
 }
 
 std::string
-EncodeState(const LotState& aState)
+EncodeState(const BatchJobState& aState)
 {
   return Write({ { "owner", aState.owner_ },
                  { "accepted", aState.acceptedAtMs_ },
@@ -55,19 +55,19 @@
                  { "organisation", aState.organisation_ } });
 }
 
-std::optional<LotState>
+std::optional<BatchJobState>
 DecodeState(std::string_view aText)
 {
-  return ReadJson<LotState>(aText, [](const json& aValue) {
-    return LotState{ aValue.at("owner").get<std::string>(),
-                     aValue.at("accepted").get<std::int64_t>(),
-                     aValue.at("items").get<std::uint32_t>(),
-                     aValue.at("parts").get<std::uint32_t>(),
-                     aValue.at("host").get<std::string>(),
-                     aValue.at("path").get<std::string>(),
-                     aValue.at("ended").get<bool>(),
-                     aValue.at("finished").get<bool>(),
-                     aValue.value("organisation", std::string()) };
+  return ReadJson<BatchJobState>(aText, [](const json& aValue) {
+    return BatchJobState{ aValue.at("owner").get<std::string>(),
+                          aValue.at("accepted").get<std::int64_t>(),
+                          aValue.at("items").get<std::uint32_t>(),
+                          aValue.at("parts").get<std::uint32_t>(),
+                          aValue.at("host").get<std::string>(),
+                          aValue.at("path").get<std::string>(),
+                          aValue.at("ended").get<bool>(),
+                          aValue.at("finished").get<bool>(),
+                          aValue.value("organisation", std::string()) };
   });
 }
 
@@ -123,4 +123,4 @@
   });
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/Lot.h
+++ b/Libraries/LibBatch/BatchJob.h
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// One item as its sender gave it.
-struct LotItem
+struct BatchItem
 {
   std::string id_;
   std::string path_;
@@ -48,8 +48,8 @@
   bool operator==(const PartialRun&) const = default;
 };
 
-/// What is stored of a lot besides its content and results.
-struct LotState
+/// What is stored of a job besides its content and results.
+struct BatchJobState
 {
   std::string owner_; ///< Host and incarnation that runs it; empty: none.
   std::int64_t acceptedAtMs_ = 0; ///< Unix time.
@@ -62,18 +62,18 @@
   /// Whose keys may read and end it; empty: anyone's, and callers without one.
   std::string organisation_{};
 
-  bool operator==(const LotState&) const = default;
+  bool operator==(const BatchJobState&) const = default;
 };
 
-/// A lot as this host knows it from the store.
-struct Lot
+/// A job as this host knows it from the store.
+struct BatchJob
 {
   std::string id_;
-  LotState state_;
+  BatchJobState state_;
   std::uint64_t stateRevision_ = 0; ///< 0: the state isn't known yet.
   std::map<std::uint32_t, std::string> parts_;
-  std::optional<std::vector<LotItem>> items_; ///< Once all parts are here.
-  std::vector<ItemResult> results_;           ///< By position, without gaps.
+  std::optional<std::vector<BatchItem>> items_; ///< Once all parts are here.
+  std::vector<ItemResult> results_;             ///< By position, without gaps.
   std::map<std::uint32_t, std::vector<ItemResult>> pages_; ///< Not yet joined.
   std::unordered_map<std::string, PartialRun> progress_;   ///< By item.
   /// Content and all results of a moment are here, not the state alone.
@@ -87,13 +87,13 @@
 
 /// @return the tokens of all items.
 std::uint64_t
-TokensOf(const std::vector<LotItem>& aItems);
+TokensOf(const std::vector<BatchItem>& aItems);
 
 std::string
-EncodeState(const LotState& aState);
+EncodeState(const BatchJobState& aState);
 
 /// @return nothing where the text is not a state.
-std::optional<LotState>
+std::optional<BatchJobState>
 DecodeState(std::string_view aText);
 
 std::string
@@ -108,4 +108,4 @@
 std::optional<std::unordered_map<std::string, PartialRun>>
 DecodeProgress(std::string_view aText);
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/LotKeys.cpp
+++ b/Libraries/LibBatch/BatchJobKeys.cpp
@@ -1,10 +1,10 @@
-#include "LibLots/LotKeys.h"
+#include "LibBatch/BatchJobKeys.h"
 
 #include "LibBase/Numbers.h"
 
 #include <fmt/format.h>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 std::string
 LedgerName(const std::string& aRoute, const std::string& aOrganisation)
@@ -14,33 +14,33 @@
 }
 
 std::string
-LotKeySpace::DataOf(std::string_view aLot) const
+BatchJobKeySpace::DataOf(std::string_view aJob) const
 {
-  return fmt::format("{}{}/", dataPrefix_, aLot);
+  return fmt::format("{}{}/", dataPrefix_, aJob);
 }
 
 std::string
-LotKeySpace::MakeKey(const LotKey& aKey) const
+BatchJobKeySpace::MakeKey(const BatchJobKey& aKey) const
 {
   switch (aKey.part_) {
     case KeyPart::State:
-      return statePrefix_ + aKey.lot_;
+      return statePrefix_ + aKey.job_;
     case KeyPart::Progress:
-      return DataOf(aKey.lot_) + "progress";
+      return DataOf(aKey.job_) + "progress";
     case KeyPart::Content:
-      return fmt::format("{}content/{:06}", DataOf(aKey.lot_), aKey.number_);
+      return fmt::format("{}content/{:06}", DataOf(aKey.job_), aKey.number_);
     case KeyPart::Results:
       break;
   }
-  return fmt::format("{}result/{:06}", DataOf(aKey.lot_), aKey.number_);
+  return fmt::format("{}result/{:06}", DataOf(aKey.job_), aKey.number_);
 }
 
-std::optional<LotKey>
-LotKeySpace::ParseKey(std::string_view aText) const
+std::optional<BatchJobKey>
+BatchJobKeySpace::ParseKey(std::string_view aText) const
 {
-  LotKey key;
+  BatchJobKey key;
   if (aText.starts_with(statePrefix_)) {
-    key.lot_ = std::string(aText.substr(statePrefix_.size()));
+    key.job_ = std::string(aText.substr(statePrefix_.size()));
     return key;
   }
   if (!aText.starts_with(dataPrefix_)) {
@@ -51,7 +51,7 @@
   if (slash == std::string_view::npos) {
     return std::nullopt;
   }
-  key.lot_ = std::string(aText.substr(0, slash));
+  key.job_ = std::string(aText.substr(0, slash));
   const std::string_view rest = aText.substr(slash + 1);
   if (rest == "progress") {
     key.part_ = KeyPart::Progress;
@@ -71,4 +71,4 @@
   return key;
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/HostSet.cpp
+++ b/Libraries/LibBatch/HostSet.cpp
@@ -1,16 +1,16 @@
-#include "LibLots/HostSet.h"
+#include "LibBatch/HostSet.h"
 
 #include "LibBase/Ids.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 void
 HostSet::Put(const std::string& aHost,
              const std::string& aOwner,
-             LotPreference aPreference,
+             BatchPreference aPreference,
              const std::string& aAddress,
              base::Instant aNow)
 {
@@ -54,15 +54,16 @@
   std::vector<PeerAddress> peers;
   for (const auto& [host, member] : members_) {
     if (member.owner_ != aButOwner && !member.address_.empty()) {
-      peers.push_back(
-        { host, member.address_, member.preference_ == LotPreference::Worker });
+      peers.push_back({ host,
+                        member.address_,
+                        member.preference_ == BatchPreference::Worker });
     }
   }
   return peers;
 }
 
 bool
-HostSet::IsPreferred(LotPreference aPreference) const
+HostSet::IsPreferred(BatchPreference aPreference) const
 {
   return std::none_of(
     members_.begin(), members_.end(), [aPreference](const auto& aEntry) {
@@ -75,7 +76,7 @@
 {
   return static_cast<std::size_t>(
     std::count_if(members_.begin(), members_.end(), [](const auto& aEntry) {
-      return aEntry.second.preference_ == LotPreference::Worker;
+      return aEntry.second.preference_ == BatchPreference::Worker;
     }));
 }
 
@@ -102,12 +103,12 @@
 }
 
 std::string
-HostSet::OwnerFor(std::string_view aLot) const
+HostSet::OwnerFor(std::string_view aJob) const
 {
-  using Rank = std::pair<LotPreference, std::uint64_t>;
+  using Rank = std::pair<BatchPreference, std::uint64_t>;
   std::string best;
-  Rank bestRank{ LotPreference::IfNoOther, 0 };
-  const std::uint64_t seed = base::HashBytes(aLot);
+  Rank bestRank{ BatchPreference::IfNoOther, 0 };
+  const std::uint64_t seed = base::HashBytes(aJob);
   for (const auto& [host, member] : members_) {
     const Rank rank{ member.preference_, base::HashBytes(host, seed) };
     if (best.empty() || rank > bestRank) {
@@ -118,4 +119,4 @@
   return best;
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/HostSet.h
+++ b/Libraries/LibBatch/HostSet.h
@@ -9,10 +9,10 @@
 #include <unordered_map>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
-/// Whether a host is to run lots.
-enum class LotPreference : std::uint8_t
+/// Whether a host is to run jobs.
+enum class BatchPreference : std::uint8_t
 {
   IfNoOther, ///< It serves callers, and steps in where no worker is left.
   Worker,
@@ -28,26 +28,26 @@
   bool operator==(const PeerAddress&) const = default;
 };
 
-/// The hosts that run lots, as their registrations say, and which of them is to
-/// run a lot. Belongs to the event thread.
+/// The hosts that run jobs, as their registrations say, and which of them is to
+/// run a job. Belongs to the event thread.
 class HostSet
 {
 public:
-  /// How long the lots of a host that is gone wait for its return: a lease may
+  /// How long the jobs of a host that is gone wait for its return: a lease may
   /// lapse while the store is away although the host lives.
   static constexpr base::Duration kGrace{ std::chrono::milliseconds{ 1200 } };
 
-  /// @param aOwner Host and incarnation, as lots name their owner.
-  /// @param aPreference Hosts of the highest preference alone are given lots.
+  /// @param aOwner Host and incarnation, as jobs name their owner.
+  /// @param aPreference Hosts of the highest preference alone are given jobs.
   /// @param aAddress    IP:PORT for calls between hosts.
   void Put(const std::string& aHost,
            const std::string& aOwner,
-           LotPreference aPreference,
+           BatchPreference aPreference,
            const std::string& aAddress,
            base::Instant aNow);
   void Remove(const std::string& aHost, base::Instant aNow);
 
-  /// @return whether lots of that owner may be taken over.
+  /// @return whether jobs of that owner may be taken over.
   [[nodiscard]] bool IsGone(const std::string& aOwner,
                             base::Instant aNow) const;
 
@@ -57,14 +57,14 @@
 
   [[nodiscard]] bool IsLive(const std::string& aOwner) const;
 
-  /// @return the live owner that is to run a lot, by highest random weight: all
+  /// @return the live owner that is to run a job, by highest random weight: all
   /// hosts that see the same registrations agree. Empty where none is live.
-  [[nodiscard]] std::string OwnerFor(std::string_view aLot) const;
+  [[nodiscard]] std::string OwnerFor(std::string_view aJob) const;
 
-  /// @return whether hosts of that preference are given lots now.
-  [[nodiscard]] bool IsPreferred(LotPreference aPreference) const;
+  /// @return whether hosts of that preference are given jobs now.
+  [[nodiscard]] bool IsPreferred(BatchPreference aPreference) const;
 
-  /// @return how many live hosts are there to run lots.
+  /// @return how many live hosts are there to run jobs.
   [[nodiscard]] std::size_t WorkerCount() const;
 
   /// @return how many hosts are live.
@@ -79,7 +79,7 @@
   struct Member
   {
     std::string owner_;
-    LotPreference preference_ = LotPreference::IfNoOther;
+    BatchPreference preference_ = BatchPreference::IfNoOther;
     std::string address_;
   };
 
@@ -89,4 +89,4 @@
   mutable std::unordered_map<std::string, base::Instant> goneSince_;
 };
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/ItemPace.cpp
+++ b/Libraries/LibBatch/ItemPace.cpp
@@ -1,8 +1,8 @@
-#include "LibLots/ItemPace.h"
+#include "LibBatch/ItemPace.h"
 
 #include <algorithm>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
@@ -52,4 +52,4 @@
     std::chrono::duration<double>(events * secondsAnEvent_.value_));
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/ItemPace.h
+++ b/Libraries/LibBatch/ItemPace.h
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// How long items run, as this host has seen: the time between two events, and
 /// how many events an item of a size makes. Averages that forget, so that they
@@ -37,4 +37,4 @@
   Average eventsAToken_;
 };
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/ItemSchedule.cpp
+++ b/Libraries/LibBatch/ItemSchedule.cpp
@@ -1,27 +1,27 @@
-#include "LibLots/ItemSchedule.h"
+#include "LibBatch/ItemSchedule.h"
 
 #include <cassert>
 #include <utility>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
-ItemSchedule::ItemSchedule(const Lot& aLot, ItemLimits aLimits)
+ItemSchedule::ItemSchedule(const BatchJob& aJob, ItemLimits aLimits)
   : limits_(aLimits)
 {
-  assert(aLot.items_);
+  assert(aJob.items_);
   std::unordered_set<std::string> listed;
-  for (const ItemResult& result : aLot.results_) {
+  for (const ItemResult& result : aJob.results_) {
     listed.insert(result.item_);
   }
-  for (const LotItem& lotItem : *aLot.items_) {
+  for (const BatchItem& batchItem : *aJob.items_) {
     Item item;
-    item.id_ = lotItem.id_;
-    item.tokens_ = lotItem.tokens_;
-    if (listed.contains(lotItem.id_)) {
+    item.id_ = batchItem.id_;
+    item.tokens_ = batchItem.tokens_;
+    if (listed.contains(batchItem.id_)) {
       item.phase_ = Phase::Done;
     }
-    if (const auto found = aLot.progress_.find(lotItem.id_);
-        found != aLot.progress_.end()) {
+    if (const auto found = aJob.progress_.find(batchItem.id_);
+        found != aJob.progress_.end()) {
       item.progress_ = found->second;
     }
     items_.push_back(std::move(item));
@@ -149,4 +149,4 @@
   return progress;
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/ItemSchedule.h
+++ b/Libraries/LibBatch/ItemSchedule.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibLots/Lot.h"
+#include "LibBatch/BatchJob.h"
 
 #include <cstdint>
 #include <functional>
@@ -11,7 +11,7 @@
 #include <unordered_set>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// How a run of an item ended.
 enum class ItemRunEnd : std::uint8_t
@@ -24,7 +24,7 @@
   Preempted,  ///< Cancelled here, for online work.
 };
 
-/// What a lot's route says of its items.
+/// What a job's route says of its items.
 struct ItemLimits
 {
   std::uint32_t maxAttempts_ = 1; ///< Failures after which an item is given up.
@@ -32,8 +32,8 @@
   base::Instant giveUpAt_ = base::Instant::max();
 };
 
-/// Decides which item of a lot runs next, and what becomes of it when its run
-/// ends. For the lot's owner alone; takes the time as an argument. Not
+/// Decides which item of a job runs next, and what becomes of it when its run
+/// ends. For the job's owner alone; takes the time as an argument. Not
 /// thread-safe.
 class ItemSchedule
 {
@@ -57,7 +57,7 @@
   static constexpr base::Duration kNoPlacePause{ std::chrono::milliseconds{
     100 } };
 
-  ItemSchedule(const Lot& aLot, ItemLimits aLimits);
+  ItemSchedule(const BatchJob& aJob, ItemLimits aLimits);
 
   void SetLimits(const ItemLimits& aLimits) { limits_ = aLimits; }
   [[nodiscard]] const ItemLimits& Limits() const { return limits_; }
@@ -128,4 +128,4 @@
   std::vector<Item> items_;
 };
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/LedgerBook.cpp
+++ b/Libraries/LibBatch/LedgerBook.cpp
@@ -1,13 +1,13 @@
-#include "LibLots/LedgerBook.h"
+#include "LibBatch/LedgerBook.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
-/// Over which the freed tokens are counted: an item takes up to 8 s, and a lot
+/// Over which the freed tokens are counted: an item takes up to 8 s, and a job
 /// of ten frees some each second.
 constexpr std::chrono::seconds kRateWindow{ 5 };
 
@@ -29,8 +29,8 @@
 ReleasedBetween(const TokenLedger& aOld, const TokenLedger& aNew)
 {
   std::uint64_t released = 0;
-  for (const auto& [lot, tokens] : aOld.Rows()) {
-    const std::uint64_t left = aNew.Of(lot).value_or(0);
+  for (const auto& [job, tokens] : aOld.Rows()) {
+    const std::uint64_t left = aNew.Of(job).value_or(0);
     released += tokens > left ? tokens - left : 0;
   }
   return released;
@@ -99,4 +99,4 @@
                                                     (1.0 + kSpread * aRandom));
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/LedgerBook.h
+++ b/Libraries/LibBatch/LedgerBook.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibLots/TokenLedger.h"
+#include "LibBatch/TokenLedger.h"
 
 #include <cstdint>
 #include <deque>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <unordered_map>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// A ledger as the store had it at a revision.
 struct LedgerView
@@ -23,7 +23,7 @@
 {
   Newer,
   Old,        ///< As known, or older.
-  Unreadable, ///< Taken as empty: the hosts that run lots add their rows anew.
+  Unreadable, ///< Taken as empty: the hosts that run jobs add their rows anew.
 };
 
 /// The ledgers as this host last saw them, and how fast tokens leave
@@ -41,7 +41,7 @@
                    std::uint64_t aRevision,
                    base::Instant aNow);
 
-  /// @return when room for a lot that doesn't fit now is expected, by how fast
+  /// @return when room for a job that doesn't fit now is expected, by how fast
   ///         tokens were freed of late.
   /// @param aRandom Uniform in [0, 1): spreads the returns of senders.
   [[nodiscard]] base::Duration RoomExpectedAfter(const std::string& aLedger,
@@ -65,4 +65,4 @@
   std::unordered_map<std::string, Entry> entries_; ///< By ledger.
 };
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/HeldLotFiles.cpp
+++ b/Libraries/LibBatch/SpoolFiles.cpp
@@ -1,4 +1,4 @@
-#include "LibLots/HeldLotFiles.h"
+#include "LibBatch/SpoolFiles.h"
 
 #include "LibBase/Disk.h"
 #include "LibBase/Ids.h"
@@ -12,7 +12,7 @@
 #include <utility>
 #include <variant>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
@@ -27,7 +27,7 @@
 
 } // namespace
 
-HeldLotFiles::HeldLotFiles(std::filesystem::path aFolder)
+SpoolFiles::SpoolFiles(std::filesystem::path aFolder)
   : folder_(std::move(aFolder))
 {
   std::error_code ignored;
@@ -36,25 +36,26 @@
 }
 
 std::filesystem::path
-HeldLotFiles::PathOf(const std::string& aLot) const
+SpoolFiles::PathOf(const std::string& aJob) const
 {
-  // A lot's id comes from its sender and may hold any character.
-  return folder_ / fmt::format("lot-{:016x}", base::HashBytes(aLot));
+  // A job's id comes from its sender and may hold any character.
+  return folder_ / fmt::format("lot-{:016x}", base::HashBytes(aJob));
 }
 
 base::Result<void>
-HeldLotFiles::WritePart(const std::filesystem::path& aPart, const HeldLot& aLot)
+SpoolFiles::WritePart(const std::filesystem::path& aPart,
+                      const SpooledJob& aJob)
 {
   const base::Disk disk = base::Disk::Real();
   BOOST_LEAF_AUTO(file, base::OpenFile(aPart.string()));
   BOOST_LEAF_CHECK(base::TruncateFile(*file, 0));
-  BOOST_LEAF_CHECK(disk.write_(*file, EncodeHeldLot(aLot), 0));
+  BOOST_LEAF_CHECK(disk.write_(*file, EncodeSpooledJob(aJob), 0));
   return disk.sync_(*file);
 }
 
 base::Result<void>
-HeldLotFiles::Rename(const std::filesystem::path& aPart,
-                     const std::filesystem::path& aPath) const
+SpoolFiles::Rename(const std::filesystem::path& aPart,
+                   const std::filesystem::path& aPath) const
 {
   std::error_code error;
   std::filesystem::rename(aPart, aPath, error);
@@ -66,12 +67,12 @@
 }
 
 WriteOutcome
-HeldLotFiles::Write(const HeldLot& aLot)
+SpoolFiles::Write(const SpooledJob& aJob)
 {
-  const std::filesystem::path path = PathOf(aLot.id_);
+  const std::filesystem::path path = PathOf(aJob.id_);
   std::filesystem::path part = path;
   part += kUnfinished;
-  auto error = FailureOf(base::Capture([&] { return WritePart(part, aLot); }));
+  auto error = FailureOf(base::Capture([&] { return WritePart(part, aJob); }));
   if (error) {
     return { std::move(error), false };
   }
@@ -79,25 +80,25 @@
 }
 
 void
-HeldLotFiles::Remove(const std::string& aLot)
+SpoolFiles::Remove(const std::string& aJob)
 {
   std::error_code ignored;
-  std::filesystem::remove(PathOf(aLot), ignored);
+  std::filesystem::remove(PathOf(aJob), ignored);
 }
 
-std::vector<HeldLot>
-HeldLotFiles::ReadAll()
+std::vector<SpooledJob>
+SpoolFiles::ReadAll()
 {
-  std::vector<HeldLot> lots;
+  std::vector<SpooledJob> jobs;
   std::vector<std::filesystem::path> broken;
   std::error_code error;
   for (const auto& entry :
        std::filesystem::directory_iterator(folder_, error)) {
     std::ifstream file(entry.path(), std::ios::binary);
     const std::string text(std::istreambuf_iterator<char>(file), {});
-    auto lot = DecodeHeldLot(text);
-    if (lot && entry.path() == PathOf(lot->id_)) {
-      lots.push_back(std::move(*lot));
+    auto job = DecodeSpooledJob(text);
+    if (job && entry.path() == PathOf(job->id_)) {
+      jobs.push_back(std::move(*job));
     } else {
       broken.push_back(entry.path());
     }
@@ -105,7 +106,7 @@
   for (const auto& path : broken) {
     std::filesystem::remove(path, error);
   }
-  return lots;
+  return jobs;
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/HeldLot.cpp
+++ b/Libraries/LibBatch/SpooledJob.cpp
@@ -1,25 +1,25 @@
-#include "LibLots/HeldLot.h"
+#include "LibBatch/SpooledJob.h"
 
 #include "LibBase/Ids.h"
 
 #include <nlohmann/json.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using nlohmann::json;
 
 std::string
-EncodeHeldLot(const HeldLot& aLot)
+EncodeSpooledJob(const SpooledJob& aJob)
 {
-  const std::string rest = EncodeState(aLot.state_) + '\n' + aLot.content_;
-  const json head = { { "lot", aLot.id_ },
+  const std::string rest = EncodeState(aJob.state_) + '\n' + aJob.content_;
+  const json head = { { "lot", aJob.id_ },
                       { "bytes", rest.size() },
                       { "hash", base::HashBytes(rest) } };
   return head.dump() + '\n' + rest;
 }
 
-std::optional<HeldLot>
-DecodeHeldLot(std::string_view aText)
+std::optional<SpooledJob>
+DecodeSpooledJob(std::string_view aText)
 {
   const std::size_t headEnd = aText.find('\n');
   if (headEnd == std::string_view::npos) {
@@ -34,14 +34,14 @@
     return std::nullopt;
   }
   auto state = DecodeState(rest.substr(0, stateEnd));
-  HeldLot lot;
-  lot.id_ = head.value("lot", std::string());
-  if (!state || lot.id_.empty()) {
+  SpooledJob job;
+  job.id_ = head.value("lot", std::string());
+  if (!state || job.id_.empty()) {
     return std::nullopt;
   }
-  lot.state_ = std::move(*state);
-  lot.content_ = rest.substr(stateEnd + 1);
-  return lot;
+  job.state_ = std::move(*state);
+  job.content_ = rest.substr(stateEnd + 1);
+  return job;
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/StartOrder.cpp
+++ b/Libraries/LibBatch/StartOrder.cpp
@@ -1,9 +1,9 @@
-#include "LibLots/StartOrder.h"
+#include "LibBatch/StartOrder.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
@@ -137,4 +137,4 @@
   return aOne.LatestStart() > aOther.LatestStart();
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/StartOrder.h
+++ b/Libraries/LibBatch/StartOrder.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// When an item is due, and how long it still runs.
 struct ItemUrgency
@@ -27,7 +27,7 @@
 /// An item that may start.
 struct StartCandidate
 {
-  std::string lot_;
+  std::string job_;
   std::size_t item_ = 0;
   ItemUrgency urgency_;
   bool hasStarted_ = false; ///< It was interrupted, and goes on from there.
@@ -52,7 +52,7 @@
 ///    flood each place goes to an item whose time is just over.
 /// 3. what is left out, then what is out of reach, the oldest due time first.
 ///
-/// Six times the lots for 15 s on 12 engines: 36 in 100 items that were owed
+/// Six times the jobs for 15 s on 12 engines: 36 in 100 items that were owed
 /// were on time by due time alone, 45 with this order (three plays each).
 [[nodiscard]] std::vector<StartCandidate>
 OrderStarts(std::vector<StartCandidate> aCandidates,
@@ -65,4 +65,4 @@
                const ItemUrgency& aOther,
                base::Instant aNow);
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/TokenLedger.cpp
+++ b/Libraries/LibBatch/TokenLedger.cpp
@@ -1,34 +1,34 @@
-#include "LibLots/TokenLedger.h"
+#include "LibBatch/TokenLedger.h"
 
 #include <nlohmann/json.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using nlohmann::json;
 
 namespace {
 
-/// More tokens than any lot has; keeps sums of spoiled rows from wrapping.
-constexpr std::uint64_t kMostTokensOfALot = 1ULL << 40;
+/// More tokens than any job has; keeps sums of spoiled rows from wrapping.
+constexpr std::uint64_t kMaxTokensPerJob = 1ULL << 40;
 
 } // namespace
 
 std::optional<std::uint64_t>
-TokenLedger::Of(const std::string& aLot) const
+TokenLedger::Of(const std::string& aJob) const
 {
-  const auto row = rows_.find(aLot);
+  const auto row = rows_.find(aJob);
   return row == rows_.end() ? std::nullopt : std::optional(row->second);
 }
 
 void
-TokenLedger::Set(const std::string& aLot, std::uint64_t aTokens)
+TokenLedger::Set(const std::string& aJob, std::uint64_t aTokens)
 {
-  total_ -= Of(aLot).value_or(0);
+  total_ -= Of(aJob).value_or(0);
   total_ += aTokens;
   if (aTokens == 0) {
-    rows_.erase(aLot);
+    rows_.erase(aJob);
   } else {
-    rows_[aLot] = aTokens;
+    rows_[aJob] = aTokens;
   }
 }
 
@@ -47,14 +47,14 @@
     return std::nullopt;
   }
   TokenLedger ledger;
-  for (const auto& [lot, tokens] : rows.items()) {
+  for (const auto& [job, tokens] : rows.items()) {
     if (!tokens.is_number_unsigned() ||
-        tokens.get<std::uint64_t>() > kMostTokensOfALot) {
+        tokens.get<std::uint64_t>() > kMaxTokensPerJob) {
       return std::nullopt;
     }
-    ledger.Set(lot, tokens.get<std::uint64_t>());
+    ledger.Set(job, tokens.get<std::uint64_t>());
   }
   return ledger;
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/TokenLedger.h
+++ b/Libraries/LibBatch/TokenLedger.h
@@ -6,28 +6,28 @@
 #include <string>
 #include <string_view>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
-/// Tokens of accepted items that wait on one route, by lot. The store keeps one
-/// ledger a capped route. Whoever accepts a lot adds its row in the transaction
-/// that creates the lot, so that hosts that accept at the same moment can't
-/// exceed the cap together; the host that runs a lot lowers its row.
+/// Tokens of accepted items that wait on one route, by job. The store keeps one
+/// ledger a capped route. Whoever accepts a job adds its row in the transaction
+/// that creates the job, so that hosts that accept at the same moment can't
+/// exceed the cap together; the host that runs a job lowers its row.
 class TokenLedger
 {
 public:
   [[nodiscard]] std::uint64_t Total() const { return total_; }
 
-  /// @return whether a lot of that many tokens may be accepted.
+  /// @return whether a job of that many tokens may be accepted.
   [[nodiscard]] bool Fits(std::uint64_t aTokens, std::uint64_t aCap) const
   {
     return aTokens <= aCap && total_ <= aCap - aTokens;
   }
 
-  /// @return the tokens of a lot that wait, or nothing where it has no row.
-  [[nodiscard]] std::optional<std::uint64_t> Of(const std::string& aLot) const;
+  /// @return the tokens of a job that wait, or nothing where it has no row.
+  [[nodiscard]] std::optional<std::uint64_t> Of(const std::string& aJob) const;
 
-  /// Adds a lot or changes its row; zero tokens remove it.
-  void Set(const std::string& aLot, std::uint64_t aTokens);
+  /// Adds a job or changes its row; zero tokens remove it.
+  void Set(const std::string& aJob, std::uint64_t aTokens);
 
   [[nodiscard]] const std::map<std::string, std::uint64_t>& Rows() const
   {
@@ -48,4 +48,4 @@
 std::optional<TokenLedger>
 DecodeLedger(std::string_view aText);
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibFleet/Declarations.h
+++ b/Libraries/LibFleet/Declarations.h
@@ -16,7 +16,7 @@
   Idempotent,    ///< May run more than once.
   NonIdempotent, ///< May run at most once for each attempt of the caller.
   Stream,        ///< A series of events; may run again only if resumable.
-  Lot,           ///< Many items, accepted at once and run later.
+  BatchJob,      ///< Many items, accepted at once and run later.
 };
 
 /// One service that a route leads to, with its share of the requests.
@@ -40,9 +40,9 @@
   /// Within which the answer, or a stream's first event, is on time; zero:
   /// nothing is declared.
   base::Duration objective_{ 0 };
-  base::Duration dueAfter_{ 0 };    ///< Of a lot, from its first submission.
-  base::Duration giveUpAfter_{ 0 }; ///< When a lot's item may be abandoned.
-  /// Tokens that accepted items of an organisation's lots may have waiting at a
+  base::Duration dueAfter_{ 0 };    ///< Of a job, from its first submission.
+  base::Duration giveUpAfter_{ 0 }; ///< When a job's item may be abandoned.
+  /// Tokens that accepted items of an organisation's jobs may have waiting at a
   /// time; zero: no bound.
   std::uint64_t waitingTokenCap_ = 0;
   bool isOpen_ = false; ///< Callers need no key.
--- a/Libraries/LibFleet/RouteTable.cpp
+++ b/Libraries/LibFleet/RouteTable.cpp
@@ -19,7 +19,7 @@
   hasCappedRoutes_ = false;
   for (Route& route : aDeclarations.routes_) {
     hasCappedRoutes_ |=
-      route.kind_ == RequestKind::Lot && route.waitingTokenCap_ > 0;
+      route.kind_ == RequestKind::BatchJob && route.waitingTokenCap_ > 0;
     routes_[route.hostName_].push_back(std::move(route));
   }
   for (auto& [name, routes] : routes_) {
--- a/Libraries/LibFleet/RouteTable.h
+++ b/Libraries/LibFleet/RouteTable.h
@@ -26,7 +26,7 @@
   [[nodiscard]] const Route* Find(std::string_view aHostName,
                                   std::string_view aPath) const;
 
-  /// @return the same route, if it bounds the tokens that lots may have
+  /// @return the same route, if it bounds the tokens that jobs may have
   ///         waiting; otherwise nullptr.
   [[nodiscard]] const Route* FindCapped(std::string_view aHostName,
                                         std::string_view aPath) const;
--- /dev/null
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -0,0 +1,400 @@
+#include "LibGateway/BatchJobHandler.h"
+
+#include "LibGateway/Events.h"
+#include "LibGateway/StateChange.h"
+#include "LibHttpStream/Status.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace pumiceturn::gateway {
+
+namespace {
+
+/// When a caller should come back while the store can't tell. The store's
+/// outages last seconds; a caller takes a third of its time at most.
+constexpr std::chrono::milliseconds kRetryAfter{ 400 };
+
+/// After an outage of the store, workers store the jobs that were accepted
+/// meanwhile: the call that finds the store back waits up to 1 s for its
+/// timeout, and 0.25 s until it is made again. Until then, a job that the store
+/// doesn't have may exist.
+constexpr std::chrono::milliseconds kHoldersNeed{ 3000 };
+
+/// Times that ending a job is tried against changes by others.
+constexpr std::uint32_t kEndTries = 8;
+
+/// Largest page of results in one answer.
+constexpr std::size_t kMaxPageBytes = 900000;
+
+/// Longest wait for the host that runs a job, beyond the reader's own wait.
+/// Callers wait 1.5 s longer than they allow, and the store may have to be
+/// asked afterwards.
+constexpr std::chrono::milliseconds kPassOnMargin{ 400 };
+
+/// @return the job that a reading call asks for, empty for any other call.
+std::string
+JobOfReading(const BatchJobCall& aCall)
+{
+  struct Visitor
+  {
+    std::string operator()(const ReadResults& aRead) const
+    {
+      return aRead.job_;
+    }
+    std::string operator()(const ReadItemBody& aRead) const
+    {
+      return aRead.job_;
+    }
+    std::string operator()(const EndBatchJob& /*aEnd*/) const { return {}; }
+    std::string operator()(const UnreadableCall& /*aCall*/) const { return {}; }
+  };
+  return std::visit(Visitor{}, aCall);
+}
+
+} // namespace
+
+BatchJobHandler::BatchJobHandler(Shared& aShared,
+                                 metadata::StoreClient& aStore,
+                                 batch::BatchJobTable& aJobs,
+                                 BatchJobLoader& aLoader,
+                                 const batch::HostSet& aHosts,
+                                 const metadata::StoreHealth& aHealth,
+                                 std::string aOwnName,
+                                 PeerCallers& aCallers)
+  : shared_(aShared)
+  , store_(aStore)
+  , jobs_(aJobs)
+  , loader_(aLoader)
+  , hosts_(aHosts)
+  , health_(aHealth)
+  , ownName_(std::move(aOwnName))
+  , callers_(aCallers)
+{
+}
+
+void
+BatchJobHandler::Handle(const std::shared_ptr<httpstream::Exchange>& aExchange,
+                        const BatchJobCall& aCall,
+                        const CallerName& aCaller)
+{
+  if (const auto* unreadable = std::get_if<UnreadableCall>(&aCall)) {
+    aExchange->Answer(httpstream::MakeResponse(
+      httpstream::kStatusBadRequest, unreadable->reason_, "text/plain"));
+  } else if (const auto* end = std::get_if<EndBatchJob>(&aCall)) {
+    WithState(aExchange,
+              end->job_,
+              aCaller,
+              [this, aExchange](const batch::BatchJob& aJob) {
+                End(aExchange, aJob, kEndTries);
+              });
+  } else {
+    Read(aExchange, JobOfReading(aCall), aCall, aCaller);
+  }
+}
+
+void
+BatchJobHandler::HandlePassedOn(
+  const std::shared_ptr<httpstream::Exchange>& aExchange,
+  const BatchJobCall& aCall)
+{
+  const batch::BatchJob* job = jobs_.Find(JobOfReading(aCall));
+  if (job == nullptr || !job->isLoaded_) {
+    AnswerComeBack(*aExchange);
+    return;
+  }
+  AnswerLoaded(aExchange, *job, aCall, true);
+}
+
+void
+BatchJobHandler::AnswerComeBack(httpstream::Exchange& aExchange) const
+{
+  aExchange.Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+}
+
+void
+BatchJobHandler::AnswerNone(httpstream::Exchange& aExchange,
+                            const CallerName& aCaller) const
+{
+  // A caller without a key must not learn which jobs there are.
+  const bool hasNoKey = aCaller && aCaller->empty();
+  aExchange.Answer(
+    hasNoKey ? shared_.codec_.MakeUnauthorised()
+             : httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
+}
+
+bool
+BatchJobHandler::IsAllowed(const ExchangePtr& aExchange,
+                           const batch::BatchJob& aJob,
+                           const CallerName& aCaller) const
+{
+  const std::string& organisation = aJob.state_.organisation_;
+  if (!aCaller || organisation.empty() || organisation == *aCaller) {
+    return true;
+  }
+  AnswerNone(*aExchange, aCaller);
+  return false;
+}
+
+void
+BatchJobHandler::WithState(const ExchangePtr& aExchange,
+                           const std::string& aJob,
+                           const CallerName& aCaller,
+                           std::function<void(const batch::BatchJob&)> aUse)
+{
+  if (const batch::BatchJob* job = jobs_.Find(aJob)) {
+    if (IsAllowed(aExchange, *job, aCaller)) {
+      aUse(*job);
+    }
+    return;
+  }
+  // The job may have been accepted elsewhere a moment ago.
+  loader_.ReadState(
+    aJob,
+    [this, aJob, aExchange, aCaller, use = std::move(aUse)](
+      metadata::StoreStatus aStatus) {
+      if (const batch::BatchJob* job = jobs_.Find(aJob)) {
+        onStateRead_(aJob);
+        if (IsAllowed(aExchange, *job, aCaller)) {
+          use(*job);
+        }
+      } else if (aStatus == metadata::StoreStatus::Ok &&
+                 !health_.WasLostWithin(kHoldersNeed, base::MonotonicNow())) {
+        AnswerNone(*aExchange, aCaller);
+      } else {
+        AnswerComeBack(*aExchange);
+      }
+    });
+}
+
+void
+BatchJobHandler::Read(const ExchangePtr& aExchange,
+                      const std::string& aJob,
+                      const BatchJobCall& aCall,
+                      const CallerName& aCaller)
+{
+  WithState(aExchange,
+            aJob,
+            aCaller,
+            [this, aExchange, aJob, aCall](const batch::BatchJob& aFound) {
+              const std::string& owner = aFound.state_.owner_;
+              if (aFound.isLoaded_) {
+                AnswerLoaded(aExchange, aFound, aCall, true);
+                return;
+              }
+              const auto address = hosts_.AddressOf(owner);
+              if (address && owner != ownName_) {
+                PassOn(aExchange, aJob, *address, aCall);
+              } else {
+                ReadFromStore(aExchange, aJob, aCall);
+              }
+            });
+}
+
+void
+BatchJobHandler::PassOn(const ExchangePtr& aExchange,
+                        const std::string& aJob,
+                        const std::string& aAddress,
+                        const BatchJobCall& aCall)
+{
+  httpstream::HttpCaller* caller = callers_.Find(aAddress);
+  if (caller == nullptr) {
+    ReadFromStore(aExchange, aJob, aCall);
+    return;
+  }
+  const httpstream::Request& original = aExchange->GetRequest();
+  httpstream::Request request;
+  request.method(original.method());
+  request.target(original.target());
+  request.version(11);
+  shared_.codec_.CopyForPeer(original, request);
+  const auto* read = std::get_if<ReadResults>(&aCall);
+  const base::Duration wait =
+    read != nullptr ? read->longestWait_ : base::Duration::zero();
+  caller->Call(request,
+               wait + kPassOnMargin,
+               [this, aExchange, aJob, aCall](httpstream::CallResult aResult) {
+                 const bool isAnswer =
+                   aResult.end_ == httpstream::CallEnd::Complete &&
+                   (aResult.status_ == httpstream::kStatusOk ||
+                    aResult.status_ == httpstream::kStatusNotFound);
+                 if (isAnswer) {
+                   aExchange->Answer(httpstream::MakeResponse(
+                     aResult.status_, std::move(aResult.body_)));
+                 } else {
+                   ReadFromStore(aExchange, aJob, aCall);
+                 }
+               });
+}
+
+void
+BatchJobHandler::ReadFromStore(const ExchangePtr& aExchange,
+                               const std::string& aJob,
+                               const BatchJobCall& aCall)
+{
+  loader_.ReadData(
+    aJob, [this, aExchange, aJob, aCall](metadata::StoreStatus aStatus) {
+      const batch::BatchJob* job = jobs_.Find(aJob);
+      if (aStatus != metadata::StoreStatus::Ok || job == nullptr ||
+          !job->isLoaded_) {
+        AnswerComeBack(*aExchange);
+        return;
+      }
+      AnswerLoaded(aExchange, *job, aCall, false);
+      // What others run goes on without this host: its copy would grow old.
+      if (job->state_.owner_ != ownName_) {
+        jobs_.Unload(aJob);
+      }
+    });
+}
+
+void
+BatchJobHandler::AnswerLoaded(const ExchangePtr& aExchange,
+                              const batch::BatchJob& aJob,
+                              const BatchJobCall& aCall,
+                              bool aMayWait)
+{
+  if (const auto* read = std::get_if<ReadResults>(&aCall)) {
+    AnswerResults(aExchange, aJob, *read, aMayWait);
+  } else {
+    AnswerBody(aExchange, aJob, std::get<ReadItemBody>(aCall));
+  }
+}
+
+void
+BatchJobHandler::AnswerResults(const ExchangePtr& aExchange,
+                               const batch::BatchJob& aJob,
+                               const ReadResults& aCall,
+                               bool aMayWait)
+{
+  const base::Instant until = aExchange->ReceivedAt() + aCall.longestWait_;
+  const bool hasResult = aCall.position_ < aJob.results_.size();
+  if (hasResult || !aMayWait || !aJob.IsOpen() ||
+      base::MonotonicNow() >= until) {
+    SendResults(*aExchange, aJob, aCall.position_);
+    return;
+  }
+  readers_[aJob.id_].push_back({ aExchange, aCall.position_, until });
+}
+
+void
+BatchJobHandler::AnswerBody(const ExchangePtr& aExchange,
+                            const batch::BatchJob& aJob,
+                            const ReadItemBody& aCall)
+{
+  const auto item = std::find_if(
+    aJob.items_->begin(), aJob.items_->end(), [&aCall](const auto& aItem) {
+      return aItem.id_ == aCall.item_;
+    });
+  if (item == aJob.items_->end()) {
+    aExchange->Answer(
+      httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
+    return;
+  }
+  aExchange->Answer(httpstream::MakeResponse(
+    httpstream::kStatusOk, item->body_, "application/octet-stream"));
+}
+
+void
+BatchJobHandler::SendResults(httpstream::Exchange& aExchange,
+                             const batch::BatchJob& aJob,
+                             std::uint32_t aPosition) const
+{
+  const std::size_t begin =
+    std::min<std::size_t>(aPosition, aJob.results_.size());
+  std::size_t end = begin;
+  std::size_t bytes = 0;
+  while (end < aJob.results_.size() &&
+         (end == begin ||
+          bytes + aJob.results_[end].output_.size() < kMaxPageBytes)) {
+    bytes += aJob.results_[end].output_.size();
+    ++end;
+  }
+  const std::span<const batch::ItemResult> page(aJob.results_.data() + begin,
+                                                end - begin);
+  aExchange.Answer(httpstream::MakeResponse(
+    httpstream::kStatusOk,
+    shared_.codec_.WriteResults(aJob.state_.itemCount_, aPosition, page)));
+}
+
+void
+BatchJobHandler::End(const std::shared_ptr<httpstream::Exchange>& aExchange,
+                     const batch::BatchJob& aJob,
+                     std::uint32_t aTriesLeft)
+{
+  if (aJob.state_.isEnded_) {
+    aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
+    return;
+  }
+  batch::BatchJobState state = aJob.state_;
+  state.isEnded_ = true;
+  const std::string key = jobs_.Keys().StateOf(aJob.id_);
+  store_.Commit(
+    MakeStateChange(jobs_.Keys(), aJob, state),
+    [this, aExchange, id = aJob.id_, key, state, aTriesLeft](
+      const metadata::TransactionReply& aReply) {
+      using metadata::StoreStatus;
+      if (aReply.status_ == StoreStatus::Ok) {
+        jobs_.Apply(key, batch::EncodeState(state), aReply.revision_);
+        onStateRead_(id);
+        aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
+        return;
+      }
+      for (const metadata::StoreItem& item : aReply.current_) {
+        if (item.key_ == key && item.revision_ != 0) {
+          jobs_.Apply(key, item.value_, item.revision_);
+        }
+      }
+      const batch::BatchJob* job = jobs_.Find(id);
+      const bool mayRetry = aReply.status_ == StoreStatus::Conflict ||
+                            aReply.status_ == StoreStatus::Unknown;
+      if (job != nullptr && mayRetry && aTriesLeft > 0) {
+        End(aExchange, *job, aTriesLeft - 1);
+        return;
+      }
+      aExchange->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    });
+}
+
+void
+BatchJobHandler::OnJobChanged(const std::string& aJob)
+{
+  const auto found = readers_.find(aJob);
+  const batch::BatchJob* job = jobs_.Find(aJob);
+  if (found == readers_.end() || job == nullptr) {
+    return;
+  }
+  std::vector<Reader> waiting;
+  for (Reader& reader : found->second) {
+    if (reader.position_ < job->results_.size() || !job->IsOpen()) {
+      SendResults(*reader.exchange_, *job, reader.position_);
+    } else {
+      waiting.push_back(std::move(reader));
+    }
+  }
+  if (waiting.empty()) {
+    readers_.erase(found);
+  } else {
+    found->second = std::move(waiting);
+  }
+}
+
+void
+BatchJobHandler::Tick(base::Instant aNow)
+{
+  for (auto entry = readers_.begin(); entry != readers_.end();) {
+    const batch::BatchJob* job = jobs_.Find(entry->first);
+    std::erase_if(entry->second, [&](const Reader& aReader) {
+      const bool isOver = aReader.until_ <= aNow || job == nullptr;
+      if (isOver && job != nullptr) {
+        SendResults(*aReader.exchange_, *job, aReader.position_);
+      } else if (isOver) {
+        aReader.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+      }
+      return isOver;
+    });
+    entry = entry->second.empty() ? readers_.erase(entry) : std::next(entry);
+  }
+}
+
+} // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LotDesk.h
+++ b/Libraries/LibGateway/BatchJobHandler.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "LibGateway/LotLoader.h"
+#include "LibBatch/BatchJobTable.h"
+#include "LibBatch/HostSet.h"
+#include "LibGateway/BatchJobLoader.h"
 #include "LibGateway/PeerCallers.h"
 #include "LibGateway/Shared.h"
 #include "LibHttpStream/ServerConnection.h"
-#include "LibLots/HostSet.h"
-#include "LibLots/LotTable.h"
 #include "LibMetadata/StoreClient.h"
 #include "LibMetadata/StoreHealth.h"
 
@@ -17,40 +17,40 @@
 
 namespace pumiceturn::gateway {
 
-/// Answers the callers' calls on accepted lots: gives a lot's results by
+/// Answers the callers' calls on accepted jobs: gives a job's results by
 /// position, its items' bodies, and ends it. Any host answers
-/// for any lot: from memory where it runs the lot, else by asking the host that
+/// for any job: from memory where it runs the job, else by asking the host that
 /// runs it, else from the store; where that can't tell, the caller is told to
 /// come back. Belongs to the event thread.
-class LotDesk
+class BatchJobHandler
 {
 public:
-  LotDesk(Shared& aShared,
-          metadata::StoreClient& aStore,
-          lots::LotTable& aLots,
-          LotLoader& aLoader,
-          const lots::HostSet& aHosts,
-          const metadata::StoreHealth& aHealth,
-          std::string aOwnName,
-          PeerCallers& aCallers);
+  BatchJobHandler(Shared& aShared,
+                  metadata::StoreClient& aStore,
+                  batch::BatchJobTable& aJobs,
+                  BatchJobLoader& aLoader,
+                  const batch::HostSet& aHosts,
+                  const metadata::StoreHealth& aHealth,
+                  std::string aOwnName,
+                  PeerCallers& aCallers);
 
   /// Answers a call of a caller. What belongs to another organisation is not
   /// there for it.
   void Handle(const std::shared_ptr<httpstream::Exchange>& aExchange,
-              const LotCall& aCall,
+              const BatchJobCall& aCall,
               const CallerName& aCaller);
 
   /// Answers a call that another host passes on, from memory alone.
   void HandlePassedOn(const std::shared_ptr<httpstream::Exchange>& aExchange,
-                      const LotCall& aCall);
+                      const BatchJobCall& aCall);
 
-  /// A lot's keys have changed: readers that wait for results may go on.
-  void OnLotChanged(const std::string& aLot);
+  /// A job's keys have changed: readers that wait for results may go on.
+  void OnJobChanged(const std::string& aJob);
 
   /// Answers readers whose wait is over.
   void Tick(base::Instant aNow);
 
-  /// Called with each lot whose state was changed or read here.
+  /// Called with each job whose state was changed or read here.
   void SetOnStateRead(std::function<void(const std::string&)> aCallback)
   {
     onStateRead_ = std::move(aCallback);
@@ -66,62 +66,62 @@
 
   using ExchangePtr = std::shared_ptr<httpstream::Exchange>;
 
-  /// Calls back with the lot's state known, or answers the caller that there is
-  /// no such lot for it, or that this can't be told now.
+  /// Calls back with the job's state known, or answers the caller that there is
+  /// no such job for it, or that this can't be told now.
   void WithState(const ExchangePtr& aExchange,
-                 const std::string& aLot,
+                 const std::string& aJob,
                  const CallerName& aCaller,
-                 std::function<void(const lots::Lot&)> aUse);
+                 std::function<void(const batch::BatchJob&)> aUse);
 
-  /// @return whether the lot is the caller's; answers it where it isn't.
+  /// @return whether the job is the caller's; answers it where it isn't.
   [[nodiscard]] bool IsAllowed(const ExchangePtr& aExchange,
-                               const lots::Lot& aLot,
+                               const batch::BatchJob& aJob,
                                const CallerName& aCaller) const;
   void AnswerNone(httpstream::Exchange& aExchange,
                   const CallerName& aCaller) const;
 
   /// Answers a reading call by the first way that works: memory, the host that
-  /// runs the lot, the store.
+  /// runs the job, the store.
   void Read(const ExchangePtr& aExchange,
-            const std::string& aLot,
-            const LotCall& aCall,
+            const std::string& aJob,
+            const BatchJobCall& aCall,
             const CallerName& aCaller);
   void PassOn(const ExchangePtr& aExchange,
-              const std::string& aLot,
+              const std::string& aJob,
               const std::string& aAddress,
-              const LotCall& aCall);
+              const BatchJobCall& aCall);
   void ReadFromStore(const ExchangePtr& aExchange,
-                     const std::string& aLot,
-                     const LotCall& aCall);
+                     const std::string& aJob,
+                     const BatchJobCall& aCall);
 
-  /// Answers from a loaded lot.
+  /// Answers from a loaded job.
   void AnswerLoaded(const ExchangePtr& aExchange,
-                    const lots::Lot& aLot,
-                    const LotCall& aCall,
+                    const batch::BatchJob& aJob,
+                    const BatchJobCall& aCall,
                     bool aMayWait);
   void AnswerResults(const ExchangePtr& aExchange,
-                     const lots::Lot& aLot,
+                     const batch::BatchJob& aJob,
                      const ReadResults& aCall,
                      bool aMayWait);
   static void AnswerBody(const ExchangePtr& aExchange,
-                         const lots::Lot& aLot,
+                         const batch::BatchJob& aJob,
                          const ReadItemBody& aCall);
   void AnswerComeBack(httpstream::Exchange& aExchange) const;
   void End(const std::shared_ptr<httpstream::Exchange>& aExchange,
-           const lots::Lot& aLot,
+           const batch::BatchJob& aJob,
            std::uint32_t aTriesLeft);
   void SendResults(httpstream::Exchange& aExchange,
-                   const lots::Lot& aLot,
+                   const batch::BatchJob& aJob,
                    std::uint32_t aPosition) const;
 
   Shared& shared_;
   metadata::StoreClient& store_;
-  lots::LotTable& lots_;
-  LotLoader& loader_;
-  const lots::HostSet& hosts_;
+  batch::BatchJobTable& jobs_;
+  BatchJobLoader& loader_;
+  const batch::HostSet& hosts_;
   const metadata::StoreHealth& health_;
   std::string ownName_;
-  PeerCallers& callers_; ///< To the hosts that run lots.
+  PeerCallers& callers_; ///< To the hosts that run jobs.
   std::function<void(const std::string&)> onStateRead_;
   std::unordered_map<std::string, std::vector<Reader>> readers_;
 };
--- a/Libraries/LibGateway/LotLoader.cpp
+++ b/Libraries/LibGateway/BatchJobLoader.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/LotLoader.h"
+#include "LibGateway/BatchJobLoader.h"
 
 #include <utility>
 
@@ -7,35 +7,35 @@
 using metadata::StoreStatus;
 
 void
-LotLoader::ReadState(const std::string& aLot, Done aDone)
+BatchJobLoader::ReadState(const std::string& aJob, Done aDone)
 {
-  ReadPage(lots_.Keys().StateOf(aLot), {}, std::move(aDone));
+  ReadPage(jobs_.Keys().StateOf(aJob), {}, std::move(aDone));
 }
 
 void
-LotLoader::ReadData(const std::string& aLot, Done aDone)
+BatchJobLoader::ReadData(const std::string& aJob, Done aDone)
 {
-  ReadPage(lots_.Keys().DataOf(aLot),
+  ReadPage(jobs_.Keys().DataOf(aJob),
            {},
-           [this, aLot, done = std::move(aDone)](StoreStatus aStatus) {
+           [this, aJob, done = std::move(aDone)](StoreStatus aStatus) {
              if (aStatus == StoreStatus::Ok) {
-               lots_.FinishLoading(aLot);
+               jobs_.FinishLoading(aJob);
              }
              done(aStatus);
            });
 }
 
 void
-LotLoader::ReadPage(const std::string& aPrefix,
-                    const std::string& aAfter,
-                    Done aDone)
+BatchJobLoader::ReadPage(const std::string& aPrefix,
+                         const std::string& aAfter,
+                         Done aDone)
 {
   store_.Range(
     aPrefix,
     aAfter,
     [this, aPrefix, done = std::move(aDone)](metadata::RangeReply aReply) {
       for (const metadata::StoreItem& item : aReply.items_) {
-        lots_.Apply(item.key_, item.value_, item.revision_);
+        jobs_.Apply(item.key_, item.value_, item.revision_);
       }
       const bool hasMore = aReply.status_ == StoreStatus::Ok &&
                            aReply.isTruncated_ && !aReply.items_.empty();
--- a/Libraries/LibGateway/LotLoader.h
+++ b/Libraries/LibGateway/BatchJobLoader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibLots/LotTable.h"
+#include "LibBatch/BatchJobTable.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <functional>
@@ -8,25 +8,25 @@
 
 namespace pumiceturn::gateway {
 
-/// Reads lots from the store into the table. Belongs to the event thread.
-class LotLoader
+/// Reads jobs from the store into the table. Belongs to the event thread.
+class BatchJobLoader
 {
 public:
   /// Receives how the reading went; after Ok the table has what the store has.
   using Done = std::function<void(metadata::StoreStatus)>;
 
-  LotLoader(metadata::StoreClient& aStore, lots::LotTable& aLots)
+  BatchJobLoader(metadata::StoreClient& aStore, batch::BatchJobTable& aJobs)
     : store_(aStore)
-    , lots_(aLots)
+    , jobs_(aJobs)
   {
   }
 
-  /// Reads a lot's state.
-  void ReadState(const std::string& aLot, Done aDone);
+  /// Reads a job's state.
+  void ReadState(const std::string& aJob, Done aDone);
 
-  /// Reads a lot's content, results and progress. The table's copy counts as
+  /// Reads a job's content, results and progress. The table's copy counts as
   /// loaded afterwards, if the content was whole.
-  void ReadData(const std::string& aLot, Done aDone);
+  void ReadData(const std::string& aJob, Done aDone);
 
 private:
   void ReadPage(const std::string& aPrefix,
@@ -34,7 +34,7 @@
                 Done aDone);
 
   metadata::StoreClient& store_;
-  lots::LotTable& lots_;
+  batch::BatchJobTable& jobs_;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LotRetention.cpp
+++ b/Libraries/LibGateway/BatchJobRetention.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/LotRetention.h"
+#include "LibGateway/BatchJobRetention.h"
 
 #include "LibGateway/Events.h"
 
@@ -9,28 +9,28 @@
 
 namespace {
 
-/// How often a host looks for lots to remove.
+/// How often a host looks for jobs to remove.
 constexpr std::chrono::seconds kLookInterval{ 5 };
 
-/// Lots that a host removes at a time: two calls each, spread over time.
+/// Jobs that a host removes at a time: two calls each, spread over time.
 constexpr std::size_t kMostAtOnce = 4;
 
 /// Keys in one transaction, of the platform's 32.
 constexpr std::size_t kMostRemovals = 30;
 
-/// An open lot is removed too when it is this many times as old: its route has
+/// An open job is removed too when it is this many times as old: its route has
 /// gone, or its sender never came back.
-constexpr int kOpenLotFactor = 10;
+constexpr int kOpenJobFactor = 10;
 
 } // namespace
 
-LotRetention::LotRetention(metadata::StoreClient& aStore,
-                           const lots::LotTable& aLots,
-                           const lots::HostSet& aHosts,
-                           std::string aOwnName,
-                           base::Duration aRetention)
+BatchJobRetention::BatchJobRetention(metadata::StoreClient& aStore,
+                                     const batch::BatchJobTable& aJobs,
+                                     const batch::HostSet& aHosts,
+                                     std::string aOwnName,
+                                     base::Duration aRetention)
   : store_(aStore)
-  , lots_(aLots)
+  , jobs_(aJobs)
   , hosts_(aHosts)
   , ownName_(std::move(aOwnName))
   , retention_(aRetention)
@@ -38,36 +38,37 @@
 }
 
 bool
-LotRetention::IsOver(const lots::Lot& aLot, base::WallTime aWallNow) const
+BatchJobRetention::IsOver(const batch::BatchJob& aJob,
+                          base::WallTime aWallNow) const
 {
   const base::Duration age =
-    aWallNow - base::FromUnixMs(aLot.state_.acceptedAtMs_);
-  return age > (aLot.IsOpen() ? retention_ * kOpenLotFactor : retention_);
+    aWallNow - base::FromUnixMs(aJob.state_.acceptedAtMs_);
+  return age > (aJob.IsOpen() ? retention_ * kOpenJobFactor : retention_);
 }
 
 void
-LotRetention::Tick(base::Instant aNow, base::WallTime aWallNow)
+BatchJobRetention::Tick(base::Instant aNow, base::WallTime aWallNow)
 {
   if (aNow < nextLook_) {
     return;
   }
   nextLook_ = aNow + kLookInterval;
-  for (const std::string& id : lots_.AllLots()) {
+  for (const std::string& id : jobs_.AllJobs()) {
     if (underWay_ >= kMostAtOnce) {
       return;
     }
-    if (IsOver(*lots_.Find(id), aWallNow) && hosts_.OwnerFor(id) == ownName_) {
+    if (IsOver(*jobs_.Find(id), aWallNow) && hosts_.OwnerFor(id) == ownName_) {
       Remove(id);
     }
   }
 }
 
 void
-LotRetention::Remove(const std::string& aLot)
+BatchJobRetention::Remove(const std::string& aJob)
 {
   ++underWay_;
   store_.Range(
-    lots_.Keys().DataOf(aLot), {}, [this, aLot](metadata::RangeReply aReply) {
+    jobs_.Keys().DataOf(aJob), {}, [this, aJob](metadata::RangeReply aReply) {
       if (aReply.status_ != metadata::StoreStatus::Ok) {
         --underWay_;
         return;
@@ -80,10 +81,10 @@
       // The state goes last: as long as it is there, a later look goes on.
       const bool isLast = count == aReply.items_.size() && !aReply.isTruncated_;
       if (isLast) {
-        transaction.removals_.push_back(lots_.Keys().StateOf(aLot));
+        transaction.removals_.push_back(jobs_.Keys().StateOf(aJob));
       }
-      base::Log(kLotRemoved,
-                { { "lot", aLot }, { "keys", count }, { "last", isLast } });
+      base::Log(kBatchJobRemoved,
+                { { "lot", aJob }, { "keys", count }, { "last", isLast } });
       store_.Commit(transaction,
                     [this](const metadata::TransactionReply&) { --underWay_; });
     });
--- a/Libraries/LibGateway/HeldLots.cpp
+++ b/Libraries/LibGateway/BatchJobSpool.cpp
@@ -1,8 +1,8 @@
-#include "LibGateway/HeldLots.h"
+#include "LibGateway/BatchJobSpool.h"
 
+#include "LibGateway/BatchJobCreation.h"
 #include "LibGateway/Events.h"
 #include "LibGateway/LedgerChange.h"
-#include "LibGateway/LotCreation.h"
 #include "LibHttpStream/Status.h"
 
 #include <algorithm>
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// All lots kept at once: the largest that the platform takes, several times.
+/// All jobs kept at once: the largest that the platform takes, several times.
 constexpr std::size_t kMostBytes = 33554432;
 
-/// How long the host that is to run a lot is left to store it alone. Within a
-/// second of its acceptance, other hosts must know the lot.
+/// How long the host that is to run a job is left to store it alone. Within a
+/// second of its acceptance, other hosts must know the job.
 constexpr std::chrono::milliseconds kOwnerFirst{ 300 };
 
-/// How long a lot that was stored still counts as held: this host's view of the
-/// ledger may be older than the lot's row by the mirror's pause, the pause
+/// How long a job that was stored still counts as held: this host's view of the
+/// ledger may be older than the job's row by the mirror's pause, the pause
 /// between two changes of the ledger, and a call without an answer.
 constexpr std::chrono::seconds kLedgerLag{ 3 };
 
@@ -32,21 +32,21 @@
 
 } // namespace
 
-HeldLots::HeldLots(boost::asio::io_context& aContext,
-                   Shared& aShared,
-                   metadata::StoreClient& aStore,
-                   const metadata::StoreHealth& aHealth,
-                   const lots::LotTable& aLots,
-                   const lots::HostSet& aHosts,
-                   std::string aOwnName,
-                   const std::filesystem::path& aFolder,
-                   base::Duration aRetention,
-                   double aCapShare,
-                   std::size_t aCopies)
+BatchJobSpool::BatchJobSpool(boost::asio::io_context& aContext,
+                             Shared& aShared,
+                             metadata::StoreClient& aStore,
+                             const metadata::StoreHealth& aHealth,
+                             const batch::BatchJobTable& aJobs,
+                             const batch::HostSet& aHosts,
+                             std::string aOwnName,
+                             const std::filesystem::path& aFolder,
+                             base::Duration aRetention,
+                             double aCapShare,
+                             std::size_t aCopies)
   : shared_(aShared)
   , store_(aStore)
   , health_(aHealth)
-  , lots_(aLots)
+  , jobs_(aJobs)
   , hosts_(aHosts)
   , ownName_(std::move(aOwnName))
   , retention_(aRetention)
@@ -58,62 +58,64 @@
 }
 
 void
-HeldLots::Start()
+BatchJobSpool::Start()
 {
-  auto lots = std::make_shared<std::vector<lots::HeldLot>>();
+  auto jobs = std::make_shared<std::vector<batch::SpooledJob>>();
   disk_.Run(
-    [this, lots] { *lots = files_.ReadAll(); },
-    [this, lots] {
+    [this, jobs] { *jobs = files_.ReadAll(); },
+    [this, jobs] {
       const base::Instant now = base::MonotonicNow();
-      for (lots::HeldLot& lot : *lots) {
-        base::Log(kLotHeld, { { "lot", lot.id_ }, { "from", "disk" } });
-        const std::string id = lot.id_;
-        const std::uint64_t tokens = TokensOf(lot);
-        held_.try_emplace(id, Entry{ std::move(lot), tokens, now, now, true });
+      for (batch::SpooledJob& job : *jobs) {
+        base::Log(kBatchJobSpooled, { { "lot", job.id_ }, { "from", "disk" } });
+        const std::string id = job.id_;
+        const std::uint64_t tokens = TokensOf(job);
+        spooled_.try_emplace(id,
+                             Entry{ std::move(job), tokens, now, now, true });
       }
     });
 }
 
 const fleet::Route*
-HeldLots::CappedRouteOf(const lots::HeldLot& aLot) const
+BatchJobSpool::CappedRouteOf(const batch::SpooledJob& aJob) const
 {
-  return shared_.routes_.FindCapped(aLot.state_.hostName_, aLot.state_.path_);
+  return shared_.routes_.FindCapped(aJob.state_.hostName_, aJob.state_.path_);
 }
 
 std::string
-HeldLots::LedgerOf(const lots::HeldLot& aLot) const
+BatchJobSpool::LedgerOf(const batch::SpooledJob& aJob) const
 {
-  const fleet::Route* route = CappedRouteOf(aLot);
+  const fleet::Route* route = CappedRouteOf(aJob);
   return route == nullptr
            ? std::string()
-           : lots::LedgerName(route->name_, aLot.state_.organisation_);
+           : batch::LedgerName(route->name_, aJob.state_.organisation_);
 }
 
 std::uint64_t
-HeldLots::TokensOf(const lots::HeldLot& aLot) const
+BatchJobSpool::TokensOf(const batch::SpooledJob& aJob) const
 {
-  const auto content = shared_.codec_.ReadLotContent(aLot.content_);
-  const auto* items = std::get_if<std::vector<lots::LotItem>>(&content);
-  return items == nullptr ? 0 : lots::TokensOf(*items);
+  const auto content = shared_.codec_.ReadBatchJobContent(aJob.content_);
+  const auto* items = std::get_if<std::vector<batch::BatchItem>>(&content);
+  return items == nullptr ? 0 : batch::TokensOf(*items);
 }
 
 bool
-HeldLots::IsWithinCap(const lots::HeldLot& aLot, std::uint64_t aTokens) const
+BatchJobSpool::IsWithinCap(const batch::SpooledJob& aJob,
+                           std::uint64_t aTokens) const
 {
-  const fleet::Route* route = CappedRouteOf(aLot);
+  const fleet::Route* route = CappedRouteOf(aJob);
   if (route == nullptr) {
     return true;
   }
-  const std::string ledger = LedgerOf(aLot);
+  const std::string ledger = LedgerOf(aJob);
   std::uint64_t held = aTokens;
-  for (const auto& [id, entry] : held_) {
-    held += LedgerOf(entry.lot_) == ledger ? entry.tokens_ : 0;
+  for (const auto& [id, entry] : spooled_) {
+    held += LedgerOf(entry.job_) == ledger ? entry.tokens_ : 0;
   }
-  for (const StoredLot& stored : stored_) {
+  for (const StoredBatchJob& stored : stored_) {
     held += stored.ledger_ == ledger ? stored.tokens_ : 0;
   }
   // Accepting by the ledger keeps to the cap itself, so what is beyond it there
-  // and on all disks must stay within what the bound allows. Each lot is on so
+  // and on all disks must stay within what the bound allows. Each job is on so
   // many of the workers' disks.
   const std::uint64_t cap = route->waitingTokenCap_;
   const std::uint64_t counted = shared_.ledgers_.Of(ledger).ledger_.Total();
@@ -127,33 +129,33 @@
 }
 
 std::size_t
-HeldLots::Bytes() const
+BatchJobSpool::Bytes() const
 {
   std::size_t bytes = 0;
-  for (const auto& [id, entry] : held_) {
-    bytes += entry.lot_.content_.size();
+  for (const auto& [id, entry] : spooled_) {
+    bytes += entry.job_.content_.size();
   }
   return bytes;
 }
 
 bool
-HeldLots::IsAnothers(const lots::HeldLot& aLot) const
+BatchJobSpool::IsAnothers(const batch::SpooledJob& aJob) const
 {
-  const std::string& organisation = aLot.state_.organisation_;
-  if (const lots::Lot* known = lots_.Find(aLot.id_)) {
+  const std::string& organisation = aJob.state_.organisation_;
+  if (const batch::BatchJob* known = jobs_.Find(aJob.id_)) {
     return known->state_.organisation_ != organisation;
   }
-  const auto held = held_.find(aLot.id_);
-  return held != held_.end() &&
-         held->second.lot_.state_.organisation_ != organisation;
+  const auto held = spooled_.find(aJob.id_);
+  return held != spooled_.end() &&
+         held->second.job_.state_.organisation_ != organisation;
 }
 
 void
-HeldLots::Hold(const std::shared_ptr<httpstream::Exchange>& aExchange)
+BatchJobSpool::Spool(const std::shared_ptr<httpstream::Exchange>& aExchange)
 {
   const std::string& body = aExchange->GetRequest().body();
-  auto lot = lots::DecodeHeldLot(body);
-  if (!lot) {
+  auto job = batch::DecodeSpooledJob(body);
+  if (!job) {
     aExchange->Answer(
       httpstream::MakeResponse(httpstream::kStatusBadRequest, {}));
     return;
@@ -163,29 +165,29 @@
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
-  if (IsAnothers(*lot)) {
+  if (IsAnothers(*job)) {
     aExchange->Answer(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
-  if (lots_.Find(lot->id_) != nullptr) {
+  if (jobs_.Find(job->id_) != nullptr) {
     aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
   }
-  const std::uint64_t tokens = TokensOf(*lot);
-  if (!held_.contains(lot->id_) && !IsWithinCap(*lot, tokens)) {
-    base::Log(kLotNotHeld,
-              { { "lot", lot->id_ }, { "code", "cap" }, { "tokens", tokens } });
+  const std::uint64_t tokens = TokensOf(*job);
+  if (!spooled_.contains(job->id_) && !IsWithinCap(*job, tokens)) {
+    base::Log(kBatchJobNotSpooled,
+              { { "lot", job->id_ }, { "code", "cap" }, { "tokens", tokens } });
     aExchange->Answer(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
   const base::Instant now = base::MonotonicNow();
-  const std::string id = lot->id_;
+  const std::string id = job->id_;
   const bool isOwner = hosts_.OwnerFor(id) == ownName_;
   const base::Instant tryAt = isOwner ? now : now + kOwnerFirst;
-  const auto [entry, isNew] =
-    held_.try_emplace(id, Entry{ std::move(*lot), tokens, now, tryAt, false });
+  const auto [entry, isNew] = spooled_.try_emplace(
+    id, Entry{ std::move(*job), tokens, now, tryAt, false });
   if (entry->second.isWritten_) {
     aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
@@ -194,32 +196,33 @@
   if (!isNew) {
     return;
   }
-  auto outcome = std::make_shared<lots::WriteOutcome>();
+  auto outcome = std::make_shared<batch::WriteOutcome>();
   disk_.Run([this,
              outcome,
-             copy = entry->second.lot_] { *outcome = files_.Write(copy); },
+             copy = entry->second.job_] { *outcome = files_.Write(copy); },
             [this, outcome, id] { OnWritten(id, *outcome); });
 }
 
 void
-HeldLots::OnWritten(const std::string& aLot, const lots::WriteOutcome& aOutcome)
+BatchJobSpool::OnWritten(const std::string& aJob,
+                         const batch::WriteOutcome& aOutcome)
 {
   // An entry stays until it is written.
-  const auto found = held_.find(aLot);
+  const auto found = spooled_.find(aJob);
   Entry& entry = found->second;
   const auto waiting = std::exchange(entry.waiting_, {});
   unsigned status = httpstream::kStatusOk;
   if (aOutcome.error_) {
-    base::Log(kLotNotHeld,
-              { { "lot", aLot },
+    base::Log(kBatchJobNotSpooled,
+              { { "lot", aJob },
                 { "code", base::NameOf(aOutcome.error_->code_) },
                 { "error", aOutcome.error_->detail_ } });
-    held_.erase(found);
+    spooled_.erase(found);
     // A file that may be there is stored after a restart: not a refusal.
     status = aOutcome.mayBeThere_ ? httpstream::kStatusGatewayTimeout
                                   : httpstream::kStatusUnavailable;
   } else {
-    base::Log(kLotHeld, { { "lot", aLot }, { "from", "peer" } });
+    base::Log(kBatchJobSpooled, { { "lot", aJob }, { "from", "peer" } });
     entry.isWritten_ = true;
   }
   for (const auto& exchange : waiting) {
@@ -228,23 +231,23 @@
 }
 
 void
-HeldLots::Tick(base::Instant aNow, base::WallTime aWallNow)
+BatchJobSpool::Tick(base::Instant aNow, base::WallTime aWallNow)
 {
-  std::erase_if(stored_, [aNow](const StoredLot& aLot) {
-    return aNow - aLot.at_ > kLedgerLag;
+  std::erase_if(stored_, [aNow](const StoredBatchJob& aJob) {
+    return aNow - aJob.at_ > kLedgerLag;
   });
   std::vector<std::string> ids;
-  for (const auto& [id, entry] : held_) {
+  for (const auto& [id, entry] : spooled_) {
     ids.push_back(id);
   }
   for (const std::string& id : ids) {
-    Entry& entry = held_.at(id);
+    Entry& entry = spooled_.at(id);
     if (!entry.isWritten_) {
       continue;
     }
     const base::Duration age =
-      aWallNow - base::FromUnixMs(entry.lot_.state_.acceptedAtMs_);
-    if (lots_.Find(id) != nullptr) {
+      aWallNow - base::FromUnixMs(entry.job_.state_.acceptedAtMs_);
+    if (jobs_.Find(id) != nullptr) {
       Drop(id, "stored");
     } else if (age > retention_) {
       Drop(id, "too old");
@@ -255,44 +258,44 @@
 }
 
 void
-HeldLots::Store(Entry& aEntry, base::Instant aNow)
+BatchJobSpool::Store(Entry& aEntry, base::Instant aNow)
 {
   aEntry.tryAt_ = aNow + kCallTimeout;
-  metadata::Transaction creation = MakeCreation(lots_.Keys(), aEntry.lot_);
-  const std::string ledger = LedgerOf(aEntry.lot_);
+  metadata::Transaction creation = MakeCreation(jobs_.Keys(), aEntry.job_);
+  const std::string ledger = LedgerOf(aEntry.job_);
   if (!ledger.empty()) {
     // Accepted long since: it counts whether it fits or not.
     AddRow(
-      creation, shared_, lots_.Keys(), ledger, aEntry.lot_.id_, aEntry.tokens_);
+      creation, shared_, jobs_.Keys(), ledger, aEntry.job_.id_, aEntry.tokens_);
   }
   store_.Commit(creation,
-                [this, id = aEntry.lot_.id_, ledger](
+                [this, id = aEntry.job_.id_, ledger](
                   const metadata::TransactionReply& aReply) {
                   OnStored(id, ledger, aReply);
                 });
 }
 
 void
-HeldLots::OnStored(const std::string& aLot,
-                   const std::string& aLedger,
-                   const metadata::TransactionReply& aReply)
+BatchJobSpool::OnStored(const std::string& aJob,
+                        const std::string& aLedger,
+                        const metadata::TransactionReply& aReply)
 {
   using metadata::StoreStatus;
-  const auto found = held_.find(aLot);
-  if (found == held_.end()) {
+  const auto found = spooled_.find(aJob);
+  if (found == spooled_.end()) {
     return;
   }
   const bool hasLedger = !aLedger.empty();
   const bool isConflict = aReply.status_ == StoreStatus::Conflict;
   // Another host, or an earlier try, has stored it.
   const bool isThere =
-    isConflict && (!hasLedger || ShowsKey(aReply, lots_.Keys().StateOf(aLot)));
+    isConflict && (!hasLedger || ShowsKey(aReply, jobs_.Keys().StateOf(aJob)));
   if (aReply.status_ == StoreStatus::Ok || isThere) {
-    Drop(aLot, "stored");
+    Drop(aJob, "stored");
     return;
   }
   if (isConflict) {
-    LearnLedger(shared_, lots_.Keys(), aLedger, aReply);
+    LearnLedger(shared_, jobs_.Keys(), aLedger, aReply);
     found->second.tryAt_ = base::MonotonicNow();
     return;
   }
@@ -300,20 +303,20 @@
 }
 
 void
-HeldLots::Drop(const std::string& aLot, std::string_view aReason)
+BatchJobSpool::Drop(const std::string& aJob, std::string_view aReason)
 {
-  const auto found = held_.find(aLot);
-  if (std::string ledger = LedgerOf(found->second.lot_); !ledger.empty()) {
+  const auto found = spooled_.find(aJob);
+  if (std::string ledger = LedgerOf(found->second.job_); !ledger.empty()) {
     stored_.push_back(
       { std::move(ledger), found->second.tokens_, base::MonotonicNow() });
   }
   base::Log(
-    kLotNoLongerHeld,
-    { { "lot", aLot },
+    kBatchJobUnspooled,
+    { { "lot", aJob },
       { "reason", aReason },
       { "ms", base::ToMs(base::MonotonicNow() - found->second.since_) } });
-  held_.erase(found);
-  disk_.Run([this, aLot] { files_.Remove(aLot); });
+  spooled_.erase(found);
+  disk_.Run([this, aJob] { files_.Remove(aJob); });
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LotIntake.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -1,8 +1,8 @@
-#include "LibGateway/LotIntake.h"
+#include "LibGateway/BatchSubmissionHandler.h"
 
+#include "LibGateway/BatchJobCreation.h"
 #include "LibGateway/Events.h"
 #include "LibGateway/LedgerChange.h"
-#include "LibGateway/LotCreation.h"
 #include "LibHttpStream/Status.h"
 
 #include <boost/asio/steady_timer.hpp>
@@ -15,26 +15,26 @@
 
 namespace {
 
-/// How long a lot is tried to be stored; its sender comes again afterwards.
+/// How long a job is tried to be stored; its sender comes again afterwards.
 constexpr std::chrono::milliseconds kSubmitPatience{ 2500 };
 
-/// Silence of the store after which a lot is kept on workers' disks: the store
+/// Silence of the store after which a job is kept on workers' disks: the store
 /// answers within 10 ms, on a slow day within 250 ms, and senders count an
 /// answer after half a second as late.
-constexpr std::chrono::milliseconds kHoldAfter{ 250 };
+constexpr std::chrono::milliseconds kSpoolAfter{ 250 };
 
 constexpr std::chrono::milliseconds kRetryAfter{ 300 };
 
 /// The store's first revision belongs to a key that is older than any route.
 constexpr std::uint64_t kNeverALedgersRevision = 1;
 
-/// @return a lot's state, if the reply to a refused transaction shows one.
-std::optional<lots::LotState>
+/// @return a job's state, if the reply to a refused transaction shows one.
+std::optional<batch::BatchJobState>
 FindState(const metadata::TransactionReply& aReply, const std::string& aKey)
 {
   for (const metadata::StoreItem& item : aReply.current_) {
     if (item.key_ == aKey && item.revision_ != 0 && !item.removed_) {
-      return lots::DecodeState(item.value_).value_or(lots::LotState{});
+      return batch::DecodeState(item.value_).value_or(batch::BatchJobState{});
     }
   }
   return std::nullopt;
@@ -42,10 +42,10 @@
 
 } // namespace
 
-/// A lot on its way into the store or onto disks.
-struct LotIntake::Submission
+/// A job on its way into the store or onto disks.
+struct BatchSubmissionHandler::Submission
 {
-  enum class Hold : std::uint8_t
+  enum class SpoolState : std::uint8_t
   {
     NotTried,
     UnderWay,
@@ -53,96 +53,97 @@
   };
 
   explicit Submission(const boost::asio::any_io_executor& aExecutor)
-    : holdTimer_(aExecutor)
+    : spoolTimer_(aExecutor)
   {
   }
 
   std::shared_ptr<httpstream::Exchange> exchange_;
-  lots::HeldLot lot_;
+  batch::SpooledJob job_;
   metadata::Transaction creation_;
   std::string ledger_;
   std::uint64_t cap_ = 0; ///< Of tokens in the ledger; 0: none.
   std::uint64_t tokens_ = 0;
-  boost::asio::steady_timer holdTimer_;
+  boost::asio::steady_timer spoolTimer_;
   base::Instant giveUpAt_;
   bool isCommitting_ = false;
-  Hold hold_ = Hold::NotTried;
+  SpoolState spoolState_ = SpoolState::NotTried;
   bool mayBeStored_ = false; ///< A try had no answer.
   bool isOverCap_ = false;   ///< The store shows that it doesn't fit.
   bool isAnswered_ = false;
 };
 
-LotIntake::LotIntake(Shared& aShared,
-                     metadata::StoreClient& aStore,
-                     const lots::LotTable& aLots,
-                     const lots::HostSet& aHosts,
-                     std::string aOwnName,
-                     boost::asio::any_io_executor aExecutor,
-                     PeerCallers& aCallers,
-                     std::size_t aCopies)
+BatchSubmissionHandler::BatchSubmissionHandler(
+  Shared& aShared,
+  metadata::StoreClient& aStore,
+  const batch::BatchJobTable& aJobs,
+  const batch::HostSet& aHosts,
+  std::string aOwnName,
+  boost::asio::any_io_executor aExecutor,
+  PeerCallers& aCallers,
+  std::size_t aCopies)
   : shared_(aShared)
   , store_(aStore)
-  , lots_(aLots)
+  , jobs_(aJobs)
   , hosts_(aHosts)
   , ownName_(std::move(aOwnName))
   , executor_(std::move(aExecutor))
-  , holders_(aCallers, aCopies)
+  , spoolClient_(aCallers, aCopies)
 {
 }
 
-lots::HeldLot
-LotIntake::MakeLot(const httpstream::Request& aRequest,
-                   const std::string& aLot,
-                   std::size_t aItems) const
+batch::SpooledJob
+BatchSubmissionHandler::MakeJob(const httpstream::Request& aRequest,
+                                const std::string& aJob,
+                                std::size_t aItems) const
 {
-  lots::HeldLot lot;
-  lot.id_ = aLot;
-  lot.content_ = aRequest.body();
-  lot.state_.owner_ = hosts_.OwnerFor(aLot);
-  if (lot.state_.owner_.empty()) {
-    lot.state_.owner_ = ownName_;
+  batch::SpooledJob job;
+  job.id_ = aJob;
+  job.content_ = aRequest.body();
+  job.state_.owner_ = hosts_.OwnerFor(aJob);
+  if (job.state_.owner_.empty()) {
+    job.state_.owner_ = ownName_;
   }
-  lot.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
-  lot.state_.itemCount_ = static_cast<std::uint32_t>(aItems);
-  lot.state_.hostName_ = httpstream::ValueOf(aRequest, "Host");
-  lot.state_.path_ = std::string(aRequest.target());
-  return lot;
+  job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
+  job.state_.itemCount_ = static_cast<std::uint32_t>(aItems);
+  job.state_.hostName_ = httpstream::ValueOf(aRequest, "Host");
+  job.state_.path_ = std::string(aRequest.target());
+  return job;
 }
 
 void
-LotIntake::Submit(std::shared_ptr<httpstream::Exchange> aExchange,
-                  const std::string& aLot,
-                  const fleet::Route& aRoute,
-                  const CallerName& aCaller)
+BatchSubmissionHandler::Submit(std::shared_ptr<httpstream::Exchange> aExchange,
+                               const std::string& aJob,
+                               const fleet::Route& aRoute,
+                               const CallerName& aCaller)
 {
   const httpstream::Request& request = aExchange->GetRequest();
-  const auto content = shared_.codec_.ReadLotContent(request.body());
+  const auto content = shared_.codec_.ReadBatchJobContent(request.body());
   if (const auto* unreadable = std::get_if<UnreadableCall>(&content)) {
     aExchange->Answer(httpstream::MakeResponse(
       httpstream::kStatusBadRequest, unreadable->reason_, "text/plain"));
     return;
   }
-  const auto& items = std::get<std::vector<lots::LotItem>>(content);
+  const auto& items = std::get<std::vector<batch::BatchItem>>(content);
   auto submission = std::make_shared<Submission>(executor_);
-  submission->lot_ = MakeLot(request, aLot, items.size());
-  submission->lot_.state_.organisation_ = aCaller.value_or(std::string());
-  submission->creation_ = MakeCreation(lots_.Keys(), submission->lot_);
+  submission->job_ = MakeJob(request, aJob, items.size());
+  submission->job_.state_.organisation_ = aCaller.value_or(std::string());
+  submission->creation_ = MakeCreation(jobs_.Keys(), submission->job_);
   submission->ledger_ =
-    lots::LedgerName(aRoute.name_, submission->lot_.state_.organisation_);
+    batch::LedgerName(aRoute.name_, submission->job_.state_.organisation_);
   submission->cap_ = aRoute.waitingTokenCap_;
-  submission->tokens_ = lots::TokensOf(items);
+  submission->tokens_ = batch::TokensOf(items);
   submission->giveUpAt_ = aExchange->ReceivedAt() + kSubmitPatience;
   submission->exchange_ = std::move(aExchange);
-  if (const lots::Lot* existing = lots_.Find(aLot)) {
+  if (const batch::BatchJob* existing = jobs_.Find(aJob)) {
     AcceptExisting(*submission, existing->state_);
     return;
   }
   Commit(submission);
-  HoldLater(submission);
+  SpoolLater(submission);
 }
 
 void
-LotIntake::Commit(const SubmissionPtr& aSubmission)
+BatchSubmissionHandler::Commit(const SubmissionPtr& aSubmission)
 {
   aSubmission->isCommitting_ = true;
   store_.Commit(MakeTransaction(*aSubmission),
@@ -152,7 +153,7 @@
 }
 
 bool
-LotIntake::Fits(const Submission& aSubmission) const
+BatchSubmissionHandler::Fits(const Submission& aSubmission) const
 {
   return aSubmission.cap_ == 0 ||
          shared_.ledgers_.Of(aSubmission.ledger_)
@@ -160,7 +161,7 @@
 }
 
 metadata::Transaction
-LotIntake::MakeTransaction(const Submission& aSubmission) const
+BatchSubmissionHandler::MakeTransaction(const Submission& aSubmission) const
 {
   metadata::Transaction transaction = aSubmission.creation_;
   if (aSubmission.cap_ == 0) {
@@ -169,16 +170,16 @@
   if (Fits(aSubmission)) {
     AddRow(transaction,
            shared_,
-           lots_.Keys(),
+           jobs_.Keys(),
            aSubmission.ledger_,
-           aSubmission.lot_.id_,
+           aSubmission.job_.id_,
            aSubmission.tokens_);
     return transaction;
   }
-  // By what is known here, the lot doesn't fit. That may be old, or the lot may
+  // By what is known here, the job doesn't fit. That may be old, or the job may
   // be there already: an expectation that can't hold makes the store tell both
   // in one call.
-  const std::string key = lots_.Keys().LedgerOf(aSubmission.ledger_);
+  const std::string key = jobs_.Keys().LedgerOf(aSubmission.ledger_);
   transaction.expectations_.push_back({ key, kNeverALedgersRevision });
   transaction.writes_.clear();
   transaction.writes_.push_back({ key, {}, 0 });
@@ -186,8 +187,8 @@
 }
 
 void
-LotIntake::OnCommitted(const SubmissionPtr& aSubmission,
-                       const metadata::TransactionReply& aReply)
+BatchSubmissionHandler::OnCommitted(const SubmissionPtr& aSubmission,
+                                    const metadata::TransactionReply& aReply)
 {
   using metadata::StoreStatus;
   Submission& submission = *aSubmission;
@@ -195,11 +196,11 @@
   submission.isCommitting_ = false;
   if (status == StoreStatus::Ok) {
     if (submission.cap_ > 0) {
-      lots::TokenLedger ledger =
+      batch::TokenLedger ledger =
         shared_.ledgers_.Of(submission.ledger_).ledger_;
-      ledger.Set(submission.lot_.id_, submission.tokens_);
+      ledger.Set(submission.job_.id_, submission.tokens_);
       shared_.ledgers_.Learn(submission.ledger_,
-                             lots::EncodeLedger(ledger),
+                             batch::EncodeLedger(ledger),
                              aReply.revision_,
                              base::MonotonicNow());
     }
@@ -218,19 +219,19 @@
   if (status == StoreStatus::Unknown && hasTime) {
     Commit(aSubmission);
   }
-  Hold(aSubmission);
+  Spool(aSubmission);
   GiveUpIfOver(submission);
 }
 
 void
-LotIntake::OnConflict(const SubmissionPtr& aSubmission,
-                      const metadata::TransactionReply& aReply)
+BatchSubmissionHandler::OnConflict(const SubmissionPtr& aSubmission,
+                                   const metadata::TransactionReply& aReply)
 {
   Submission& submission = *aSubmission;
-  // The lot is there already, by this call's earlier try or by another host: it
+  // The job is there already, by this call's earlier try or by another host: it
   // is accepted once either way.
   const auto existing =
-    FindState(aReply, lots_.Keys().StateOf(submission.lot_.id_));
+    FindState(aReply, jobs_.Keys().StateOf(submission.job_.id_));
   if (existing) {
     AcceptExisting(submission, *existing);
     return;
@@ -239,7 +240,7 @@
     Accept(submission, "store before");
     return;
   }
-  LearnLedger(shared_, lots_.Keys(), submission.ledger_, aReply);
+  LearnLedger(shared_, jobs_.Keys(), submission.ledger_, aReply);
   if (submission.isAnswered_) {
     return;
   }
@@ -249,30 +250,30 @@
   } else if (base::MonotonicNow() < submission.giveUpAt_) {
     Commit(aSubmission);
   } else {
-    Hold(aSubmission);
+    Spool(aSubmission);
     GiveUpIfOver(submission);
   }
 }
 
 void
-LotIntake::RefuseOverCap(Submission& aSubmission)
+BatchSubmissionHandler::RefuseOverCap(Submission& aSubmission)
 {
-  // A worker that may have the lot on its disk will store it.
+  // A worker that may have the job on its disk will store it.
   if (aSubmission.isAnswered_ ||
-      aSubmission.hold_ == Submission::Hold::UnderWay) {
+      aSubmission.spoolState_ == Submission::SpoolState::UnderWay) {
     return;
   }
   aSubmission.isAnswered_ = true;
-  aSubmission.holdTimer_.cancel();
+  aSubmission.spoolTimer_.cancel();
   const base::Duration comeBack =
     shared_.ledgers_.RoomExpectedAfter(aSubmission.ledger_,
                                        aSubmission.tokens_,
                                        aSubmission.cap_,
                                        base::MonotonicNow(),
                                        NextRandom(shared_.random_));
-  const lots::LedgerView& view = shared_.ledgers_.Of(aSubmission.ledger_);
-  base::Log(kLotOverCap,
-            { { "lot", aSubmission.lot_.id_ },
+  const batch::LedgerView& view = shared_.ledgers_.Of(aSubmission.ledger_);
+  base::Log(kBatchJobOverCap,
+            { { "lot", aSubmission.job_.id_ },
               { "ledger", aSubmission.ledger_ },
               { "tokens", aSubmission.tokens_ },
               { "waiting", view.ledger_.Total() },
@@ -288,41 +289,42 @@
 }
 
 void
-LotIntake::HoldLater(const SubmissionPtr& aSubmission)
+BatchSubmissionHandler::SpoolLater(const SubmissionPtr& aSubmission)
 {
-  aSubmission->holdTimer_.expires_after(kHoldAfter);
-  aSubmission->holdTimer_.async_wait(
+  aSubmission->spoolTimer_.expires_after(kSpoolAfter);
+  aSubmission->spoolTimer_.async_wait(
     [this, aSubmission](const boost::system::error_code& aError) {
       if (!aError) {
-        Hold(aSubmission);
+        Spool(aSubmission);
       }
     });
 }
 
 void
-LotIntake::Hold(const SubmissionPtr& aSubmission)
+BatchSubmissionHandler::Spool(const SubmissionPtr& aSubmission)
 {
   if (aSubmission->isAnswered_ ||
-      aSubmission->hold_ != Submission::Hold::NotTried) {
+      aSubmission->spoolState_ != Submission::SpoolState::NotTried) {
     return;
   }
-  aSubmission->hold_ = Submission::Hold::UnderWay;
-  holders_.Hold(aSubmission->lot_,
-                hosts_.PeersBut(ownName_),
-                [this, aSubmission](HoldOutcome aOutcome) {
-                  OnHeld(aSubmission, aOutcome);
-                });
+  aSubmission->spoolState_ = Submission::SpoolState::UnderWay;
+  spoolClient_.Spool(aSubmission->job_,
+                     hosts_.PeersBut(ownName_),
+                     [this, aSubmission](SpoolOutcome aOutcome) {
+                       OnSpooled(aSubmission, aOutcome);
+                     });
 }
 
 void
-LotIntake::OnHeld(const SubmissionPtr& aSubmission, HoldOutcome aOutcome)
+BatchSubmissionHandler::OnSpooled(const SubmissionPtr& aSubmission,
+                                  SpoolOutcome aOutcome)
 {
-  if (aOutcome.isHeld_) {
+  if (aOutcome.isSpooled_) {
     Accept(*aSubmission, "disks");
     return;
   }
-  aSubmission->hold_ = Submission::Hold::Failed;
-  aSubmission->mayBeStored_ |= aOutcome.mayBeHeld_;
+  aSubmission->spoolState_ = Submission::SpoolState::Failed;
+  aSubmission->mayBeStored_ |= aOutcome.mayBeSpooled_;
   if (aSubmission->isOverCap_) {
     RefuseOverCap(*aSubmission);
   } else {
@@ -331,27 +333,27 @@
 }
 
 void
-LotIntake::Accept(Submission& aSubmission, std::string_view aWhere)
+BatchSubmissionHandler::Accept(Submission& aSubmission, std::string_view aWhere)
 {
   if (std::exchange(aSubmission.isAnswered_, true)) {
     return;
   }
-  aSubmission.holdTimer_.cancel();
+  aSubmission.spoolTimer_.cancel();
   httpstream::Exchange& exchange = *aSubmission.exchange_;
   base::Log(
-    kLotAccepted,
-    { { "lot", aSubmission.lot_.id_ },
-      { "items", aSubmission.lot_.state_.itemCount_ },
+    kBatchJobAccepted,
+    { { "lot", aSubmission.job_.id_ },
+      { "items", aSubmission.job_.state_.itemCount_ },
       { "where", aWhere },
       { "ms", base::ToMs(base::MonotonicNow() - exchange.ReceivedAt()) } });
   exchange.Answer(httpstream::MakeResponse(httpstream::kStatusAccepted, {}));
 }
 
 void
-LotIntake::AcceptExisting(Submission& aSubmission,
-                          const lots::LotState& aExisting)
+BatchSubmissionHandler::AcceptExisting(Submission& aSubmission,
+                                       const batch::BatchJobState& aExisting)
 {
-  const std::string& organisation = aSubmission.lot_.state_.organisation_;
+  const std::string& organisation = aSubmission.job_.state_.organisation_;
   if (aExisting.organisation_ == organisation) {
     Accept(aSubmission, "store before");
     return;
@@ -359,9 +361,9 @@
   if (std::exchange(aSubmission.isAnswered_, true)) {
     return;
   }
-  aSubmission.holdTimer_.cancel();
-  base::Log(kLotNotAccepted,
-            { { "lot", aSubmission.lot_.id_ },
+  aSubmission.spoolTimer_.cancel();
+  base::Log(kBatchJobNotAccepted,
+            { { "lot", aSubmission.job_.id_ },
               { "organisation", organisation },
               { "reason", "id of another organisation's lot" } });
   aSubmission.exchange_->Answer(
@@ -369,19 +371,19 @@
 }
 
 void
-LotIntake::GiveUpIfOver(Submission& aSubmission)
+BatchSubmissionHandler::GiveUpIfOver(Submission& aSubmission)
 {
   if (aSubmission.isAnswered_ || aSubmission.isCommitting_ ||
-      aSubmission.hold_ != Submission::Hold::Failed) {
+      aSubmission.spoolState_ != Submission::SpoolState::Failed) {
     return;
   }
   aSubmission.isAnswered_ = true;
-  aSubmission.holdTimer_.cancel();
-  base::Log(kLotNotAccepted,
-            { { "lot", aSubmission.lot_.id_ },
+  aSubmission.spoolTimer_.cancel();
+  base::Log(kBatchJobNotAccepted,
+            { { "lot", aSubmission.job_.id_ },
               { "may_be_stored", aSubmission.mayBeStored_ } });
   // "Not run" must be true: a call without an answer may still take effect, or
-  // a worker may have the lot, and it would then run.
+  // a worker may have the job, and it would then run.
   aSubmission.exchange_->Answer(
     aSubmission.mayBeStored_
       ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
--- a/Libraries/LibGateway/LotIntake.h
+++ b/Libraries/LibGateway/BatchSubmissionHandler.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "LibGateway/HoldCaller.h"
+#include "LibBatch/BatchJobTable.h"
+#include "LibBatch/HostSet.h"
 #include "LibGateway/Shared.h"
+#include "LibGateway/SpoolClient.h"
 #include "LibHttpStream/ServerConnection.h"
-#include "LibLots/HostSet.h"
-#include "LibLots/LotTable.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <boost/asio/any_io_executor.hpp>
@@ -16,27 +16,27 @@
 
 namespace pumiceturn::gateway {
 
-/// Accepts lots: a caller hears that its lot is accepted once the store has it
+/// Accepts jobs: a caller hears that its job is accepted once the store has it
 /// or, where the store doesn't answer, once several workers have it on their
-/// disks. Where its route bounds the tokens that may wait, the lot's row in the
+/// disks. Where its route bounds the tokens that may wait, the job's row in the
 /// route's ledger is part of the same transaction. Belongs to the event
 /// thread.
-class LotIntake
+class BatchSubmissionHandler
 {
 public:
-  LotIntake(Shared& aShared,
-            metadata::StoreClient& aStore,
-            const lots::LotTable& aLots,
-            const lots::HostSet& aHosts,
-            std::string aOwnName,
-            boost::asio::any_io_executor aExecutor,
-            PeerCallers& aCallers,
-            std::size_t aCopies);
+  BatchSubmissionHandler(Shared& aShared,
+                         metadata::StoreClient& aStore,
+                         const batch::BatchJobTable& aJobs,
+                         const batch::HostSet& aHosts,
+                         std::string aOwnName,
+                         boost::asio::any_io_executor aExecutor,
+                         PeerCallers& aCallers,
+                         std::size_t aCopies);
 
-  /// @param aRoute  By which the lot came.
-  /// @param aCaller Whose lot it is.
+  /// @param aRoute  By which the job came.
+  /// @param aCaller Whose job it is.
   void Submit(std::shared_ptr<httpstream::Exchange> aExchange,
-              const std::string& aLot,
+              const std::string& aJob,
               const fleet::Route& aRoute,
               const CallerName& aCaller);
 
@@ -44,9 +44,9 @@
   struct Submission;
   using SubmissionPtr = std::shared_ptr<Submission>;
 
-  [[nodiscard]] lots::HeldLot MakeLot(const httpstream::Request& aRequest,
-                                      const std::string& aLot,
-                                      std::size_t aItems) const;
+  [[nodiscard]] batch::SpooledJob MakeJob(const httpstream::Request& aRequest,
+                                          const std::string& aJob,
+                                          std::size_t aItems) const;
   void Commit(const SubmissionPtr& aSubmission);
   [[nodiscard]] metadata::Transaction MakeTransaction(
     const Submission& aSubmission) const;
@@ -56,25 +56,26 @@
   void OnConflict(const SubmissionPtr& aSubmission,
                   const metadata::TransactionReply& aReply);
   void RefuseOverCap(Submission& aSubmission);
-  void HoldLater(const SubmissionPtr& aSubmission);
-  void Hold(const SubmissionPtr& aSubmission);
-  void OnHeld(const SubmissionPtr& aSubmission, HoldOutcome aOutcome);
+  void SpoolLater(const SubmissionPtr& aSubmission);
+  void Spool(const SubmissionPtr& aSubmission);
+  void OnSpooled(const SubmissionPtr& aSubmission, SpoolOutcome aOutcome);
   void Accept(Submission& aSubmission, std::string_view aWhere);
 
-  /// Answers a lot that is there already: accepted once again, unless it is
+  /// Answers a job that is there already: accepted once again, unless it is
   /// another organisation's.
-  void AcceptExisting(Submission& aSubmission, const lots::LotState& aExisting);
+  void AcceptExisting(Submission& aSubmission,
+                      const batch::BatchJobState& aExisting);
 
-  /// Answers that the lot isn't accepted, when no way is open any more.
+  /// Answers that the job isn't accepted, when no way is open any more.
   void GiveUpIfOver(Submission& aSubmission);
 
   Shared& shared_;
   metadata::StoreClient& store_;
-  const lots::LotTable& lots_;
-  const lots::HostSet& hosts_;
+  const batch::BatchJobTable& jobs_;
+  const batch::HostSet& hosts_;
   std::string ownName_;
   boost::asio::any_io_executor executor_;
-  HoldCaller holders_;
+  SpoolClient spoolClient_;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -17,7 +17,7 @@
 /// take about 8 s.
 constexpr std::chrono::seconds kItemPatience{ 30 };
 
-/// How long a lot's route must be missing to count as removed. Hosts have a new
+/// How long a job's route must be missing to count as removed. Hosts have a new
 /// configuration within 2 to 3 s, and somewhat later when the store was away.
 constexpr std::chrono::seconds kRouteGoneAfter{ 10 };
 
@@ -30,12 +30,12 @@
 /// steady.
 constexpr std::chrono::seconds kClockTolerance{ 10 };
 
-/// @return the time since a lot's acceptance, as far as clocks of day tell.
+/// @return the time since a job's acceptance, as far as clocks of day tell.
 base::Duration
-AgeOf(const lots::Lot& aLot)
+AgeOf(const batch::BatchJob& aJob)
 {
   const base::Duration age =
-    base::WallNow() - base::FromUnixMs(aLot.state_.acceptedAtMs_);
+    base::WallNow() - base::FromUnixMs(aJob.state_.acceptedAtMs_);
   return std::max(age, base::Duration::zero());
 }
 
@@ -44,32 +44,32 @@
 /// work.
 constexpr double kUsualRunsWeight = 0.02;
 
-WaitingLot
-MakeWaitingLot(const lots::Lot& aLot,
+WaitingBatchJob
+MakeWaitingJob(const batch::BatchJob& aJob,
                const fleet::Route& aRoute,
                std::uint64_t aTokens)
 {
-  return { aLot.id_,
-           lots::LedgerName(aRoute.name_, aLot.state_.organisation_),
+  return { aJob.id_,
+           batch::LedgerName(aRoute.name_, aJob.state_.organisation_),
            aRoute.waitingTokenCap_,
            aTokens };
 }
 
 std::string_view
-NameOf(lots::ItemRunEnd aEnd)
+NameOf(batch::ItemRunEnd aEnd)
 {
   switch (aEnd) {
-    case lots::ItemRunEnd::Completed:
+    case batch::ItemRunEnd::Completed:
       return "completed";
-    case lots::ItemRunEnd::Failed:
+    case batch::ItemRunEnd::Failed:
       return "failed";
-    case lots::ItemRunEnd::Impossible:
+    case batch::ItemRunEnd::Impossible:
       return "impossible";
-    case lots::ItemRunEnd::NotRun:
+    case batch::ItemRunEnd::NotRun:
       return "not_run";
-    case lots::ItemRunEnd::Broken:
+    case batch::ItemRunEnd::Broken:
       return "broken";
-    case lots::ItemRunEnd::Preempted:
+    case batch::ItemRunEnd::Preempted:
       break;
   }
   return "preempted";
@@ -80,37 +80,37 @@
 BatchWorker::BatchWorker(boost::asio::io_context& aContext,
                          Shared& aShared,
                          metadata::StoreClient& aStore,
-                         lots::LotTable& aLots,
-                         LotLoader& aLoader,
-                         const lots::HostSet& aHosts,
+                         batch::BatchJobTable& aJobs,
+                         BatchJobLoader& aLoader,
+                         const batch::HostSet& aHosts,
                          std::string aOwnName)
   : context_(aContext)
   , shared_(aShared)
   , store_(aStore)
-  , lots_(aLots)
+  , jobs_(aJobs)
   , loader_(aLoader)
   , hosts_(aHosts)
   , ownName_(std::move(aOwnName))
   , results_(aStore,
-             aLots,
-             [this](const std::string& aLot) { onResults_(aLot); })
-  , progressKeeper_(aStore, aLots.Keys())
+             aJobs,
+             [this](const std::string& aJob) { onResults_(aJob); })
+  , progressKeeper_(aStore, aJobs.Keys())
 {
 }
 
 bool
-BatchWorker::IsOwn(const lots::Lot& aLot) const
+BatchWorker::IsOwn(const batch::BatchJob& aJob) const
 {
-  return aLot.state_.owner_ == ownName_;
+  return aJob.state_.owner_ == ownName_;
 }
 
 void
-BatchWorker::UpdateLimits(const lots::Lot& aLot,
-                          OwnLot& aOwn,
+BatchWorker::UpdateLimits(const batch::BatchJob& aJob,
+                          OwnBatchJob& aOwn,
                           base::Instant aNow)
 {
-  lots::ItemLimits limits = aOwn.schedule_.Limits();
-  const fleet::Route* route = RouteOf(aLot);
+  batch::ItemLimits limits = aOwn.schedule_.Limits();
+  const fleet::Route* route = RouteOf(aJob);
   if (route != nullptr) {
     aOwn.routeMissingSince_.reset();
     limits.maxAttempts_ = route->maxAttempts_;
@@ -130,91 +130,91 @@
 }
 
 void
-BatchWorker::OnLotChanged(const std::string& aLot)
+BatchWorker::OnJobChanged(const std::string& aJob)
 {
-  const lots::Lot* lot = lots_.Find(aLot);
-  const auto own = own_.find(aLot);
+  const batch::BatchJob* job = jobs_.Find(aJob);
+  const auto own = own_.find(aJob);
   const bool isOwned = own != own_.end();
-  // The store's watch may tell of a lot's last result before the answer to the
-  // write arrives, or when that answer is lost. Leaving the lot now would lose
+  // The store's watch may tell of a job's last result before the answer to the
+  // write arrives, or when that answer is lost. Leaving the job now would lose
   // that result for readers here.
-  if (isOwned && lot != nullptr && IsOwn(*lot) && lot->state_.isFinished_ &&
-      results_.IsStoring(aLot)) {
+  if (isOwned && job != nullptr && IsOwn(*job) && job->state_.isFinished_ &&
+      results_.IsStoring(aJob)) {
     return;
   }
-  if (lot == nullptr || !IsOwn(*lot) || !lot->IsOpen()) {
+  if (job == nullptr || !IsOwn(*job) || !job->IsOpen()) {
     if (isOwned) {
-      Leave(aLot, lot == nullptr || !lot->IsOpen() ? "closed" : "taken over");
+      Leave(aJob, job == nullptr || !job->IsOpen() ? "closed" : "taken over");
     }
-    if (lot != nullptr && !IsOwn(*lot) && lot->isLoaded_) {
-      lots_.Unload(aLot);
+    if (job != nullptr && !IsOwn(*job) && job->isLoaded_) {
+      jobs_.Unload(aJob);
     }
     return;
   }
   if (!isOwned && !leaving_) {
-    Load(aLot);
+    Load(aJob);
   }
 }
 
 void
-BatchWorker::Load(const std::string& aLot)
+BatchWorker::Load(const std::string& aJob)
 {
-  if (!loading_.insert(aLot).second) {
+  if (!loading_.insert(aJob).second) {
     return;
   }
-  loader_.ReadData(aLot, [this, aLot](metadata::StoreStatus /*aStatus*/) {
-    loading_.erase(aLot);
-    const lots::Lot* lot = lots_.Find(aLot);
+  loader_.ReadData(aJob, [this, aJob](metadata::StoreStatus /*aStatus*/) {
+    loading_.erase(aJob);
+    const batch::BatchJob* job = jobs_.Find(aJob);
     // Without success the next look tries again.
-    if (lot != nullptr && lot->isLoaded_ && IsOwn(*lot) && lot->IsOpen() &&
-        !leaving_ && !own_.contains(aLot)) {
-      Take(*lot);
+    if (job != nullptr && job->isLoaded_ && IsOwn(*job) && job->IsOpen() &&
+        !leaving_ && !own_.contains(aJob)) {
+      Take(*job);
     }
   });
 }
 
 void
-BatchWorker::Take(const lots::Lot& aLot)
+BatchWorker::Take(const batch::BatchJob& aJob)
 {
   const base::Instant now = base::MonotonicNow();
-  OwnLot own{ lots::ItemSchedule(aLot, {}) };
-  own.acceptedAt_ = now - AgeOf(aLot);
-  results_.Begin(aLot);
-  UpdateLimits(aLot, own, now);
-  own_.emplace(aLot.id_, std::move(own));
-  claims_.erase(aLot.id_);
-  base::Log(kLotTaken,
-            { { "lot", aLot.id_ },
-              { "items", aLot.state_.itemCount_ },
-              { "results", aLot.results_.size() },
-              { "revision", aLot.stateRevision_ } });
+  OwnBatchJob own{ batch::ItemSchedule(aJob, {}) };
+  own.acceptedAt_ = now - AgeOf(aJob);
+  results_.Begin(aJob);
+  UpdateLimits(aJob, own, now);
+  own_.emplace(aJob.id_, std::move(own));
+  claims_.erase(aJob.id_);
+  base::Log(kBatchJobAcquired,
+            { { "lot", aJob.id_ },
+              { "items", aJob.state_.itemCount_ },
+              { "results", aJob.results_.size() },
+              { "revision", aJob.stateRevision_ } });
 }
 
 void
-BatchWorker::Leave(const std::string& aLot, std::string_view aReason)
+BatchWorker::Leave(const std::string& aJob, std::string_view aReason)
 {
   std::vector<std::shared_ptr<ItemRun>> kept;
   for (auto& run : runs_) {
-    if (run->LotId() == aLot) {
+    if (run->JobId() == aJob) {
       run->Cancel();
     } else {
       kept.push_back(std::move(run));
     }
   }
   runs_ = std::move(kept);
-  const lots::Lot* lot = lots_.Find(aLot);
-  const fleet::Route* route = CappedRouteOf(aLot);
-  if (route != nullptr && !lot->IsOpen()) {
-    closedLots_.push_back(MakeWaitingLot(*lot, *route, 0));
+  const batch::BatchJob* job = jobs_.Find(aJob);
+  const fleet::Route* route = CappedRouteOf(aJob);
+  if (route != nullptr && !job->IsOpen()) {
+    closedJobs_.push_back(MakeWaitingJob(*job, *route, 0));
   }
-  if (results_.IsStoring(aLot)) {
+  if (results_.IsStoring(aJob)) {
     // Whether its results are stored isn't known here: readers ask the store.
-    lots_.Unload(aLot);
+    jobs_.Unload(aJob);
   }
-  own_.erase(aLot);
-  results_.Forget(aLot);
-  progressKeeper_.Forget(aLot);
-  base::Log(kLotLeft, { { "lot", aLot }, { "reason", aReason } });
+  own_.erase(aJob);
+  results_.Forget(aJob);
+  progressKeeper_.Forget(aJob);
+  base::Log(kBatchJobReleased, { { "lot", aJob }, { "reason", aReason } });
 }
 
 void
@@ -223,20 +223,20 @@
   if (leaving_) {
     return;
   }
-  for (const std::string& id : lots_.OpenLots()) {
-    const lots::Lot* lot = lots_.Find(id);
-    if (IsOwn(*lot)) {
-      OnLotChanged(id);
-    } else if (hosts_.IsGone(lot->state_.owner_, aNow) &&
+  for (const std::string& id : jobs_.OpenJobs()) {
+    const batch::BatchJob* job = jobs_.Find(id);
+    if (IsOwn(*job)) {
+      OnJobChanged(id);
+    } else if (hosts_.IsGone(job->state_.owner_, aNow) &&
                hosts_.OwnerFor(id) == ownName_) {
       Claim(id);
     }
   }
   for (auto& [id, own] : own_) {
-    if (const lots::Lot* lot = lots_.Find(id)) {
-      UpdateLimits(*lot, own, aNow);
+    if (const batch::BatchJob* job = jobs_.Find(id)) {
+      UpdateLimits(*job, own, aNow);
     }
-    for (lots::ItemResult& result : own.schedule_.GiveUp(aNow)) {
+    for (batch::ItemResult& result : own.schedule_.GiveUp(aNow)) {
       results_.Add(id, std::move(result), own.schedule_.Limits().dueAt_, aNow);
     }
   }
@@ -252,86 +252,86 @@
 }
 
 const fleet::Route*
-BatchWorker::RouteOf(const lots::Lot& aLot) const
+BatchWorker::RouteOf(const batch::BatchJob& aJob) const
 {
-  return shared_.routes_.Find(aLot.state_.hostName_, aLot.state_.path_);
+  return shared_.routes_.Find(aJob.state_.hostName_, aJob.state_.path_);
 }
 
 const fleet::Route*
-BatchWorker::CappedRouteOf(const std::string& aLot) const
+BatchWorker::CappedRouteOf(const std::string& aJob) const
 {
-  const lots::Lot* lot = lots_.Find(aLot);
-  return lot == nullptr ? nullptr
-                        : shared_.routes_.FindCapped(lot->state_.hostName_,
-                                                     lot->state_.path_);
+  const batch::BatchJob* job = jobs_.Find(aJob);
+  return job == nullptr ? nullptr
+                        : shared_.routes_.FindCapped(job->state_.hostName_,
+                                                     job->state_.path_);
 }
 
-std::vector<WaitingLot>
-BatchWorker::TakeWaitingLots()
+std::vector<WaitingBatchJob>
+BatchWorker::CollectWaitingJobs()
 {
-  std::vector<WaitingLot> waiting = std::exchange(closedLots_, {});
+  std::vector<WaitingBatchJob> waiting = std::exchange(closedJobs_, {});
   for (const auto& [id, own] : own_) {
     if (const fleet::Route* route = CappedRouteOf(id)) {
       waiting.push_back(
-        MakeWaitingLot(*lots_.Find(id), *route, own.schedule_.WaitingTokens()));
+        MakeWaitingJob(*jobs_.Find(id), *route, own.schedule_.WaitingTokens()));
     }
   }
   return waiting;
 }
 
-std::vector<LotProgress>
+std::vector<BatchJobProgress>
 BatchWorker::CollectProgress() const
 {
-  std::map<std::string, LotProgress> byLot;
+  std::map<std::string, BatchJobProgress> byJob;
   for (const auto& [id, own] : own_) {
-    if (const lots::Lot* lot = lots_.Find(id)) {
-      byLot[id] = { id, lot->stateRevision_, own.schedule_.Progress() };
+    if (const batch::BatchJob* job = jobs_.Find(id)) {
+      byJob[id] = { id, job->stateRevision_, own.schedule_.Progress() };
     }
   }
   for (const auto& run : runs_) {
-    const lots::Lot* lot = lots_.Find(run->LotId());
-    if (lot != nullptr && lot->items_ && run->Progress().lastEvent_ > 0) {
-      byLot[run->LotId()].runs_[(*lot->items_)[run->Item()].id_] =
+    const batch::BatchJob* job = jobs_.Find(run->JobId());
+    if (job != nullptr && job->items_ && run->Progress().lastEvent_ > 0) {
+      byJob[run->JobId()].runs_[(*job->items_)[run->Item()].id_] =
         run->Progress();
     }
   }
-  std::vector<LotProgress> lots;
-  lots.reserve(byLot.size());
-  for (auto& [id, progress] : byLot) {
-    lots.push_back(std::move(progress));
+  std::vector<BatchJobProgress> jobs;
+  jobs.reserve(byJob.size());
+  for (auto& [id, progress] : byJob) {
+    jobs.push_back(std::move(progress));
   }
-  return lots;
+  return jobs;
 }
 
 void
-BatchWorker::Claim(const std::string& aLot)
+BatchWorker::Claim(const std::string& aJob)
 {
   const base::Instant now = base::MonotonicNow();
-  const auto claim = claims_.find(aLot);
+  const auto claim = claims_.find(aJob);
   if (claim != claims_.end() && now - claim->second < kClaimTimeout) {
     return;
   }
-  const lots::Lot* lot = lots_.Find(aLot);
-  claims_[aLot] = now;
-  lots::LotState state = lot->state_;
+  const batch::BatchJob* job = jobs_.Find(aJob);
+  claims_[aJob] = now;
+  batch::BatchJobState state = job->state_;
   state.owner_ = ownName_;
-  // The mirror brings the new state, and with it the lot's work; a claim that
+  // The mirror brings the new state, and with it the job's work; a claim that
   // lost against another host's has no effect.
-  store_.Commit(MakeStateChange(lots_.Keys(), *lot, state),
+  store_.Commit(MakeStateChange(jobs_.Keys(), *job, state),
                 [](const metadata::TransactionReply&) {});
 }
 
-std::vector<lots::StartCandidate>
+std::vector<batch::StartCandidate>
 BatchWorker::CollectCandidates(base::Instant aNow)
 {
   const auto hasLivedOn = [this, aNow](const std::string& aEndpoint,
                                        base::Instant aMoment) {
     return shared_.endpoints_.HasLivedOn(aEndpoint, aMoment, aNow);
   };
-  std::vector<lots::StartCandidate> candidates;
+  std::vector<batch::StartCandidate> candidates;
   for (auto& [id, own] : own_) {
-    const lots::Lot* lot = lots_.Find(id);
-    if (lot == nullptr || !lot->items_ ||
+    const batch::BatchJob* job = jobs_.Find(id);
+    if (job == nullptr || !job->items_ ||
         aNow >= own.schedule_.Limits().giveUpAt_) {
       continue;
     }
@@ -339,20 +339,20 @@
          own.schedule_.StartableItems(aNow, hasLivedOn)) {
       const std::uint64_t lastEvent = own.schedule_.ProgressOf(item).lastEvent_;
       candidates.push_back(
-        { id, item, UrgencyOf(*lot, own, item, lastEvent), lastEvent > 0 });
+        { id, item, UrgencyOf(*job, own, item, lastEvent), lastEvent > 0 });
     }
   }
   return candidates;
 }
 
-lots::ItemUrgency
-BatchWorker::UrgencyOf(const lots::Lot& aLot,
-                       const OwnLot& aOwn,
+batch::ItemUrgency
+BatchWorker::UrgencyOf(const batch::BatchJob& aJob,
+                       const OwnBatchJob& aOwn,
                        std::size_t aItem,
                        std::uint64_t aLastEvent) const
 {
-  lots::ItemUrgency urgency{ aOwn.schedule_.Limits().dueAt_ };
-  const fleet::Route* route = RouteOf(aLot);
+  batch::ItemUrgency urgency{ aOwn.schedule_.Limits().dueAt_ };
+  const fleet::Route* route = RouteOf(aJob);
   const auto pace = route != nullptr ? paces_.find(route->name_) : paces_.end();
   if (pace != paces_.end()) {
     urgency.remaining_ =
@@ -361,32 +361,32 @@
   return urgency;
 }
 
-lots::ItemUrgency
+batch::ItemUrgency
 BatchWorker::UrgencyOf(const ItemRun& aRun) const
 {
-  const lots::Lot* lot = lots_.Find(aRun.LotId());
-  const auto own = own_.find(aRun.LotId());
-  if (lot == nullptr || own == own_.end()) {
+  const batch::BatchJob* job = jobs_.Find(aRun.JobId());
+  const auto own = own_.find(aRun.JobId());
+  if (job == nullptr || own == own_.end()) {
     return {};
   }
-  return UrgencyOf(*lot, own->second, aRun.Item(), aRun.Progress().lastEvent_);
+  return UrgencyOf(*job, own->second, aRun.Item(), aRun.Progress().lastEvent_);
 }
 
 void
 BatchWorker::StartRuns(base::Instant aNow)
 {
-  std::vector<lots::StartCandidate> candidates = CollectCandidates(aNow);
+  std::vector<batch::StartCandidate> candidates = CollectCandidates(aNow);
   if (candidates.empty()) {
     return;
   }
   usualRuns_ +=
     (static_cast<double>(runs_.size()) - usualRuns_) * kUsualRunsWeight;
-  lots::StartConditions conditions{ aNow, usualRuns_ };
+  batch::StartConditions conditions{ aNow, usualRuns_ };
   for (const auto& run : runs_) {
     conditions.runningWork_ += UrgencyOf(*run).remaining_;
   }
-  for (const lots::StartCandidate& candidate :
-       lots::OrderStarts(std::move(candidates), conditions)) {
+  for (const batch::StartCandidate& candidate :
+       batch::OrderStarts(std::move(candidates), conditions)) {
     if (!StartOne(candidate, aNow)) {
       return;
     }
@@ -394,14 +394,14 @@
 }
 
 bool
-BatchWorker::StartOne(const lots::StartCandidate& aCandidate,
+BatchWorker::StartOne(const batch::StartCandidate& aCandidate,
                       base::Instant aNow)
 {
-  const lots::Lot* lot = lots_.Find(aCandidate.lot_);
-  OwnLot& own = own_.at(aCandidate.lot_);
-  const fleet::Route* route = RouteOf(*lot);
+  const batch::BatchJob* job = jobs_.Find(aCandidate.job_);
+  OwnBatchJob& own = own_.at(aCandidate.job_);
+  const fleet::Route* route = RouteOf(*job);
   if (route == nullptr) {
-    // It may come with the next configuration; other lots go on.
+    // It may come with the next configuration; other jobs go on.
     return true;
   }
   const std::string& service =
@@ -412,10 +412,10 @@
     return false;
   }
   const std::size_t item = aCandidate.item_;
-  const lots::LotItem& content = (*lot->items_)[item];
+  const batch::BatchItem& content = (*job->items_)[item];
   base::Log(kRequestSent,
             { { "request", content.id_ },
-              { "lot", aCandidate.lot_ },
+              { "lot", aCandidate.job_ },
               { "endpoint", choice->endpoint_.id_ },
               { "running", choice->running_ },
               { "candidates", choice->candidates_ },
@@ -425,23 +425,23 @@
               { "version", shared_.routes_.Version() } });
   auto run = std::make_shared<ItemRun>(
     shared_,
-    [this](ItemRun& aRun, lots::ItemRunEnd aEnd) { OnRunEnd(aRun, aEnd); },
-    aCandidate.lot_,
+    [this](ItemRun& aRun, batch::ItemRunEnd aEnd) { OnRunEnd(aRun, aEnd); },
+    aCandidate.job_,
     item,
     own.schedule_.ProgressOf(item));
   own.schedule_.Start(item, choice->endpoint_.id_);
   runs_.push_back(run);
   run->Start(choice->endpoint_,
              content,
-             { lot->state_.hostName_, CallerOf(*lot) },
+             { job->state_.hostName_, CallerOf(*job) },
              kItemPatience);
   return true;
 }
 
 CallerName
-BatchWorker::CallerOf(const lots::Lot& aLot) const
+BatchWorker::CallerOf(const batch::BatchJob& aJob) const
 {
-  const std::string& organisation = aLot.state_.organisation_;
+  const std::string& organisation = aJob.state_.organisation_;
   const bool isNamed =
     !organisation.empty() || shared_.routes_.Organisations().AreDeclared();
   return isNamed ? CallerName{ organisation } : CallerName{};
@@ -476,7 +476,7 @@
       continue;
     }
     if (!chosen ||
-        lots::GivesWayBefore(UrgencyOf(*run), UrgencyOf(*chosen), now)) {
+        batch::GivesWayBefore(UrgencyOf(*run), UrgencyOf(*chosen), now)) {
       chosen = run;
     }
   }
@@ -485,16 +485,16 @@
   }
   chosen->Cancel();
   shared_.endpoints_.NoteYield(aEndpoint, now);
-  OnRunEnd(*chosen, lots::ItemRunEnd::Preempted);
+  OnRunEnd(*chosen, batch::ItemRunEnd::Preempted);
 }
 
 void
-BatchWorker::OnRunEnd(ItemRun& aRun, lots::ItemRunEnd aEnd)
+BatchWorker::OnRunEnd(ItemRun& aRun, batch::ItemRunEnd aEnd)
 {
-  const std::string lot = aRun.LotId();
+  const std::string job = aRun.JobId();
   const std::size_t item = aRun.Item();
   base::Log(kItemRunEnded,
-            { { "lot", lot },
+            { { "lot", job },
               { "item", item },
               { "endpoint", aRun.EndpointId() },
               { "end", NameOf(aEnd) },
@@ -505,9 +505,9 @@
                 fmt::format("end=\"{}\"", NameOf(aEnd)))
     .Add();
   NotePace(aRun, aEnd);
-  lots::PartialRun progress = aRun.TakeProgress();
+  batch::PartialRun progress = aRun.TakeProgress();
   RemoveRun(aRun);
-  const auto own = own_.find(lot);
+  const auto own = own_.find(job);
   if (own == own_.end()) {
     return;
   }
@@ -518,21 +518,21 @@
   }
   const base::Instant now = base::MonotonicNow();
   results_.Add(
-    lot, std::move(*result), own->second.schedule_.Limits().dueAt_, now);
+    job, std::move(*result), own->second.schedule_.Limits().dueAt_, now);
 }
 
 void
-BatchWorker::NotePace(const ItemRun& aRun, lots::ItemRunEnd aEnd)
+BatchWorker::NotePace(const ItemRun& aRun, batch::ItemRunEnd aEnd)
 {
-  const lots::Lot* lot = lots_.Find(aRun.LotId());
-  const auto own = own_.find(aRun.LotId());
-  const fleet::Route* route = lot == nullptr ? nullptr : RouteOf(*lot);
+  const batch::BatchJob* job = jobs_.Find(aRun.JobId());
+  const auto own = own_.find(aRun.JobId());
+  const fleet::Route* route = job == nullptr ? nullptr : RouteOf(*job);
   if (route == nullptr || own == own_.end()) {
     return;
   }
-  lots::ItemPace& pace = paces_[route->name_];
+  batch::ItemPace& pace = paces_[route->name_];
   pace.NoteRun(aRun.NewEvents(), base::MonotonicNow() - aRun.StartedAt());
-  if (aEnd == lots::ItemRunEnd::Completed) {
+  if (aEnd == batch::ItemRunEnd::Completed) {
     pace.NoteCompleted(own->second.schedule_.TokensOf(aRun.Item()),
                        aRun.Progress().lastEvent_);
   }
@@ -559,7 +559,7 @@
   leaving_ = true;
   for (const auto& run : std::vector(runs_)) {
     run->Cancel();
-    OnRunEnd(*run, lots::ItemRunEnd::Preempted);
+    OnRunEnd(*run, batch::ItemRunEnd::Preempted);
   }
   auto left = std::make_shared<std::size_t>(1);
   const auto finishOne = [left, done = std::move(aDone)] {
@@ -568,16 +568,16 @@
     }
   };
   for (const auto& [id, own] : own_) {
-    const lots::Lot* lot = lots_.Find(id);
-    if (lot == nullptr) {
+    const batch::BatchJob* job = jobs_.Find(id);
+    if (job == nullptr) {
       continue;
     }
-    lots::LotState state = lot->state_;
+    batch::BatchJobState state = job->state_;
     state.owner_.clear();
     metadata::Transaction results;
-    state.isFinished_ = results_.AddTo(results, *lot);
+    state.isFinished_ = results_.AddTo(results, *job);
     metadata::Transaction transaction =
-      MakeStateChange(lots_.Keys(), *lot, state);
+      MakeStateChange(jobs_.Keys(), *job, state);
     std::move(results.expectations_.begin(),
               results.expectations_.end(),
               std::back_inserter(transaction.expectations_));
@@ -585,11 +585,11 @@
               results.writes_.end(),
               std::back_inserter(transaction.writes_));
     transaction.writes_.push_back(
-      { lots_.Keys().MakeKey({ id, lots::KeyPart::Progress, 0 }),
-        lots::EncodeProgress(own.schedule_.Progress()),
+      { jobs_.Keys().MakeKey({ id, batch::KeyPart::Progress, 0 }),
+        batch::EncodeProgress(own.schedule_.Progress()),
         0 });
     ++*left;
-    base::Log(kLotLeft, { { "lot", id }, { "reason", "leaving" } });
+    base::Log(kBatchJobReleased, { { "lot", id }, { "reason", "leaving" } });
     store_.Commit(transaction, [finishOne](const metadata::TransactionReply&) {
       finishOne();
     });
--- a/Libraries/LibGateway/CallerGate.cpp
+++ b/Libraries/LibGateway/CallerGate.cpp
@@ -268,10 +268,10 @@
 }
 
 void
-CallerGate::Tick(std::span<const lots::PeerAddress> aPeers, base::Instant aNow)
+CallerGate::Tick(std::span<const batch::PeerAddress> aPeers, base::Instant aNow)
 {
   std::vector<fleet::RateMembers::Member> members;
-  for (const lots::PeerAddress& peer : aPeers) {
+  for (const batch::PeerAddress& peer : aPeers) {
     members.push_back(
       { peer.host_, peers_.IsHeard(peer.host_), !peer.isWorker_ });
   }
--- a/Libraries/LibGateway/CallerGate.h
+++ b/Libraries/LibGateway/CallerGate.h
@@ -7,7 +7,7 @@
 #include "LibGateway/Shared.h"
 #include "LibGateway/StoreFollowing.h"
 #include "LibHttpStream/ServerConnection.h"
-#include "LibLots/HostSet.h"
+#include "LibBatch/HostSet.h"
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -51,7 +51,7 @@
   [[nodiscard]] std::optional<CallerName> Identify(const ExchangePtr& aExchange,
                                                    const fleet::Route& aRoute);
 
-  /// The same for a call on a lot, which may be one that needs no key.
+  /// The same for a call on a job, which may be one that needs no key.
   [[nodiscard]] std::optional<CallerName> IdentifyReader(
     const ExchangePtr& aExchange);
 
@@ -65,7 +65,7 @@
   [[nodiscard]] bool IsConfirmed() const;
 
   /// Notes which hosts there are, and sends what is due.
-  void Tick(std::span<const lots::PeerAddress> aPeers, base::Instant aNow);
+  void Tick(std::span<const batch::PeerAddress> aPeers, base::Instant aNow);
 
 private:
   /// A request that waits until the keeper of its organisation's account says
--- a/Libraries/LibGateway/Codec.h
+++ b/Libraries/LibGateway/Codec.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "LibBase/Time.h"
+#include "LibBatch/BatchJob.h"
 #include "LibFleet/CallerCheck.h"
 #include "LibFleet/Declarations.h"
 #include "LibHttpStream/Message.h"
-#include "LibLots/Lot.h"
 
 #include <cstdint>
 #include <optional>
@@ -47,21 +47,21 @@
   CallerName caller_{};
 };
 
-/// Calls on lots.
+/// Calls on jobs.
 struct ReadResults
 {
-  std::string lot_;
+  std::string job_;
   std::uint32_t position_ = 0;
   base::Duration longestWait_{ 0 }; ///< Until a result exists.
 };
 struct ReadItemBody
 {
-  std::string lot_;
+  std::string job_;
   std::string item_;
 };
-struct EndLot
+struct EndBatchJob
 {
-  std::string lot_;
+  std::string job_;
 };
 
 /// A call that can't be read, with the reason for its caller.
@@ -70,7 +70,8 @@
   std::string reason_;
 };
 
-using LotCall = std::variant<ReadResults, ReadItemBody, EndLot, UnreadableCall>;
+using BatchJobCall =
+  std::variant<ReadResults, ReadItemBody, EndBatchJob, UnreadableCall>;
 
 /// The names and formats of callers and endpoints. The adapter implements it;
 /// it decides nothing.
@@ -91,16 +92,16 @@
     const httpstream::Request& aRequest,
     const SendTerms& aTerms) const = 0;
 
-  /// @return a lot's item as it is sent to an endpoint.
+  /// @return a job's item as it is sent to an endpoint.
   [[nodiscard]] virtual httpstream::Request MakeItemRequest(
-    const lots::LotItem& aItem,
+    const batch::BatchItem& aItem,
     std::string_view aHostName,
     const SendTerms& aTerms) const = 0;
 
   [[nodiscard]] virtual AnswerNotes ReadAnswer(
     const httpstream::ResponseHead& aHead) const = 0;
 
-  /// Copies the fields of a call on a lot for the host that runs the lot, which
+  /// Copies the fields of a call on a job for the host that runs the job, which
   /// needs no key of the caller's.
   virtual void CopyForPeer(const httpstream::Request& aFrom,
                            httpstream::Request& aTo) const = 0;
@@ -108,22 +109,23 @@
   /// @return the field by which an answer names its request.
   [[nodiscard]] virtual std::string_view EchoField() const = 0;
 
-  /// @return nothing where the request is no call on a stored lot.
-  [[nodiscard]] virtual std::optional<LotCall> ReadLotCall(
+  /// @return nothing where the request is no call on a stored job.
+  [[nodiscard]] virtual std::optional<BatchJobCall> ReadBatchJobCall(
     const httpstream::Request& aRequest) const = 0;
 
-  /// Reads the content of a submitted lot.
+  /// Reads the content of a submitted job.
   /// @return the items, or what is wrong.
-  [[nodiscard]] virtual std::variant<std::vector<lots::LotItem>, UnreadableCall>
-  ReadLotContent(std::string_view aBody) const = 0;
+  [[nodiscard]] virtual std::variant<std::vector<batch::BatchItem>,
+                                     UnreadableCall>
+  ReadBatchJobContent(std::string_view aBody) const = 0;
 
   /// Writes a page of results.
-  /// @param aTotal    Items of the lot.
+  /// @param aTotal    Items of the job.
   /// @param aPosition Of the first result.
   [[nodiscard]] virtual std::string WriteResults(
     std::uint32_t aTotal,
     std::uint32_t aPosition,
-    std::span<const lots::ItemResult> aResults) const = 0;
+    std::span<const batch::ItemResult> aResults) const = 0;
 
   /// Answers that tell a caller when to come back.
   [[nodiscard]] virtual httpstream::Response MakeNotRun(
--- a/Libraries/LibGateway/Events.h
+++ b/Libraries/LibGateway/Events.h
@@ -60,26 +60,30 @@
   base::LogLevel::Warning,
   "An endpoint refused, broke off or went silent."
 };
-inline constexpr base::Event kLotAccepted{
+inline constexpr base::Event kBatchJobAccepted{
   7111,
   "lot_accepted",
   base::LogLevel::Info,
   "A lot is stored and acknowledged."
 };
-inline constexpr base::Event kLotNotAccepted{
+inline constexpr base::Event kBatchJobNotAccepted{
   7112,
   "lot_not_accepted",
   base::LogLevel::Warning,
   "A lot could not be stored, or it is unknown whether it was."
 };
-inline constexpr base::Event kLotTaken{ 7113,
-                                        "lot_taken",
-                                        base::LogLevel::Info,
-                                        "This host runs a lot from now on." };
-inline constexpr base::Event kLotLeft{ 7114,
-                                       "lot_left",
-                                       base::LogLevel::Info,
-                                       "This host runs a lot no longer." };
+inline constexpr base::Event kBatchJobAcquired{
+  7113,
+  "lot_taken",
+  base::LogLevel::Info,
+  "This host runs a lot from now on."
+};
+inline constexpr base::Event kBatchJobReleased{
+  7114,
+  "lot_left",
+  base::LogLevel::Info,
+  "This host runs a lot no longer."
+};
 inline constexpr base::Event kItemRunEnded{ 7115,
                                             "item_run_ended",
                                             base::LogLevel::Info,
@@ -96,7 +100,7 @@
   base::LogLevel::Warning,
   "Results of a lot could not be stored yet."
 };
-inline constexpr base::Event kLotRemoved{
+inline constexpr base::Event kBatchJobRemoved{
   7120,
   "lot_removed",
   base::LogLevel::Info,
@@ -126,19 +130,19 @@
   base::LogLevel::Info,
   "A request is refused before it is sent: it would wait too long for a place."
 };
-inline constexpr base::Event kLotHeld{
+inline constexpr base::Event kBatchJobSpooled{
   7125,
   "lot_held",
   base::LogLevel::Info,
   "A lot that the store doesn't have yet is on this host's disk."
 };
-inline constexpr base::Event kLotNotHeld{
+inline constexpr base::Event kBatchJobNotSpooled{
   7126,
   "lot_not_held",
   base::LogLevel::Warning,
   "A lot could not be written to this host's disk."
 };
-inline constexpr base::Event kLotNoLongerHeld{
+inline constexpr base::Event kBatchJobUnspooled{
   7127,
   "lot_no_longer_held",
   base::LogLevel::Info,
@@ -156,7 +160,7 @@
   base::LogLevel::Warning,
   "A host's registration can't be read; what was known of it holds."
 };
-inline constexpr base::Event kLotOverCap{
+inline constexpr base::Event kBatchJobOverCap{
   7130,
   "lot_over_cap",
   base::LogLevel::Info,
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -26,7 +26,7 @@
 /// Pause before operators are told again that a host is empty.
 constexpr std::chrono::milliseconds kRetireRetry{ 300 };
 
-/// A peer's call to the store may hold the largest lot, in base64 twice.
+/// A peer's call to the store may hold the largest job, in base64 twice.
 constexpr std::uint64_t kLongestPeerBody = 16777216;
 
 constexpr std::chrono::milliseconds kRetryAfter{ 300 };
@@ -43,18 +43,17 @@
   return aTarget.substr(0, aTarget.find('?'));
 }
 
-lots::LotTable::Decoder
+batch::BatchJobTable::Decoder
 MakeDecoder(const Codec& aCodec)
 {
-  return
-    [&aCodec](
-      std::string_view aContent) -> std::optional<std::vector<lots::LotItem>> {
-      auto content = aCodec.ReadLotContent(aContent);
-      if (auto* items = std::get_if<std::vector<lots::LotItem>>(&content)) {
-        return std::move(*items);
-      }
-      return std::nullopt;
-    };
+  return [&aCodec](std::string_view aContent)
+           -> std::optional<std::vector<batch::BatchItem>> {
+    auto content = aCodec.ReadBatchJobContent(aContent);
+    if (auto* items = std::get_if<std::vector<batch::BatchItem>>(&content)) {
+      return std::move(*items);
+    }
+    return std::nullopt;
+  };
 }
 
 HostRecord
@@ -63,7 +62,7 @@
   return { aOwnName,
            aSettings.peerAddress_,
            aSettings.passOnAddress_,
-           aSettings.lotPreference_ };
+           aSettings.batchPreference_ };
 }
 
 } // namespace
@@ -93,12 +92,12 @@
              fleet::RateLimits(settings_.host_,
                                !settings_.callerAddress_.empty(),
                                settings_.rateTolerance_) }
-  , lots_(layout_.lots_, MakeDecoder(aCodec))
+  , jobs_(layout_.jobs_, MakeDecoder(aCodec))
   , following_(aContext,
                aStore,
                health_,
                settings_.host_,
-               settings_.lotPreference_ == lots::LotPreference::Worker,
+               settings_.batchPreference_ == batch::BatchPreference::Worker,
                FollowedPrefixes(),
                shared_.random_)
   , lease_(aContext,
@@ -106,11 +105,11 @@
            health_,
            { layout_.hostPrefix_ + settings_.host_,
              EncodeHostRecord(MakeHostRecord(OwnName(), settings_)) })
-  , loader_(aStore, lots_)
+  , loader_(aStore, jobs_)
   , peerCallers_(aContext.get_executor())
   , desk_(shared_,
           aStore,
-          lots_,
+          jobs_,
           loader_,
           hosts_,
           health_,
@@ -118,15 +117,15 @@
           peerCallers_)
   , intake_(shared_,
             aStore,
-            lots_,
+            jobs_,
             hosts_,
             OwnName(),
             aContext.get_executor(),
             peerCallers_,
-            settings_.lotCopies_)
-  , worker_(aContext, shared_, aStore, lots_, loader_, hosts_, OwnName())
-  , ledgerKeeper_(shared_, aStore, lots_, hosts_, OwnName())
-  , retention_(aStore, lots_, hosts_, OwnName(), settings_.lotRetention_)
+            settings_.jobCopies_)
+  , worker_(aContext, shared_, aStore, jobs_, loader_, hosts_, OwnName())
+  , ledgerKeeper_(shared_, aStore, jobs_, hosts_, OwnName())
+  , retention_(aStore, jobs_, hosts_, OwnName(), settings_.jobRetention_)
   , peers_(aContext,
            shared_,
            settings_.host_,
@@ -151,17 +150,17 @@
   , stopTimer_(aContext)
 {
   if (!settings_.dataFolder_.empty()) {
-    heldLots_.emplace(aContext,
-                      shared_,
-                      aStore,
-                      health_,
-                      lots_,
-                      hosts_,
-                      OwnName(),
-                      settings_.dataFolder_,
-                      settings_.lotRetention_,
-                      settings_.capOverage_,
-                      settings_.lotCopies_);
+    spool_.emplace(aContext,
+                   shared_,
+                   aStore,
+                   health_,
+                   jobs_,
+                   hosts_,
+                   OwnName(),
+                   settings_.dataFolder_,
+                   settings_.jobRetention_,
+                   settings_.capOverage_,
+                   settings_.jobCopies_);
   }
   AddGauges();
   httpstream::ServerLimits peerLimits;
@@ -171,8 +170,8 @@
     [this](const std::string& aHost) { return peers_.IsHeard(aHost); });
   following_.SetOnNews(
     [this](const StoreNews& aNews) { peers_.SendStoreNews(aNews); });
-  desk_.SetOnStateRead([this](const std::string& aLot) { OnLotChanged(aLot); });
-  worker_.SetOnResults([this](const std::string& aLot) { OnLotChanged(aLot); });
+  desk_.SetOnStateRead([this](const std::string& aJob) { OnJobChanged(aJob); });
+  worker_.SetOnResults([this](const std::string& aJob) { OnJobChanged(aJob); });
 }
 
 void
@@ -204,7 +203,7 @@
     "pumiceturn_held_lots",
     "Lots on this host's disk that the store doesn't have yet.",
     {},
-    [this] { return heldLots_ ? heldLots_->Count() : 0; });
+    [this] { return spool_ ? spool_->Count() : 0; });
   shared_.metrics_.AddGauge("pumiceturn_peers_heard",
                             "Other hosts whose own messages arrive here.",
                             {},
@@ -260,8 +259,8 @@
   base::Log(kGatewayStarted,
             { { "callers", settings_.callerAddress_ },
               { "incarnation", settings_.incarnation_ } });
-  if (heldLots_) {
-    heldLots_->Start();
+  if (spool_) {
+    spool_->Start();
   }
   following_.Start();
   lease_.Start();
@@ -293,7 +292,7 @@
   const httpstream::Request& request = aExchange->GetRequest();
   // A host that is leaving can't promise to finish what it takes late. The
   // balancer still sends requests where most of a failure domain's hosts are
-  // leaving at once. Readers of lots too: one of them always waits for a
+  // leaving at once. Readers of jobs too: one of them always waits for a
   // result, and kept the host from ending until the end of its grace, 5 to 7 s
   // in which each request here was refused instead of 3 to 4.
   if (IsPastNotice()) {
@@ -304,8 +303,8 @@
     aExchange->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
-  if (const auto call = shared_.codec_.ReadLotCall(request)) {
-    OnLotCall(aExchange, *call);
+  if (const auto call = shared_.codec_.ReadBatchJobCall(request)) {
+    OnBatchJobCall(aExchange, *call);
     return;
   }
   const fleet::Route* route =
@@ -320,7 +319,7 @@
   if (!caller) {
     return;
   }
-  if (route->kind_ == fleet::RequestKind::Lot) {
+  if (route->kind_ == fleet::RequestKind::BatchJob) {
     intake_.Submit(aExchange,
                    shared_.codec_.ReadOnline(request).requestId_,
                    *route,
@@ -340,8 +339,8 @@
 }
 
 void
-Gateway::OnLotCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
-                   const LotCall& aCall)
+Gateway::OnBatchJobCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
+                        const BatchJobCall& aCall)
 {
   if (const auto caller = callerGate_.IdentifyReader(aExchange)) {
     desk_.Handle(aExchange, aCall, *caller);
@@ -351,15 +350,16 @@
 void
 Gateway::OnPassedOn(const std::shared_ptr<httpstream::Exchange>& aExchange)
 {
-  if (const auto call = shared_.codec_.ReadLotCall(aExchange->GetRequest())) {
+  if (const auto call =
+        shared_.codec_.ReadBatchJobCall(aExchange->GetRequest())) {
     desk_.HandlePassedOn(aExchange, *call);
     return;
   }
   const std::string_view target = httpstream::TargetOf(aExchange->GetRequest());
-  if (!target.starts_with(HeldLots::kTargetPrefix)) {
+  if (!target.starts_with(BatchJobSpool::kTargetPrefix)) {
     storePaths_.CallForPeer(aExchange);
-  } else if (heldLots_) {
-    heldLots_->Hold(aExchange);
+  } else if (spool_) {
+    spool_->Spool(aExchange);
   } else {
     aExchange->Answer(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
@@ -402,8 +402,8 @@
     return;
   }
   retiring_ = true;
-  if (heldLots_) {
-    heldLots_->SetLeaving();
+  if (spool_) {
+    spool_->SetLeaving();
   }
   base::Log(kGatewayRetiring, { { "runs", worker_.RunCount() } });
   worker_.HandOver([this] { lease_.End([this] { ReportRetired(); }); });
@@ -413,7 +413,7 @@
 Gateway::ReportRetired()
 {
   // Operators take the host away with its disk once they are told.
-  if (heldLots_ && !heldLots_->IsEmpty()) {
+  if (spool_ && !spool_->IsEmpty()) {
     ReportRetiredLater();
     return;
   }
@@ -465,13 +465,13 @@
   }
   const base::WallTime wallNow = base::WallNow();
   worker_.Tick(now);
-  ledgerKeeper_.Tick(worker_.TakeWaitingLots(), now);
+  ledgerKeeper_.Tick(worker_.CollectWaitingJobs(), now);
   if (!stopping_) {
     retention_.Tick(now, wallNow);
   }
   desk_.Tick(now);
-  if (heldLots_) {
-    heldLots_->Tick(now, wallNow);
+  if (spool_) {
+    spool_->Tick(now, wallNow);
   }
   shared_.suspects_.Expire(now);
   shared_.pool_.Sweep(now);
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,12 +1,12 @@
 #pragma once
 
 #include "LibBase/Lifetime.h"
+#include "LibGateway/BatchJobHandler.h"
+#include "LibGateway/BatchJobRetention.h"
+#include "LibGateway/BatchJobSpool.h"
+#include "LibGateway/BatchSubmissionHandler.h"
 #include "LibGateway/BatchWorker.h"
 #include "LibGateway/CallerGate.h"
-#include "LibGateway/HeldLots.h"
-#include "LibGateway/LotDesk.h"
-#include "LibGateway/LotIntake.h"
-#include "LibGateway/LotRetention.h"
 #include "LibGateway/OnlineRelay.h"
 #include "LibGateway/PeerCallers.h"
 #include "LibGateway/PeerExchange.h"
@@ -33,7 +33,7 @@
   std::string host_;
   std::string incarnation_; ///< New at each start.
   std::string failureDomain_;
-  lots::LotPreference lotPreference_ = lots::LotPreference::Worker;
+  batch::BatchPreference batchPreference_ = batch::BatchPreference::Worker;
   std::string callerAddress_;  ///< IP:PORT for callers; empty: takes none.
   std::string statusAddress_;  ///< IP:PORT for readiness; empty: none.
   std::string metricsAddress_; ///< IP:PORT; empty: none.
@@ -52,13 +52,13 @@
   base::Duration configurationBound_{ std::chrono::seconds{ 2 } };
   /// Within which a draining endpoint must get nothing new.
   base::Duration drainBound_{ std::chrono::seconds{ 2 } };
-  /// How long a closed lot can be read, from its acceptance.
-  base::Duration lotRetention_{ std::chrono::seconds{ 150 } };
-  /// Where this host may keep lots until the store takes them; empty: nowhere.
+  /// How long a closed job can be read, from its acceptance.
+  base::Duration jobRetention_{ std::chrono::seconds{ 150 } };
+  /// Where this host may keep jobs until the store takes them; empty: nowhere.
   std::string dataFolder_;
-  /// Hosts that must keep a lot: one more than may be lost at once.
-  std::size_t lotCopies_ = 2;
-  /// Within which what one host has shown of a lot is to be seen at all.
+  /// Hosts that must keep a job: one more than may be lost at once.
+  std::size_t jobCopies_ = 2;
+  /// Within which what one host has shown of a job is to be seen at all.
   base::Duration settleBound_{ std::chrono::seconds{ 1 } };
 };
 
@@ -67,7 +67,7 @@
 {
   std::string operatorPrefix_;
   std::string endpointPrefix_;
-  lots::LotKeySpace lots_;
+  batch::BatchJobKeySpace jobs_;
   std::string hostPrefix_;
 };
 
@@ -103,7 +103,7 @@
 };
 
 /// The process between callers and endpoints: takes requests over HTTP, follows
-/// the store, and runs lots. One event thread; see docs/design/platform.md.
+/// the store, and runs jobs. One event thread; see docs/design/platform.md.
 class Gateway
 {
 public:
@@ -119,14 +119,14 @@
   /// @return false if an address can't be used.
   [[nodiscard]] bool Start();
 
-  /// Stops gracefully: withdraws readiness, hands lots over, lets open requests
+  /// Stops gracefully: withdraws readiness, hands jobs over, lets open requests
   /// end, then calls aStopped.
   void Stop(std::function<void()> aStopped);
 
 private:
   void OnRequest(const std::shared_ptr<httpstream::Exchange>& aExchange);
-  void OnLotCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
-                 const LotCall& aCall);
+  void OnBatchJobCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
+                      const BatchJobCall& aCall);
   void OnPassedOn(const std::shared_ptr<httpstream::Exchange>& aExchange);
   void OnStatusRequest(httpstream::Exchange& aExchange);
   [[nodiscard]] std::vector<StoreFollowing::Followed> FollowedPrefixes();
@@ -134,10 +134,10 @@
 
   /// @return whether the registration says anything that wasn't known.
   bool OnEndpointKey(const metadata::StoreItem& aItem);
-  void OnLotKey(const metadata::StoreItem& aItem);
+  void OnBatchJobKey(const metadata::StoreItem& aItem);
   void OnHostKey(const metadata::StoreItem& aItem);
   void OnHostsChanged();
-  void OnLotChanged(const std::string& aLot);
+  void OnJobChanged(const std::string& aJob);
   void AddGauges();
   void Preempt(const fleet::EndpointChoice& aChoice);
   void Retire();
@@ -160,19 +160,19 @@
   metadata::StoreClient& store_;
   StorePaths& storePaths_;
   Shared shared_;
-  lots::LotTable lots_;
-  lots::HostSet hosts_;
+  batch::BatchJobTable jobs_;
+  batch::HostSet hosts_;
   metadata::StoreHealth health_;
   StoreFollowing following_;
   metadata::HostLease lease_;
-  LotLoader loader_;
-  PeerCallers peerCallers_; ///< For calls on lots.
-  LotDesk desk_;
-  LotIntake intake_;
-  std::optional<HeldLots> heldLots_; ///< Where this host has a data folder.
+  BatchJobLoader loader_;
+  PeerCallers peerCallers_; ///< For calls on jobs.
+  BatchJobHandler desk_;
+  BatchSubmissionHandler intake_;
+  std::optional<BatchJobSpool> spool_; ///< Where this host has a data folder.
   BatchWorker worker_;
   LedgerKeeper ledgerKeeper_;
-  LotRetention retention_;
+  BatchJobRetention retention_;
   PeerExchange peers_;
   CallerGate callerGate_;
   OnlineRelay::PreemptBatch preemptBatch_;
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -18,10 +18,10 @@
 /// repetition.
 constexpr double kConfigurationWatchShare = 0.2;
 constexpr double kEndpointWatchShare = 0.2;
-constexpr double kLotWatchShare = 0.25;
+constexpr double kJobWatchShare = 0.25;
 constexpr double kConfigurationTrustShare = 0.5;
 constexpr double kEndpointTrustShare = 0.5;
-constexpr double kLotTrustShare = 0.6;
+constexpr double kJobTrustShare = 0.6;
 
 /// The operators' keys change rarely, and each change is wanted at once.
 constexpr std::chrono::milliseconds kOperatorPause{ 50 };
@@ -31,10 +31,10 @@
 constexpr std::chrono::milliseconds kHostPause{ 200 };
 constexpr std::chrono::milliseconds kHostTrust{ 8000 };
 
-/// Of hosts that run no lots as long as there are workers. They need a lot's
+/// Of hosts that run no jobs as long as there are workers. They need a job's
 /// state only to pass calls on: one that is missing is read then, and where an
 /// old one leads to the wrong host, the store answers the call.
-constexpr std::chrono::milliseconds kLotTrustOfOthers{ 4000 };
+constexpr std::chrono::milliseconds kJobTrustOfOthers{ 4000 };
 
 base::Duration
 ShareOf(base::Duration aBound, double aShare)
@@ -92,13 +92,13 @@
              [this](const metadata::StoreItem& aItem) {
                return OnEndpointKey(aItem);
              } },
-           { StorePrefix::Lots,
-             FollowWithin(layout_.lots_.statePrefix_,
+           { StorePrefix::BatchJobs,
+             FollowWithin(layout_.jobs_.statePrefix_,
                           settings_.settleBound_,
-                          kLotWatchShare,
-                          kLotTrustShare),
+                          kJobWatchShare,
+                          kJobTrustShare),
              [this](const metadata::StoreItem& aItem) {
-               OnLotKey(aItem);
+               OnBatchJobKey(aItem);
                return true;
              } },
            { StorePrefix::Hosts,
@@ -191,22 +191,22 @@
 }
 
 void
-Gateway::OnLotKey(const metadata::StoreItem& aItem)
+Gateway::OnBatchJobKey(const metadata::StoreItem& aItem)
 {
   if (aItem.removed_) {
-    lots_.Remove(aItem.key_);
+    jobs_.Remove(aItem.key_);
     return;
   }
-  if (const auto lot = lots_.Apply(aItem.key_, aItem.value_, aItem.revision_)) {
-    OnLotChanged(*lot);
+  if (const auto job = jobs_.Apply(aItem.key_, aItem.value_, aItem.revision_)) {
+    OnJobChanged(*job);
   }
 }
 
 void
-Gateway::OnLotChanged(const std::string& aLot)
+Gateway::OnJobChanged(const std::string& aJob)
 {
-  worker_.OnLotChanged(aLot);
-  desk_.OnLotChanged(aLot);
+  worker_.OnJobChanged(aJob);
+  desk_.OnJobChanged(aJob);
 }
 
 void
@@ -239,14 +239,14 @@
 void
 Gateway::OnHostsChanged()
 {
-  std::vector<lots::PeerAddress> others = hosts_.PeersBut(OwnName());
+  std::vector<batch::PeerAddress> others = hosts_.PeersBut(OwnName());
   peerCallers_.Keep(others);
   storePaths_.SetPeers(std::move(others));
-  const bool mayRunLots = hosts_.IsPreferred(settings_.lotPreference_);
-  following_.SetTrust(StorePrefix::Lots,
-                      mayRunLots
-                        ? ShareOf(settings_.settleBound_, kLotTrustShare)
-                        : base::Duration(kLotTrustOfOthers));
+  const bool mayRunJobs = hosts_.IsPreferred(settings_.batchPreference_);
+  following_.SetTrust(StorePrefix::BatchJobs,
+                      mayRunJobs
+                        ? ShareOf(settings_.settleBound_, kJobTrustShare)
+                        : base::Duration(kJobTrustOfOthers));
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/HostRecord.cpp
+++ b/Libraries/LibGateway/HostRecord.cpp
@@ -13,7 +13,7 @@
     { "owner", aRecord.owner_ },
     { "peer", aRecord.peerAddress_ },
     { "calls", aRecord.callAddress_ },
-    { "worker", aRecord.preference_ == lots::LotPreference::Worker }
+    { "worker", aRecord.preference_ == batch::BatchPreference::Worker }
   }.dump();
 }
 
@@ -26,8 +26,8 @@
     return HostRecord{ value.at("owner").get<std::string>(),
                        value.at("peer").get<std::string>(),
                        value.at("calls").get<std::string>(),
-                       isWorker ? lots::LotPreference::Worker
-                                : lots::LotPreference::IfNoOther };
+                       isWorker ? batch::BatchPreference::Worker
+                                : batch::BatchPreference::IfNoOther };
   } catch (const json::exception&) {
     return std::nullopt;
   }
--- a/Libraries/LibGateway/HostRecord.h
+++ b/Libraries/LibGateway/HostRecord.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibLots/HostSet.h"
+#include "LibBatch/HostSet.h"
 
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
   std::string owner_;       ///< Host and incarnation.
   std::string peerAddress_; ///< IP:PORT for datagrams.
   std::string callAddress_; ///< IP:PORT for calls of other hosts.
-  lots::LotPreference preference_ = lots::LotPreference::IfNoOther;
+  batch::BatchPreference preference_ = batch::BatchPreference::IfNoOther;
 
   bool operator==(const HostRecord&) const = default;
 };
--- a/Libraries/LibGateway/ItemRun.cpp
+++ b/Libraries/LibGateway/ItemRun.cpp
@@ -17,12 +17,12 @@
 
 ItemRun::ItemRun(Shared& aShared,
                  EndHandler aOnEnd,
-                 std::string aLot,
+                 std::string aJob,
                  std::size_t aItem,
-                 lots::PartialRun aProgress)
+                 batch::PartialRun aProgress)
   : shared_(aShared)
   , onEnd_(std::move(aOnEnd))
-  , lot_(std::move(aLot))
+  , job_(std::move(aJob))
   , item_(aItem)
   , progress_(std::move(aProgress))
   , firstEvent_(progress_.lastEvent_)
@@ -31,7 +31,7 @@
 
 void
 ItemRun::Start(const fleet::EndpointRecord& aEndpoint,
-               const lots::LotItem& aItem,
+               const batch::BatchItem& aItem,
                const Sender& aSender,
                base::Duration aPatience)
 {
@@ -97,26 +97,26 @@
   run_->SetPaused(true);
 }
 
-lots::ItemRunEnd
+batch::ItemRunEnd
 ItemRun::Judge(httpstream::CallEnd aEnd) const
 {
   if (aEnd == httpstream::CallEnd::NotConnected) {
-    return lots::ItemRunEnd::NotRun;
+    return batch::ItemRunEnd::NotRun;
   }
   if (aEnd != httpstream::CallEnd::Complete) {
-    return lots::ItemRunEnd::Broken;
+    return batch::ItemRunEnd::Broken;
   }
   if (notes_.isCertainlyNotRun_) {
-    return lots::ItemRunEnd::NotRun;
+    return batch::ItemRunEnd::NotRun;
   }
   if (status_ == httpstream::kStatusUnprocessable) {
-    return lots::ItemRunEnd::Impossible;
+    return batch::ItemRunEnd::Impossible;
   }
   if (status_ != httpstream::kStatusOk) {
-    return lots::ItemRunEnd::Failed;
+    return batch::ItemRunEnd::Failed;
   }
-  return splitter_.Remainder() > 0 ? lots::ItemRunEnd::Broken
-                                   : lots::ItemRunEnd::Completed;
+  return splitter_.Remainder() > 0 ? batch::ItemRunEnd::Broken
+                                   : batch::ItemRunEnd::Completed;
 }
 
 void
--- a/Libraries/LibGateway/ItemRun.h
+++ b/Libraries/LibGateway/ItemRun.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "LibBatch/ItemSchedule.h"
 #include "LibFleet/EventSplitter.h"
 #include "LibGateway/EndpointRun.h"
-#include "LibLots/ItemSchedule.h"
 
 #include <functional>
 #include <memory>
@@ -10,28 +10,28 @@
 
 namespace pumiceturn::gateway {
 
-/// One run of a lot's item at an endpoint. Belongs to the event thread.
+/// One run of a job's item at an endpoint. Belongs to the event thread.
 class ItemRun : public httpstream::CallObserver
 {
 public:
   /// Called once, unless the run is cancelled.
-  using EndHandler = std::function<void(ItemRun&, lots::ItemRunEnd)>;
+  using EndHandler = std::function<void(ItemRun&, batch::ItemRunEnd)>;
 
   ItemRun(Shared& aShared,
           EndHandler aOnEnd,
-          std::string aLot,
+          std::string aJob,
           std::size_t aItem,
-          lots::PartialRun aProgress);
+          batch::PartialRun aProgress);
 
   /// Whose item it is, as endpoints are told.
   struct Sender
   {
-    std::string hostName_; ///< Of the request that submitted the lot.
+    std::string hostName_; ///< Of the request that submitted the job.
     CallerName caller_;
   };
 
   void Start(const fleet::EndpointRecord& aEndpoint,
-             const lots::LotItem& aItem,
+             const batch::BatchItem& aItem,
              const Sender& aSender,
              base::Duration aPatience);
   void Cancel();
@@ -41,9 +41,9 @@
   void ReadOn();
 
   [[nodiscard]] const std::string& EndpointId() const { return endpoint_; }
-  [[nodiscard]] const std::string& LotId() const { return lot_; }
+  [[nodiscard]] const std::string& JobId() const { return job_; }
   [[nodiscard]] std::size_t Item() const { return item_; }
-  [[nodiscard]] const lots::PartialRun& Progress() const { return progress_; }
+  [[nodiscard]] const batch::PartialRun& Progress() const { return progress_; }
 
   /// @return how many events this run has made so far.
   [[nodiscard]] std::uint64_t NewEvents() const
@@ -51,21 +51,24 @@
     return progress_.lastEvent_ - firstEvent_;
   }
   [[nodiscard]] base::Instant StartedAt() const { return startedAt_; }
-  [[nodiscard]] lots::PartialRun TakeProgress() { return std::move(progress_); }
+  [[nodiscard]] batch::PartialRun TakeProgress()
+  {
+    return std::move(progress_);
+  }
 
   void OnHead(const httpstream::ResponseHead& aHead) override;
   void OnBody(std::string_view aBytes) override;
   void OnEnd(httpstream::CallEnd aEnd) override;
 
 private:
-  [[nodiscard]] lots::ItemRunEnd Judge(httpstream::CallEnd aEnd) const;
+  [[nodiscard]] batch::ItemRunEnd Judge(httpstream::CallEnd aEnd) const;
 
   Shared& shared_;
   EndHandler onEnd_;
-  std::string lot_;
+  std::string job_;
   std::size_t item_;
   std::string endpoint_;
-  lots::PartialRun progress_;
+  batch::PartialRun progress_;
   std::uint64_t firstEvent_; ///< After which the run goes on.
   base::Instant startedAt_{};
   fleet::EventSplitter splitter_;
--- a/Libraries/LibGateway/LedgerChange.cpp
+++ b/Libraries/LibGateway/LedgerChange.cpp
@@ -8,7 +8,7 @@
 
 void
 LearnLedger(Shared& aShared,
-            const lots::LotKeySpace& aKeys,
+            const batch::BatchJobKeySpace& aKeys,
             const std::string& aLedger,
             const metadata::TransactionReply& aReply)
 {
@@ -17,9 +17,9 @@
     if (item.key_ != key || item.revision_ == 0) {
       continue;
     }
-    const lots::LedgerNews news = aShared.ledgers_.Learn(
+    const batch::LedgerNews news = aShared.ledgers_.Learn(
       aLedger, item.value_, item.revision_, base::MonotonicNow());
-    if (news == lots::LedgerNews::Unreadable) {
+    if (news == batch::LedgerNews::Unreadable) {
       base::Log(kLedgerUnreadable,
                 { { "ledger", aLedger }, { "revision", item.revision_ } });
     }
@@ -38,17 +38,17 @@
 void
 AddRow(metadata::Transaction& aCreation,
        const Shared& aShared,
-       const lots::LotKeySpace& aKeys,
+       const batch::BatchJobKeySpace& aKeys,
        const std::string& aLedger,
-       const std::string& aLot,
+       const std::string& aJob,
        std::uint64_t aTokens)
 {
-  const lots::LedgerView& view = aShared.ledgers_.Of(aLedger);
-  lots::TokenLedger ledger = view.ledger_;
-  ledger.Set(aLot, aTokens);
+  const batch::LedgerView& view = aShared.ledgers_.Of(aLedger);
+  batch::TokenLedger ledger = view.ledger_;
+  ledger.Set(aJob, aTokens);
   const std::string key = aKeys.LedgerOf(aLedger);
   aCreation.expectations_.push_back({ key, view.revision_ });
-  aCreation.writes_.push_back({ key, lots::EncodeLedger(ledger), 0 });
+  aCreation.writes_.push_back({ key, batch::EncodeLedger(ledger), 0 });
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LedgerChange.h
+++ b/Libraries/LibGateway/LedgerChange.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "LibBatch/BatchJobKeys.h"
 #include "LibGateway/Shared.h"
-#include "LibLots/LotKeys.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 /// Takes over the ledger that a refused transaction brought.
 void
 LearnLedger(Shared& aShared,
-            const lots::LotKeySpace& aKeys,
+            const batch::BatchJobKeySpace& aKeys,
             const std::string& aLedger,
             const metadata::TransactionReply& aReply);
 
@@ -20,14 +20,14 @@
 bool
 ShowsKey(const metadata::TransactionReply& aReply, const std::string& aKey);
 
-/// Adds a lot's row to its ledger, in the transaction that creates the
-/// lot, under the condition that the ledger is as known here.
+/// Adds a job's row to its ledger, in the transaction that creates the
+/// job, under the condition that the ledger is as known here.
 void
 AddRow(metadata::Transaction& aCreation,
        const Shared& aShared,
-       const lots::LotKeySpace& aKeys,
+       const batch::BatchJobKeySpace& aKeys,
        const std::string& aLedger,
-       const std::string& aLot,
+       const std::string& aJob,
        std::uint64_t aTokens);
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LedgerKeeper.cpp
+++ b/Libraries/LibGateway/LedgerKeeper.cpp
@@ -20,38 +20,38 @@
 /// other half within seconds.
 constexpr double kNearCap = 0.5;
 
-/// How long a ledger without lots of this host is looked after: rows of hosts
+/// How long a ledger without jobs of this host is looked after: rows of hosts
 /// that are gone are removed meanwhile.
 constexpr std::chrono::seconds kQuietAfter{ 120 };
 
-/// A host with lots on a capped route stores its rows at least this often, and
+/// A host with jobs on a capped route stores its rows at least this often, and
 /// so learns of a ledger that someone else has spoiled.
 constexpr std::chrono::seconds kLongestPause{ 10 };
 
-/// How long a row's lot must be unknown to be taken for one that was removed
-/// after its retention. Mirrors of lots are some seconds old at most.
+/// How long a row's job must be unknown to be taken for one that was removed
+/// after its retention. Mirrors of jobs are some seconds old at most.
 constexpr std::chrono::seconds kGoneAfter{ 60 };
 
 } // namespace
 
 LedgerKeeper::LedgerKeeper(Shared& aShared,
                            metadata::StoreClient& aStore,
-                           const lots::LotTable& aLots,
-                           const lots::HostSet& aHosts,
+                           const batch::BatchJobTable& aJobs,
+                           const batch::HostSet& aHosts,
                            std::string aOwnName)
   : shared_(aShared)
   , store_(aStore)
-  , lots_(aLots)
+  , jobs_(aJobs)
   , hosts_(aHosts)
   , ownName_(std::move(aOwnName))
 {
 }
 
 void
-LedgerKeeper::Tick(const std::vector<WaitingLot>& aOwn, base::Instant aNow)
+LedgerKeeper::Tick(const std::vector<WaitingBatchJob>& aOwn, base::Instant aNow)
 {
-  for (const WaitingLot& lot : aOwn) {
-    updates_[lot.ledger_].cap_ = lot.cap_;
+  for (const WaitingBatchJob& job : aOwn) {
+    updates_[job.ledger_].cap_ = job.cap_;
   }
   for (auto entry = updates_.begin(); entry != updates_.end();) {
     Update(entry->first, aOwn, aNow);
@@ -67,7 +67,7 @@
 LedgerKeeper::PauseFor(const std::string& aLedger,
                        const LedgerUpdate& aUpdate) const
 {
-  // The view may be from before a flood; lots are spread evenly over the hosts
+  // The view may be from before a flood; jobs are spread evenly over the hosts
   // that run them, so the own ones tell of the others'.
   const std::uint64_t waiting = std::max(
     shared_.ledgers_.Of(aLedger).ledger_.Total(),
@@ -80,7 +80,7 @@
 
 void
 LedgerKeeper::Update(const std::string& aLedger,
-                     const std::vector<WaitingLot>& aOwn,
+                     const std::vector<WaitingBatchJob>& aOwn,
                      base::Instant aNow)
 {
   LedgerUpdate& update = updates_[aLedger];
@@ -94,7 +94,7 @@
     return;
   }
   update.nextAt_ = aNow + pause;
-  const lots::TokenLedger corrected = Corrected(aLedger, aOwn, aNow);
+  const batch::TokenLedger corrected = Corrected(aLedger, aOwn, aNow);
   const bool isOverdue =
     !update.running_.empty() && aNow - update.committedAt_ >= kLongestPause;
   if (corrected != shared_.ledgers_.Of(aLedger).ledger_ ||
@@ -106,16 +106,16 @@
 void
 LedgerKeeper::NoteOwn(LedgerUpdate& aUpdate,
                       const std::string& aLedger,
-                      const std::vector<WaitingLot>& aOwn)
+                      const std::vector<WaitingBatchJob>& aOwn)
 {
   std::set<std::string> running;
   std::uint64_t tokens = 0;
-  for (const WaitingLot& lot : aOwn) {
-    if (lot.ledger_ != aLedger) {
+  for (const WaitingBatchJob& job : aOwn) {
+    if (job.ledger_ != aLedger) {
       continue;
     }
-    (lot.tokens_ > 0 ? running : aUpdate.closed_).insert(lot.lot_);
-    tokens += lot.tokens_;
+    (job.tokens_ > 0 ? running : aUpdate.closed_).insert(job.job_);
+    tokens += job.tokens_;
   }
   aUpdate.mostSince_ = std::max(aUpdate.mostSince_, tokens);
   std::set_difference(aUpdate.running_.begin(),
@@ -126,52 +126,52 @@
   aUpdate.running_ = std::move(running);
 }
 
-lots::TokenLedger
+batch::TokenLedger
 LedgerKeeper::Corrected(const std::string& aLedger,
-                        const std::vector<WaitingLot>& aOwn,
+                        const std::vector<WaitingBatchJob>& aOwn,
                         base::Instant aNow)
 {
-  lots::TokenLedger ledger = shared_.ledgers_.Of(aLedger).ledger_;
-  for (const auto& [lot, tokens] :
+  batch::TokenLedger ledger = shared_.ledgers_.Of(aLedger).ledger_;
+  for (const auto& [job, tokens] :
        shared_.ledgers_.Of(aLedger).ledger_.Rows()) {
-    if (IsToBeRemoved(lot, aNow)) {
-      ledger.Set(lot, 0);
+    if (IsToBeRemoved(job, aNow)) {
+      ledger.Set(job, 0);
     }
   }
-  for (const WaitingLot& own : aOwn) {
+  for (const WaitingBatchJob& own : aOwn) {
     if (own.ledger_ != aLedger) {
       continue;
     }
     // A row never grows: after a takeover items run again that a server has
-    // finished already. A lot without a row was accepted when the route had no
+    // finished already. A job without a row was accepted when the route had no
     // cap.
-    const std::uint64_t row = ledger.Of(own.lot_).value_or(own.tokens_);
-    ledger.Set(own.lot_, std::min(row, own.tokens_));
+    const std::uint64_t row = ledger.Of(own.job_).value_or(own.tokens_);
+    ledger.Set(own.job_, std::min(row, own.tokens_));
   }
   return ledger;
 }
 
 bool
-LedgerKeeper::IsToBeRemoved(const std::string& aLot, base::Instant aNow)
+LedgerKeeper::IsToBeRemoved(const std::string& aJob, base::Instant aNow)
 {
-  const lots::Lot* lot = lots_.Find(aLot);
-  if (lot == nullptr) {
-    const auto since = unknownSince_.try_emplace(aLot, aNow).first->second;
-    return aNow - since > kGoneAfter && hosts_.OwnerFor(aLot) == ownName_;
+  const batch::BatchJob* job = jobs_.Find(aJob);
+  if (job == nullptr) {
+    const auto since = unknownSince_.try_emplace(aJob, aNow).first->second;
+    return aNow - since > kGoneAfter && hosts_.OwnerFor(aJob) == ownName_;
   }
-  unknownSince_.erase(aLot);
+  unknownSince_.erase(aJob);
   const bool isMine =
-    lot->state_.owner_ == ownName_ ||
-    (!hosts_.IsLive(lot->state_.owner_) && hosts_.OwnerFor(aLot) == ownName_);
-  return !lot->IsOpen() && isMine;
+    job->state_.owner_ == ownName_ ||
+    (!hosts_.IsLive(job->state_.owner_) && hosts_.OwnerFor(aJob) == ownName_);
+  return !job->IsOpen() && isMine;
 }
 
 void
 LedgerKeeper::Commit(const std::string& aLedger,
-                     const lots::TokenLedger& aContent)
+                     const batch::TokenLedger& aContent)
 {
-  const std::string key = lots_.Keys().LedgerOf(aLedger);
-  const std::string value = lots::EncodeLedger(aContent);
+  const std::string key = jobs_.Keys().LedgerOf(aLedger);
+  const std::string value = batch::EncodeLedger(aContent);
   metadata::Transaction transaction;
   transaction.expectations_.push_back(
     { key, shared_.ledgers_.Of(aLedger).revision_ });
@@ -188,14 +188,14 @@
       if (aReply.status_ == StoreStatus::Ok) {
         update.committedAt_ = now;
         update.mostSince_ = 0;
-        std::erase_if(update.closed_, [&closed](const std::string& aLot) {
-          return closed.contains(aLot);
+        std::erase_if(update.closed_, [&closed](const std::string& aJob) {
+          return closed.contains(aJob);
         });
         shared_.ledgers_.Learn(aLedger, value, aReply.revision_, now);
         return;
       }
       if (aReply.status_ == StoreStatus::Conflict) {
-        LearnLedger(shared_, lots_.Keys(), aLedger, aReply);
+        LearnLedger(shared_, jobs_.Keys(), aLedger, aReply);
         // With the present one, at the next look.
         update.nextAt_ = now;
       }
--- a/Libraries/LibGateway/LedgerKeeper.h
+++ b/Libraries/LibGateway/LedgerKeeper.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "LibBatch/BatchJobTable.h"
+#include "LibBatch/HostSet.h"
 #include "LibGateway/Shared.h"
-#include "LibLots/HostSet.h"
-#include "LibLots/LotTable.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <set>
@@ -12,18 +12,18 @@
 
 namespace pumiceturn::gateway {
 
-/// What one lot of this host has waiting.
-struct WaitingLot
+/// What one job of this host has waiting.
+struct WaitingBatchJob
 {
-  std::string lot_;
+  std::string job_;
   std::string ledger_;
   std::uint64_t cap_ = 0;    ///< Of the ledger.
   std::uint64_t tokens_ = 0; ///< 0: nothing is left of it.
 };
 
 /// Keeps this host's rows in the ledgers of capped routes true: lowers those of
-/// the lots that it runs, and removes those of closed ones. A row that is too
-/// high makes an entry host refuse a lot that fits, so rows follow quickly
+/// the jobs that it runs, and removes those of closed ones. A row that is too
+/// high makes an entry host refuse a job that fits, so rows follow quickly
 /// where a ledger is near its cap, and seldom elsewhere, as each change is a
 /// call that is charged. Belongs to the event thread.
 class LedgerKeeper
@@ -31,12 +31,12 @@
 public:
   LedgerKeeper(Shared& aShared,
                metadata::StoreClient& aStore,
-               const lots::LotTable& aLots,
-               const lots::HostSet& aHosts,
+               const batch::BatchJobTable& aJobs,
+               const batch::HostSet& aHosts,
                std::string aOwnName);
 
-  /// @param aOwn Lots that this host runs, with what waits of each.
-  void Tick(const std::vector<WaitingLot>& aOwn, base::Instant aNow);
+  /// @param aOwn Jobs that this host runs, with what waits of each.
+  void Tick(const std::vector<WaitingBatchJob>& aOwn, base::Instant aNow);
 
 private:
   struct LedgerUpdate
@@ -44,37 +44,38 @@
     std::uint64_t cap_ = 0;
     base::Instant nextAt_{};
     base::Instant committedAt_{};
-    base::Instant usedAt_{};      ///< By lots of this host.
+    base::Instant usedAt_{};      ///< By jobs of this host.
     std::uint64_t mostSince_ = 0; ///< Own tokens at their most since then.
     bool isUnderWay_ = false;
-    std::set<std::string> running_; ///< Own lots at the last look.
-    /// Lots of this host with nothing left, until a ledger without their rows
+    std::set<std::string> running_; ///< Own jobs at the last look.
+    /// Jobs of this host with nothing left, until a ledger without their rows
     /// is stored. The view alone doesn't tell: it may be older than a row.
     std::set<std::string> closed_;
   };
 
   void Update(const std::string& aLedger,
-              const std::vector<WaitingLot>& aOwn,
+              const std::vector<WaitingBatchJob>& aOwn,
               base::Instant aNow);
   static void NoteOwn(LedgerUpdate& aUpdate,
                       const std::string& aLedger,
-                      const std::vector<WaitingLot>& aOwn);
-  [[nodiscard]] lots::TokenLedger Corrected(const std::string& aLedger,
-                                            const std::vector<WaitingLot>& aOwn,
-                                            base::Instant aNow);
-  [[nodiscard]] bool IsToBeRemoved(const std::string& aLot, base::Instant aNow);
-  void Commit(const std::string& aLedger, const lots::TokenLedger& aContent);
+                      const std::vector<WaitingBatchJob>& aOwn);
+  [[nodiscard]] batch::TokenLedger Corrected(
+    const std::string& aLedger,
+    const std::vector<WaitingBatchJob>& aOwn,
+    base::Instant aNow);
+  [[nodiscard]] bool IsToBeRemoved(const std::string& aJob, base::Instant aNow);
+  void Commit(const std::string& aLedger, const batch::TokenLedger& aContent);
   [[nodiscard]] base::Duration PauseFor(const std::string& aLedger,
                                         const LedgerUpdate& aUpdate) const;
 
   Shared& shared_;
   metadata::StoreClient& store_;
-  const lots::LotTable& lots_;
-  const lots::HostSet& hosts_;
+  const batch::BatchJobTable& jobs_;
+  const batch::HostSet& hosts_;
   std::string ownName_;
   /// By ledger. One that has been quiet for long is forgotten.
   std::unordered_map<std::string, LedgerUpdate> updates_;
-  /// Lots with a row that are not known here, since when.
+  /// Jobs with a row that are not known here, since when.
   std::unordered_map<std::string, base::Instant> unknownSince_;
 };
 
--- a/Libraries/LibGateway/PeerCallers.cpp
+++ b/Libraries/LibGateway/PeerCallers.cpp
@@ -23,7 +23,7 @@
 }
 
 void
-PeerCallers::Keep(const std::vector<lots::PeerAddress>& aPeers)
+PeerCallers::Keep(const std::vector<batch::PeerAddress>& aPeers)
 {
   std::erase_if(callers_, [&aPeers](const auto& aEntry) {
     return std::none_of(
--- a/Libraries/LibGateway/PeerCallers.h
+++ b/Libraries/LibGateway/PeerCallers.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibHttpStream/HttpCaller.h"
-#include "LibLots/HostSet.h"
+#include "LibBatch/HostSet.h"
 
 #include <boost/asio/any_io_executor.hpp>
 
@@ -27,7 +27,7 @@
   [[nodiscard]] httpstream::HttpCaller* Find(const std::string& aAddress);
 
   /// Drops the connections to all peers but these.
-  void Keep(const std::vector<lots::PeerAddress>& aPeers);
+  void Keep(const std::vector<batch::PeerAddress>& aPeers);
 
   [[nodiscard]] std::size_t Count() const { return callers_.size(); }
 
--- a/Libraries/LibGateway/ProgressKeeper.cpp
+++ b/Libraries/LibGateway/ProgressKeeper.cpp
@@ -16,17 +16,17 @@
 /// twentieth of what the platform allows.
 constexpr std::chrono::milliseconds kIntervalOfEachHost{ 50 };
 
-/// Lots in one call: an expectation and a write each, of the platform's 32.
-constexpr std::size_t kMostLots = 15;
+/// Jobs in one call: an expectation and a write each, of the platform's 32.
+constexpr std::size_t kMaxJobs = 15;
 
 /// Output in one call. The store takes values up to 1 MB in base64.
 constexpr std::size_t kMostBytes = 400000;
 
 std::size_t
-SizeOf(const LotProgress& aLot)
+SizeOf(const BatchJobProgress& aJob)
 {
   std::size_t bytes = 0;
-  for (const auto& [item, run] : aLot.runs_) {
+  for (const auto& [item, run] : aJob.runs_) {
     bytes += item.size() + run.output_.size();
   }
   return bytes;
@@ -35,7 +35,7 @@
 } // namespace
 
 ProgressKeeper::ProgressKeeper(metadata::StoreClient& aStore,
-                               const lots::LotKeySpace& aKeys)
+                               const batch::BatchJobKeySpace& aKeys)
   : store_(aStore)
   , keys_(aKeys)
 {
@@ -50,11 +50,11 @@
 }
 
 bool
-ProgressKeeper::HasAdvanced(const LotProgress& aLot) const
+ProgressKeeper::HasAdvanced(const BatchJobProgress& aJob) const
 {
-  const auto stored = stored_.find(aLot.lot_);
+  const auto stored = stored_.find(aJob.job_);
   return std::any_of(
-    aLot.runs_.begin(), aLot.runs_.end(), [&](const auto& aRun) {
+    aJob.runs_.begin(), aJob.runs_.end(), [&](const auto& aRun) {
       if (stored == stored_.end()) {
         return true;
       }
@@ -65,40 +65,41 @@
 }
 
 base::Instant
-ProgressKeeper::StoredAt(const LotProgress& aLot) const
+ProgressKeeper::StoredAt(const BatchJobProgress& aJob) const
 {
-  const auto stored = stored_.find(aLot.lot_);
+  const auto stored = stored_.find(aJob.job_);
   return stored == stored_.end() ? base::Instant{} : stored->second.at_;
 }
 
 void
-ProgressKeeper::Store(std::vector<LotProgress> aLots, base::Instant aNow)
+ProgressKeeper::Store(std::vector<BatchJobProgress> aJobs, base::Instant aNow)
 {
-  std::erase_if(aLots,
-                [this](const LotProgress& aLot) { return !HasAdvanced(aLot); });
-  std::stable_sort(aLots.begin(),
-                   aLots.end(),
-                   [this](const LotProgress& aLeft, const LotProgress& aRight) {
-                     return StoredAt(aLeft) < StoredAt(aRight);
-                   });
+  std::erase_if(
+    aJobs, [this](const BatchJobProgress& aJob) { return !HasAdvanced(aJob); });
+  std::stable_sort(
+    aJobs.begin(),
+    aJobs.end(),
+    [this](const BatchJobProgress& aLeft, const BatchJobProgress& aRight) {
+      return StoredAt(aLeft) < StoredAt(aRight);
+    });
   metadata::Transaction transaction;
-  std::vector<LotProgress> sent;
+  std::vector<BatchJobProgress> sent;
   std::size_t bytes = 0;
-  for (LotProgress& lot : aLots) {
-    const std::size_t size = SizeOf(lot);
-    if (sent.size() == kMostLots || bytes + size > kMostBytes) {
+  for (BatchJobProgress& job : aJobs) {
+    const std::size_t size = SizeOf(job);
+    if (sent.size() == kMaxJobs || bytes + size > kMostBytes) {
       continue;
     }
     bytes += size;
-    // A lot that was closed or taken over gets no more progress: its keys may
+    // A job that was closed or taken over gets no more progress: its keys may
     // be removed already.
     transaction.expectations_.push_back(
-      { keys_.StateOf(lot.lot_), lot.stateRevision_ });
+      { keys_.StateOf(job.job_), job.stateRevision_ });
     transaction.writes_.push_back(
-      { keys_.MakeKey({ lot.lot_, lots::KeyPart::Progress, 0 }),
-        lots::EncodeProgress(lot.runs_),
+      { keys_.MakeKey({ job.job_, batch::KeyPart::Progress, 0 }),
+        batch::EncodeProgress(job.runs_),
         0 });
-    sent.push_back(std::move(lot));
+    sent.push_back(std::move(job));
   }
   if (sent.empty()) {
     return;
@@ -110,23 +111,23 @@
                   const metadata::TransactionReply& aReply) {
                   isUnderWay_ = false;
                   // After a failure the next call has newer progress; after a
-                  // conflict the mirror tells which lot is another's now.
+                  // conflict the mirror tells which job is another's now.
                   if (aReply.status_ != metadata::StoreStatus::Ok) {
                     return;
                   }
-                  for (const LotProgress& lot : sent) {
-                    NoteStored(lot, aNow);
+                  for (const BatchJobProgress& job : sent) {
+                    NoteStored(job, aNow);
                   }
                 });
 }
 
 void
-ProgressKeeper::NoteStored(const LotProgress& aLot, base::Instant aNow)
+ProgressKeeper::NoteStored(const BatchJobProgress& aJob, base::Instant aNow)
 {
-  Stored& stored = stored_[aLot.lot_];
+  Stored& stored = stored_[aJob.job_];
   stored.at_ = aNow;
   stored.events_.clear();
-  for (const auto& [item, run] : aLot.runs_) {
+  for (const auto& [item, run] : aJob.runs_) {
     stored.events_[item] = run.lastEvent_;
   }
 }
--- a/Libraries/LibGateway/ResultKeeper.cpp
+++ b/Libraries/LibGateway/ResultKeeper.cpp
@@ -20,18 +20,18 @@
 /// takes values up to 1 MB in base64.
 constexpr std::size_t kMaxPageBytes = 500000;
 
-/// Lots in one call: two expectations and two writes each, of the 32 entries
+/// Jobs in one call: two expectations and two writes each, of the 32 entries
 /// that a call may have.
-constexpr std::size_t kMostLots = 8;
+constexpr std::size_t kMaxJobs = 8;
 
 /// Pause before a failed call is made again; after a conflict, until the mirror
-/// says who owns the lot.
+/// says who owns the job.
 constexpr std::chrono::milliseconds kRetryPause{ 300 };
 constexpr std::chrono::seconds kConflictPause{ 3 };
 
 /// Moves as many results as fit one page.
-std::vector<lots::ItemResult>
-TakePage(std::vector<lots::ItemResult>& aResults)
+std::vector<batch::ItemResult>
+TakePage(std::vector<batch::ItemResult>& aResults)
 {
   std::size_t bytes = 0;
   std::size_t count = 0;
@@ -42,8 +42,8 @@
     ++count;
   }
   const auto end = aResults.begin() + static_cast<std::ptrdiff_t>(count);
-  std::vector<lots::ItemResult> page(std::make_move_iterator(aResults.begin()),
-                                     std::make_move_iterator(end));
+  std::vector<batch::ItemResult> page(std::make_move_iterator(aResults.begin()),
+                                      std::make_move_iterator(end));
   aResults.erase(aResults.begin(), end);
   return page;
 }
@@ -51,20 +51,20 @@
 } // namespace
 
 void
-ResultKeeper::Begin(const lots::Lot& aLot)
+ResultKeeper::Begin(const batch::BatchJob& aJob)
 {
   Entry entry;
-  entry.nextPosition_ = static_cast<std::uint32_t>(aLot.results_.size());
-  entries_[aLot.id_] = std::move(entry);
+  entry.nextPosition_ = static_cast<std::uint32_t>(aJob.results_.size());
+  entries_[aJob.id_] = std::move(entry);
 }
 
 void
-ResultKeeper::Add(const std::string& aLot,
-                  lots::ItemResult aResult,
+ResultKeeper::Add(const std::string& aJob,
+                  batch::ItemResult aResult,
                   base::Instant aDueAt,
                   base::Instant aNow)
 {
-  Entry& entry = entries_[aLot];
+  Entry& entry = entries_[aJob];
   const bool isDueSoon = aDueAt - aNow < kDueSoon;
   const base::Instant storeAt = isDueSoon ? aNow : aNow + kGather;
   entry.storeAt_ =
@@ -73,9 +73,9 @@
 }
 
 bool
-ResultKeeper::IsStoring(const std::string& aLot) const
+ResultKeeper::IsStoring(const std::string& aJob) const
 {
-  const auto entry = entries_.find(aLot);
+  const auto entry = entries_.find(aJob);
   return entry != entries_.end() && !entry->second.storing_.empty();
 }
 
@@ -96,10 +96,10 @@
   if (!isAnyDue) {
     return;
   }
-  for (auto& [lot, entry] : entries_) {
+  for (auto& [job, entry] : entries_) {
     // What may be stored already goes alone, so that the reply tells of it.
     if (MayStore(entry, aNow) && !entry.storing_.empty()) {
-      StoreAlone(lot, entry);
+      StoreAlone(job, entry);
     }
   }
   while (StoreTogether(aNow) > 0) {
@@ -113,13 +113,13 @@
   std::vector<PageWrite> writes;
   std::size_t bytes = 0;
   for (auto& [id, entry] : entries_) {
-    const lots::Lot* lot = lots_.Find(id);
-    if (lot == nullptr || !MayStore(entry, aNow) ||
-        writes.size() == kMostLots || bytes >= kMaxPageBytes) {
+    const batch::BatchJob* job = jobs_.Find(id);
+    if (job == nullptr || !MayStore(entry, aNow) || writes.size() == kMaxJobs ||
+        bytes >= kMaxPageBytes) {
       continue;
     }
-    writes.push_back(AddPage(transaction, *lot, entry));
-    for (const lots::ItemResult& result : entry.storing_) {
+    writes.push_back(AddPage(transaction, *job, entry));
+    for (const batch::ItemResult& result : entry.storing_) {
       bytes += result.output_.size();
     }
   }
@@ -133,14 +133,14 @@
 }
 
 void
-ResultKeeper::StoreAlone(const std::string& aLot, Entry& aEntry)
+ResultKeeper::StoreAlone(const std::string& aJob, Entry& aEntry)
 {
-  const lots::Lot* lot = lots_.Find(aLot);
-  if (lot == nullptr) {
+  const batch::BatchJob* job = jobs_.Find(aJob);
+  if (job == nullptr) {
     return;
   }
   metadata::Transaction transaction;
-  const PageWrite write = AddPage(transaction, *lot, aEntry);
+  const PageWrite write = AddPage(transaction, *job, aEntry);
   store_.Commit(transaction,
                 [this, write](const metadata::TransactionReply& aReply) {
                   OnReply(write, aReply);
@@ -149,7 +149,7 @@
 
 ResultKeeper::PageWrite
 ResultKeeper::AddPage(metadata::Transaction& aTransaction,
-                      const lots::Lot& aLot,
+                      const batch::BatchJob& aJob,
                       Entry& aEntry)
 {
   // A call without an answer may take effect seconds later. The same page goes
@@ -160,22 +160,22 @@
   }
   aEntry.callUnderWay_ = true;
   PageWrite write;
-  write.lot_ = aLot.id_;
-  write.pageKey_ = lots_.Keys().MakeKey(
-    { aLot.id_, lots::KeyPart::Results, aEntry.nextPosition_ });
-  write.stateKey_ = lots_.Keys().StateOf(aLot.id_);
-  write.state_ = aLot.state_;
+  write.job_ = aJob.id_;
+  write.pageKey_ = jobs_.Keys().MakeKey(
+    { aJob.id_, batch::KeyPart::Results, aEntry.nextPosition_ });
+  write.stateKey_ = jobs_.Keys().StateOf(aJob.id_);
+  write.state_ = aJob.state_;
   write.finishes_ =
-    aEntry.nextPosition_ + aEntry.storing_.size() >= aLot.state_.itemCount_;
+    aEntry.nextPosition_ + aEntry.storing_.size() >= aJob.state_.itemCount_;
   write.state_.isFinished_ = write.finishes_;
   aTransaction.expectations_.push_back(
-    { write.stateKey_, aLot.stateRevision_ });
+    { write.stateKey_, aJob.stateRevision_ });
   aTransaction.expectations_.push_back({ write.pageKey_, 0 });
   aTransaction.writes_.push_back(
-    { write.pageKey_, lots::EncodeResults(aEntry.storing_), 0 });
+    { write.pageKey_, batch::EncodeResults(aEntry.storing_), 0 });
   if (write.finishes_) {
     aTransaction.writes_.push_back(
-      { write.stateKey_, lots::EncodeState(write.state_), 0 });
+      { write.stateKey_, batch::EncodeState(write.state_), 0 });
   }
   return write;
 }
@@ -191,11 +191,11 @@
       OnReply(write, aReply);
       continue;
     }
-    // One lot's conflict kept all from being stored: each goes alone now.
-    const auto entry = entries_.find(write.lot_);
+    // One job's conflict kept all from being stored: each goes alone now.
+    const auto entry = entries_.find(write.job_);
     if (entry != entries_.end()) {
       entry->second.callUnderWay_ = false;
-      StoreAlone(write.lot_, entry->second);
+      StoreAlone(write.job_, entry->second);
     }
   }
 }
@@ -205,7 +205,7 @@
                       const metadata::TransactionReply& aReply)
 {
   using metadata::StoreStatus;
-  const auto found = entries_.find(aWrite.lot_);
+  const auto found = entries_.find(aWrite.job_);
   if (found == entries_.end()) {
     return;
   }
@@ -221,7 +221,7 @@
   bool isThere = false;
   for (const metadata::StoreItem& item : aReply.current_) {
     isThere = isThere || (item.key_ == aWrite.pageKey_ &&
-                          item.value_ == lots::EncodeResults(entry.storing_));
+                          item.value_ == batch::EncodeResults(entry.storing_));
     if (item.key_ == aWrite.stateKey_) {
       stateRevision = item.revision_;
     }
@@ -231,10 +231,10 @@
     return;
   }
   base::Log(kResultsNotStored,
-            { { "lot", aWrite.lot_ },
+            { { "lot", aWrite.job_ },
               { "position", entry.nextPosition_ },
               { "status", static_cast<int>(aReply.status_) } });
-  // After a conflict another host owns the lot, or its sender has ended it: the
+  // After a conflict another host owns the job, or its sender has ended it: the
   // mirror will say which. Until then nothing more is stored.
   const bool isConflict = aReply.status_ == StoreStatus::Conflict;
   entry.retryAt_ =
@@ -248,35 +248,36 @@
                          std::uint64_t aStateRevision)
 {
   base::Log(kResultsStored,
-            { { "lot", aWrite.lot_ },
+            { { "lot", aWrite.job_ },
               { "position", aEntry.nextPosition_ },
               { "count", aEntry.storing_.size() } });
-  lots_.Apply(
-    aWrite.pageKey_, lots::EncodeResults(aEntry.storing_), aStateRevision);
+  jobs_.Apply(
+    aWrite.pageKey_, batch::EncodeResults(aEntry.storing_), aStateRevision);
   aEntry.nextPosition_ += static_cast<std::uint32_t>(aEntry.storing_.size());
   aEntry.storing_.clear();
   if (aWrite.finishes_) {
-    lots_.Apply(
-      aWrite.stateKey_, lots::EncodeState(aWrite.state_), aStateRevision);
+    jobs_.Apply(
+      aWrite.stateKey_, batch::EncodeState(aWrite.state_), aStateRevision);
   }
-  onStored_(aWrite.lot_);
+  onStored_(aWrite.job_);
 }
 
 bool
-ResultKeeper::AddTo(metadata::Transaction& aTransaction, const lots::Lot& aLot)
+ResultKeeper::AddTo(metadata::Transaction& aTransaction,
+                    const batch::BatchJob& aJob)
 {
-  const auto found = entries_.find(aLot.id_);
+  const auto found = entries_.find(aJob.id_);
   if (found == entries_.end() || found->second.unstored_.empty() ||
       !found->second.storing_.empty()) {
     return false;
   }
   Entry& entry = found->second;
-  const std::string key = lots_.Keys().MakeKey(
-    { aLot.id_, lots::KeyPart::Results, entry.nextPosition_ });
-  const std::vector<lots::ItemResult> page = TakePage(entry.unstored_);
+  const std::string key = jobs_.Keys().MakeKey(
+    { aJob.id_, batch::KeyPart::Results, entry.nextPosition_ });
+  const std::vector<batch::ItemResult> page = TakePage(entry.unstored_);
   aTransaction.expectations_.push_back({ key, 0 });
-  aTransaction.writes_.push_back({ key, lots::EncodeResults(page), 0 });
-  return entry.nextPosition_ + page.size() >= aLot.state_.itemCount_;
+  aTransaction.writes_.push_back({ key, batch::EncodeResults(page), 0 });
+  return entry.nextPosition_ + page.size() >= aJob.state_.itemCount_;
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/ResultKeeper.h
+++ b/Libraries/LibGateway/ResultKeeper.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibLots/LotTable.h"
+#include "LibBatch/BatchJobTable.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <cstdint>
@@ -12,73 +12,73 @@
 
 namespace pumiceturn::gateway {
 
-/// Stores the results of the lots that this host runs, those of a short while
+/// Stores the results of the jobs that this host runs, those of a short while
 /// together: a call is charged whatever it holds. Results that are due soon
 /// don't wait for others. Belongs to the event thread.
 class ResultKeeper
 {
 public:
-  /// Called with each lot whose results were stored.
+  /// Called with each job whose results were stored.
   using StoredHandler = std::function<void(const std::string&)>;
 
   ResultKeeper(metadata::StoreClient& aStore,
-               lots::LotTable& aLots,
+               batch::BatchJobTable& aJobs,
                StoredHandler aOnStored)
     : store_(aStore)
-    , lots_(aLots)
+    , jobs_(aJobs)
     , onStored_(std::move(aOnStored))
   {
   }
 
-  /// This host runs a lot from now on.
-  void Begin(const lots::Lot& aLot);
+  /// This host runs a job from now on.
+  void Begin(const batch::BatchJob& aJob);
 
-  /// This host runs a lot no longer.
-  void Forget(const std::string& aLot) { entries_.erase(aLot); }
+  /// This host runs a job no longer.
+  void Forget(const std::string& aJob) { entries_.erase(aJob); }
 
   /// @param aDueAt When the result must be readable.
-  void Add(const std::string& aLot,
-           lots::ItemResult aResult,
+  void Add(const std::string& aJob,
+           batch::ItemResult aResult,
            base::Instant aDueAt,
            base::Instant aNow);
 
   /// @return whether a call is under way, or was and has no known outcome.
-  [[nodiscard]] bool IsStoring(const std::string& aLot) const;
+  [[nodiscard]] bool IsStoring(const std::string& aJob) const;
 
   /// Stores what is due.
   void Tick(base::Instant aNow);
 
-  /// Adds what isn't stored yet to the call that hands a lot over.
-  /// @return whether the lot has all its results with that.
+  /// Adds what isn't stored yet to the call that hands a job over.
+  /// @return whether the job has all its results with that.
   [[nodiscard]] bool AddTo(metadata::Transaction& aTransaction,
-                           const lots::Lot& aLot);
+                           const batch::BatchJob& aJob);
 
 private:
   struct Entry
   {
-    std::vector<lots::ItemResult> unstored_{};
-    std::vector<lots::ItemResult> storing_{}; ///< In the call under way.
+    std::vector<batch::ItemResult> unstored_{};
+    std::vector<batch::ItemResult> storing_{}; ///< In the call under way.
     std::uint32_t nextPosition_ = 0;
     bool callUnderWay_ = false;
     base::Instant storeAt_{}; ///< Of what is unstored.
     base::Instant retryAt_{};
   };
 
-  /// A page of one lot's results in a call.
+  /// A page of one job's results in a call.
   struct PageWrite
   {
-    std::string lot_;
+    std::string job_;
     std::string pageKey_;
     std::string stateKey_;
-    lots::LotState state_; ///< As it is afterwards.
+    batch::BatchJobState state_; ///< As it is afterwards.
     bool finishes_ = false;
   };
 
   [[nodiscard]] bool MayStore(const Entry& aEntry, base::Instant aNow) const;
   [[nodiscard]] std::size_t StoreTogether(base::Instant aNow);
-  void StoreAlone(const std::string& aLot, Entry& aEntry);
+  void StoreAlone(const std::string& aJob, Entry& aEntry);
   [[nodiscard]] PageWrite AddPage(metadata::Transaction& aTransaction,
-                                  const lots::Lot& aLot,
+                                  const batch::BatchJob& aJob,
                                   Entry& aEntry);
   void OnReplyTogether(const std::vector<PageWrite>& aWrites,
                        const metadata::TransactionReply& aReply);
@@ -89,9 +89,9 @@
                   std::uint64_t aStateRevision);
 
   metadata::StoreClient& store_;
-  lots::LotTable& lots_;
+  batch::BatchJobTable& jobs_;
   StoredHandler onStored_;
-  std::map<std::string, Entry> entries_; ///< By lot.
+  std::map<std::string, Entry> entries_; ///< By job.
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/Shared.h
+++ b/Libraries/LibGateway/Shared.h
@@ -7,7 +7,7 @@
 #include "LibFleet/SuspectTable.h"
 #include "LibGateway/Codec.h"
 #include "LibHttpStream/ConnectionPool.h"
-#include "LibLots/LedgerBook.h"
+#include "LibBatch/LedgerBook.h"
 #include "LibMetrics/Registry.h"
 
 #include <random>
@@ -25,7 +25,7 @@
   metrics::Registry metrics_;
   fleet::SuspectTable suspects_;
   fleet::AdmissionControl admission_;
-  lots::LedgerBook ledgers_;
+  batch::LedgerBook ledgers_;
   fleet::RateLimits rateLimits_;
 };
 
--- a/Libraries/LibGateway/HoldCaller.cpp
+++ b/Libraries/LibGateway/SpoolClient.cpp
@@ -1,6 +1,6 @@
-#include "LibGateway/HoldCaller.h"
+#include "LibGateway/SpoolClient.h"
 
-#include "LibGateway/HeldLots.h"
+#include "LibGateway/BatchJobSpool.h"
 #include "LibHttpStream/Status.h"
 
 #include <memory>
@@ -18,29 +18,29 @@
 /// Answers of the workers so far.
 struct Tally
 {
-  std::size_t held_ = 0;
+  std::size_t spooled_ = 0;
   std::size_t open_ = 0;
-  bool mayBeHeld_ = false;
-  HoldCaller::Done done_; ///< Empty once it was called.
+  bool mayBeSpooled_ = false;
+  SpoolClient::Done done_; ///< Empty once it was called.
 };
 
 void
 Finish(Tally& aTally, bool aIsHeld)
 {
   if (const auto done = std::exchange(aTally.done_, {})) {
-    done({ aIsHeld, aTally.mayBeHeld_ });
+    done({ aIsHeld, aTally.mayBeSpooled_ });
   }
 }
 
 } // namespace
 
 void
-HoldCaller::Hold(const lots::HeldLot& aLot,
-                 std::span<const lots::PeerAddress> aPeers,
-                 Done aDone)
+SpoolClient::Spool(const batch::SpooledJob& aJob,
+                   std::span<const batch::PeerAddress> aPeers,
+                   Done aDone)
 {
   std::vector<httpstream::HttpCaller*> workers;
-  for (const lots::PeerAddress& peer : aPeers) {
+  for (const batch::PeerAddress& peer : aPeers) {
     if (auto* caller =
           peer.isWorker_ ? callers_.Find(peer.address_) : nullptr) {
       workers.push_back(caller);
@@ -54,9 +54,9 @@
   }
   httpstream::Request request;
   request.method(boost::beast::http::verb::put);
-  request.target(std::string(HeldLots::kTargetPrefix) + aLot.id_);
+  request.target(std::string(BatchJobSpool::kTargetPrefix) + aJob.id_);
   request.version(11);
-  request.body() = lots::EncodeHeldLot(aLot);
+  request.body() = batch::EncodeSpooledJob(aJob);
   request.prepare_payload();
   tally->open_ = workers.size();
   for (httpstream::HttpCaller* caller : workers) {
@@ -67,16 +67,16 @@
         --tally->open_;
         const bool isAnswered = aResult.end_ == httpstream::CallEnd::Complete;
         if (isAnswered && aResult.status_ == httpstream::kStatusOk) {
-          ++tally->held_;
+          ++tally->spooled_;
         }
         const bool isCertainlyNot =
           aResult.end_ == httpstream::CallEnd::NotConnected ||
           (isAnswered && aResult.status_ == httpstream::kStatusUnavailable);
-        tally->mayBeHeld_ = tally->mayBeHeld_ || !isCertainlyNot;
-        if (tally->held_ >= copies) {
+        tally->mayBeSpooled_ = tally->mayBeSpooled_ || !isCertainlyNot;
+        if (tally->spooled_ >= copies) {
           Finish(*tally, true);
         } else if (tally->open_ == 0) {
-          tally->mayBeHeld_ = tally->mayBeHeld_ || tally->held_ > 0;
+          tally->mayBeSpooled_ = tally->mayBeSpooled_ || tally->spooled_ > 0;
           Finish(*tally, false);
         }
       });
--- a/Libraries/LibGateway/StateChange.h
+++ b/Libraries/LibGateway/StateChange.h
@@ -1,21 +1,21 @@
 #pragma once
 
-#include "LibLots/LotKeys.h"
+#include "LibBatch/BatchJobKeys.h"
 #include "LibMetadata/StoreClient.h"
 
 namespace pumiceturn::gateway {
 
-/// @return a change of a lot's state, under the condition that it is as known
-/// here. Hosts that act on a lot at the same time can't both succeed.
+/// @return a change of a job's state, under the condition that it is as known
+/// here. Hosts that act on a job at the same time can't both succeed.
 inline metadata::Transaction
-MakeStateChange(const lots::LotKeySpace& aKeys,
-                const lots::Lot& aLot,
-                const lots::LotState& aState)
+MakeStateChange(const batch::BatchJobKeySpace& aKeys,
+                const batch::BatchJob& aJob,
+                const batch::BatchJobState& aState)
 {
-  const std::string key = aKeys.StateOf(aLot.id_);
+  const std::string key = aKeys.StateOf(aJob.id_);
   metadata::Transaction transaction;
-  transaction.expectations_.push_back({ key, aLot.stateRevision_ });
-  transaction.writes_.push_back({ key, lots::EncodeState(aState), 0 });
+  transaction.expectations_.push_back({ key, aJob.stateRevision_ });
+  transaction.writes_.push_back({ key, batch::EncodeState(aState), 0 });
   return transaction;
 }
 
--- a/Libraries/LibGateway/StorePaths.cpp
+++ b/Libraries/LibGateway/StorePaths.cpp
@@ -118,7 +118,7 @@
 }
 
 void
-StorePaths::SetPeers(std::vector<lots::PeerAddress> aPeers)
+StorePaths::SetPeers(std::vector<batch::PeerAddress> aPeers)
 {
   callers_.Keep(aPeers);
   peers_ = std::move(aPeers);
--- a/Libraries/LibGateway/StorePaths.h
+++ b/Libraries/LibGateway/StorePaths.h
@@ -3,7 +3,7 @@
 #include "LibGateway/PeerCallers.h"
 #include "LibHttpStream/HttpCaller.h"
 #include "LibHttpStream/ServerConnection.h"
-#include "LibLots/HostSet.h"
+#include "LibBatch/HostSet.h"
 #include "LibMetadata/StorePath.h"
 
 #include <boost/asio/io_context.hpp>
@@ -52,7 +52,7 @@
 
   /// Names the hosts that may be asked. Those that are heard are asked first: a
   /// call to a host that is cut off from this one hangs until its timeout.
-  void SetPeers(std::vector<lots::PeerAddress> aPeers);
+  void SetPeers(std::vector<batch::PeerAddress> aPeers);
   void SetIsHeard(IsHeard aIsHeard) { isHeard_ = std::move(aIsHeard); }
 
   /// @return whether calls go through peers now.
@@ -87,7 +87,7 @@
   Protocol protocol_;
   metadata::StorePath path_;
   PeerCallers callers_;
-  std::vector<lots::PeerAddress> peers_;
+  std::vector<batch::PeerAddress> peers_;
   IsHeard isHeard_ = [](const std::string&) { return true; };
   std::size_t nextPeer_ = 0;
   boost::asio::steady_timer probeTimer_;
--- a/Libraries/LibGateway/StoreReport.h
+++ b/Libraries/LibGateway/StoreReport.h
@@ -19,13 +19,13 @@
 {
   Operators = 0,
   Endpoints = 1,
-  Lots = 2,
+  BatchJobs = 2,
   Hosts = 3,
 };
 
 inline constexpr std::array kStorePrefixes = { StorePrefix::Operators,
                                                StorePrefix::Endpoints,
-                                               StorePrefix::Lots,
+                                               StorePrefix::BatchJobs,
                                                StorePrefix::Hosts };
 
 /// What a host tells its peers of the store, several times a second.
--- a/Libraries/LibHttpStream/Status.h
+++ b/Libraries/LibHttpStream/Status.h
@@ -15,7 +15,7 @@
 
 /// Another process has the address now: certainly not run.
 inline constexpr unsigned kStatusMisdirected = 421;
-/// To an item of a lot: it can never be done.
+/// To an item of a job: it can never be done.
 inline constexpr unsigned kStatusUnprocessable = 422;
 /// Certainly not done: too many calls.
 inline constexpr unsigned kStatusTooManyRequests = 429;
--- a/Libraries/LibMetadata/StorePath.h
+++ b/Libraries/LibMetadata/StorePath.h
@@ -19,7 +19,7 @@
 /// asked meanwhile. Decides only; not thread-safe.
 ///
 /// The store may turn some hosts away and serve the others. Such a host would
-/// lose its registration after seconds, and with it the lots it runs. One call
+/// lose its registration after seconds, and with it the jobs it runs. One call
 /// that fails proves nothing, as single answers get lost; a probe decides.
 class StorePath
 {
