--- a/Tests/LibLots/LotTableTest.cpp
+++ b/Tests/LibBatch/BatchJobTableTest.cpp
@@ -1,25 +1,25 @@
-#include "LibLots/LotTable.h"
-#include "LibLots/HostSet.h"
+#include "LibBatch/BatchJobTable.h"
+#include "LibBatch/HostSet.h"
 
 #include <catch2/catch.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using namespace std::chrono_literals;
 
-class LotTableFixture
+class BatchJobTableFixture
 {
 protected:
-  static std::optional<std::vector<LotItem>> Decode(std::string_view aContent)
+  static std::optional<std::vector<BatchItem>> Decode(std::string_view aContent)
   {
-    LotItem item;
+    BatchItem item;
     item.id_ = std::string(aContent);
-    return std::vector<LotItem>{ item };
+    return std::vector<BatchItem>{ item };
   }
 
-  static LotState MakeState()
+  static BatchJobState MakeState()
   {
-    LotState state;
+    BatchJobState state;
     state.owner_ = "host/1";
     state.itemCount_ = 2;
     state.partCount_ = 2;
@@ -33,20 +33,20 @@
     table_.Apply("d/lot/content/000000", "abc", 2);
   }
 
-  LotTable table_{ LotKeySpace{ "s/", "d/" }, Decode };
+  BatchJobTable table_{ BatchJobKeySpace{ "s/", "d/" }, Decode };
 };
 
-TEST_CASE_METHOD(LotTableFixture, "LotTable_KeysInAnyOrder_JoinTheContent")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_KeysInAnyOrder_JoinTheContent")
 {
   ApplyAll();
-  const Lot* lot = table_.Find("lot");
-  REQUIRE(lot != nullptr);
-  REQUIRE(lot->items_);
-  CHECK(lot->items_->front().id_ == "abcdef");
-  CHECK(table_.OpenLots() == std::vector<std::string>{ "lot" });
+  const BatchJob* job = table_.Find("lot");
+  REQUIRE(job != nullptr);
+  REQUIRE(job->items_);
+  CHECK(job->items_->front().id_ == "abcdef");
+  CHECK(table_.OpenJobs() == std::vector<std::string>{ "lot" });
 }
 
-TEST_CASE_METHOD(LotTableFixture, "LotTable_StateUnknown_LotIsNotFound")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_StateUnknown_LotIsNotFound")
 {
   table_.Apply("d/lot/content/000000", "abc", 2);
   CHECK(table_.Find("lot") == nullptr);
@@ -54,7 +54,7 @@
 
 // A society reads a result at another position than before: pages of results
 // came out of order, and the later one was listed first.
-TEST_CASE_METHOD(LotTableFixture, "LotTable_PagesOutOfOrder_KeepPositions")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_PagesOutOfOrder_KeepPositions")
 {
   ApplyAll();
   const std::vector<ItemResult> first = { { "x", ItemState::Completed, "1" } };
@@ -68,7 +68,7 @@
   CHECK(table_.Find("lot")->results_[1] == second[0]);
 }
 
-TEST_CASE_METHOD(LotTableFixture, "LotTable_Unloaded_KeepsTheStateAlone")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_Unloaded_KeepsTheStateAlone")
 {
   ApplyAll();
   CHECK(table_.FinishLoading("lot"));
@@ -80,23 +80,23 @@
   CHECK(table_.Find("lot")->state_ == MakeState());
 }
 
-TEST_CASE_METHOD(LotTableFixture, "LotTable_ContentNotWhole_IsNotLoaded")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_ContentNotWhole_IsNotLoaded")
 {
   table_.Apply("s/lot", EncodeState(MakeState()), 2);
   table_.Apply("d/lot/content/000000", "abc", 2);
   CHECK_FALSE(table_.FinishLoading("lot"));
 }
 
-TEST_CASE_METHOD(LotTableFixture, "LotTable_FinishedState_IsNotOpen")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_FinishedState_IsNotOpen")
 {
-  LotState finished = MakeState();
+  BatchJobState finished = MakeState();
   finished.isFinished_ = true;
   table_.Apply("s/lot", EncodeState(finished), 2);
-  CHECK(table_.OpenLots().empty());
-  CHECK(table_.AllLots().size() == 1);
+  CHECK(table_.OpenJobs().empty());
+  CHECK(table_.AllJobs().size() == 1);
 }
 
-TEST_CASE_METHOD(LotTableFixture, "LotKeySpace_AnyKey_IsParsedBack")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotKeySpace_AnyKey_IsParsedBack")
 {
   for (const KeyPart part : { KeyPart::State,
                               KeyPart::Content,
@@ -104,24 +104,24 @@
                               KeyPart::Progress }) {
     const bool isNumbered =
       part == KeyPart::Content || part == KeyPart::Results;
-    const LotKey key{ "lot", part, isNumbered ? 12U : 0U };
+    const BatchJobKey key{ "lot", part, isNumbered ? 12U : 0U };
     CHECK(table_.Keys().ParseKey(table_.Keys().MakeKey(key)) == key);
   }
   CHECK_FALSE(table_.Keys().ParseKey("d/lot/result/x"));
   CHECK_FALSE(table_.Keys().ParseKey("elsewhere"));
 }
 
-TEST_CASE_METHOD(LotTableFixture, "LotTable_OlderState_IsIgnored")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_OlderState_IsIgnored")
 {
   ApplyAll();
-  LotState ended = MakeState();
+  BatchJobState ended = MakeState();
   ended.isEnded_ = true;
   table_.Apply("s/lot", EncodeState(ended), 9);
   table_.Apply("s/lot", EncodeState(MakeState()), 3);
   CHECK(table_.Find("lot")->state_.isEnded_);
 }
 
-TEST_CASE_METHOD(LotTableFixture, "LotTable_MalformedValues_ChangeNothing")
+TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_MalformedValues_ChangeNothing")
 {
   ApplyAll();
   CHECK_FALSE(table_.Apply("nonsense", "x", 9));
@@ -140,10 +140,12 @@
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_WorkersLive_LotsGoToWorkers")
 {
-  hosts_.Put("entry", "entry/1", LotPreference::IfNoOther, "127.0.0.1:1", now_);
-  hosts_.Put("worker", "worker/1", LotPreference::Worker, "127.0.0.1:1", now_);
-  for (const char* lot : { "a", "b", "c", "d", "e" }) {
-    CHECK(hosts_.OwnerFor(lot) == "worker/1");
+  hosts_.Put(
+    "entry", "entry/1", BatchPreference::IfNoOther, "127.0.0.1:1", now_);
+  hosts_.Put(
+    "worker", "worker/1", BatchPreference::Worker, "127.0.0.1:1", now_);
+  for (const char* job : { "a", "b", "c", "d", "e" }) {
+    CHECK(hosts_.OwnerFor(job) == "worker/1");
   }
   hosts_.Remove("worker", now_);
   CHECK(hosts_.OwnerFor("a") == "entry/1");
@@ -151,14 +153,15 @@
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_LiveOwner_HasAnAddress")
 {
-  hosts_.Put("worker", "worker/2", LotPreference::Worker, "10.0.0.1:7", now_);
+  hosts_.Put("worker", "worker/2", BatchPreference::Worker, "10.0.0.1:7", now_);
   CHECK(hosts_.AddressOf("worker/2") == "10.0.0.1:7");
   CHECK_FALSE(hosts_.AddressOf("worker/1"));
 }
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_HostGone_OwnerIsGoneAfterGrace")
 {
-  hosts_.Put("worker", "worker/1", LotPreference::Worker, "127.0.0.1:1", now_);
+  hosts_.Put(
+    "worker", "worker/1", BatchPreference::Worker, "127.0.0.1:1", now_);
   hosts_.Remove("worker", now_);
   CHECK_FALSE(hosts_.IsGone("worker/1", now_ + 1s));
   CHECK(hosts_.IsGone("worker/1", now_ + 2s));
@@ -166,8 +169,10 @@
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_HostStartedAnew_OldOwnerIsGoneAtOnce")
 {
-  hosts_.Put("worker", "worker/1", LotPreference::Worker, "127.0.0.1:1", now_);
-  hosts_.Put("worker", "worker/2", LotPreference::Worker, "127.0.0.1:1", now_);
+  hosts_.Put(
+    "worker", "worker/1", BatchPreference::Worker, "127.0.0.1:1", now_);
+  hosts_.Put(
+    "worker", "worker/2", BatchPreference::Worker, "127.0.0.1:1", now_);
   CHECK(hosts_.IsGone("worker/1", now_));
   CHECK_FALSE(hosts_.IsGone("worker/2", now_ + 1h));
 }
@@ -179,4 +184,4 @@
   CHECK(hosts_.IsGone("", now_));
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Tests/LibLots/HostSetTest.cpp
+++ b/Tests/LibBatch/HostSetTest.cpp
@@ -1,8 +1,8 @@
-#include "LibLots/HostSet.h"
+#include "LibBatch/HostSet.h"
 
 #include <catch2/catch.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 class HostSetFixture
 {
@@ -10,11 +10,12 @@
   void PutEntry(const std::string& aHost)
   {
     hosts_.Put(
-      aHost, aHost + "/1", LotPreference::IfNoOther, aHost + ":1", now_);
+      aHost, aHost + "/1", BatchPreference::IfNoOther, aHost + ":1", now_);
   }
   void PutWorker(const std::string& aHost)
   {
-    hosts_.Put(aHost, aHost + "/1", LotPreference::Worker, aHost + ":1", now_);
+    hosts_.Put(
+      aHost, aHost + "/1", BatchPreference::Worker, aHost + ":1", now_);
   }
 
   HostSet hosts_;
@@ -24,7 +25,7 @@
 TEST_CASE_METHOD(HostSetFixture, "HostSet_Empty_HasNoOwner")
 {
   CHECK(hosts_.OwnerFor("lot").empty());
-  CHECK(hosts_.IsPreferred(LotPreference::IfNoOther));
+  CHECK(hosts_.IsPreferred(BatchPreference::IfNoOther));
 }
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_WithWorkers_EntryHostsGetNoLots")
@@ -33,14 +34,14 @@
   CHECK(hosts_.OwnerFor("lot") == "e1/1");
   PutWorker("w1");
   CHECK(hosts_.OwnerFor("lot") == "w1/1");
-  CHECK_FALSE(hosts_.IsPreferred(LotPreference::IfNoOther));
-  CHECK(hosts_.IsPreferred(LotPreference::Worker));
+  CHECK_FALSE(hosts_.IsPreferred(BatchPreference::IfNoOther));
+  CHECK(hosts_.IsPreferred(BatchPreference::Worker));
   hosts_.Remove("w1", now_);
   CHECK(hosts_.OwnerFor("lot") == "e1/1");
-  CHECK(hosts_.IsPreferred(LotPreference::IfNoOther));
+  CHECK(hosts_.IsPreferred(BatchPreference::IfNoOther));
 }
 
-// All lots of a fleet move when one host comes or goes, and each loses its
+// All jobs of a fleet move when one host comes or goes, and each loses its
 // runs.
 TEST_CASE_METHOD(HostSetFixture, "HostSet_HostLeaves_OtherLotsStay")
 {
@@ -48,8 +49,8 @@
     PutWorker(host);
   }
   std::unordered_map<std::string, std::string> before;
-  for (int lot = 0; lot < 100; ++lot) {
-    const std::string id = "lot" + std::to_string(lot);
+  for (int job = 0; job < 100; ++job) {
+    const std::string id = "lot" + std::to_string(job);
     before[id] = hosts_.OwnerFor(id);
   }
   hosts_.Remove("w2", now_);
@@ -60,7 +61,7 @@
   }
 }
 
-// A lot runs at two hosts: the store was away for a moment, the registration of
+// A job runs at two hosts: the store was away for a moment, the registration of
 // the host that runs it lapsed, and another took over at once.
 TEST_CASE_METHOD(HostSetFixture, "HostSet_RegistrationLapses_OwnerIsGoneLater")
 {
@@ -75,7 +76,7 @@
 TEST_CASE_METHOD(HostSetFixture, "HostSet_StartedAnew_FormerOwnerIsGoneAtOnce")
 {
   PutWorker("w1");
-  hosts_.Put("w1", "w1/2", LotPreference::Worker, "w1:1", now_);
+  hosts_.Put("w1", "w1/2", BatchPreference::Worker, "w1:1", now_);
   CHECK(hosts_.IsGone("w1/1", now_));
   CHECK_FALSE(hosts_.IsGone("w1/2", now_));
 }
@@ -89,4 +90,4 @@
   CHECK(hosts_.Count() == 2);
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Tests/LibLots/ItemScheduleTest.cpp
+++ b/Tests/LibBatch/ItemScheduleTest.cpp
@@ -1,8 +1,8 @@
-#include "LibLots/ItemSchedule.h"
+#include "LibBatch/ItemSchedule.h"
 
 #include <catch2/catch.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using namespace std::chrono_literals;
 
@@ -11,15 +11,15 @@
 protected:
   ItemScheduleFixture()
   {
-    lot_.state_.itemCount_ = 2;
-    lot_.items_ = std::vector<LotItem>(2);
-    (*lot_.items_)[0].id_ = "first";
-    (*lot_.items_)[1].id_ = "second";
+    job_.state_.itemCount_ = 2;
+    job_.items_ = std::vector<BatchItem>(2);
+    (*job_.items_)[0].id_ = "first";
+    (*job_.items_)[1].id_ = "second";
     limits_.maxAttempts_ = 2;
     limits_.giveUpAt_ = now_ + 1min;
   }
 
-  ItemSchedule Make() const { return { lot_, limits_ }; }
+  ItemSchedule Make() const { return { job_, limits_ }; }
 
   std::optional<std::size_t> Next(ItemSchedule& aSchedule)
   {
@@ -39,7 +39,7 @@
     return aSchedule.End(*item, aEnd, aProgress, now_);
   }
 
-  Lot lot_;
+  BatchJob job_;
   ItemLimits limits_;
   base::Instant now_{ base::Duration{ 1h } };
   bool livedOn_ = false;
@@ -127,8 +127,8 @@
 
 TEST_CASE_METHOD(ItemScheduleFixture, "ItemSchedule_ItemsEnd_WaitingTokensFall")
 {
-  (*lot_.items_)[0].tokens_ = 300;
-  (*lot_.items_)[1].tokens_ = 20;
+  (*job_.items_)[0].tokens_ = 300;
+  (*job_.items_)[1].tokens_ = 20;
   ItemSchedule schedule = Make();
   CHECK(schedule.WaitingTokens() == 320);
   CHECK_FALSE(Run(schedule, ItemRunEnd::Preempted, { 3, "x" }));
@@ -142,12 +142,12 @@
 TEST_CASE_METHOD(ItemScheduleFixture,
                  "ItemSchedule_TakenOver_SkipsListedAndKeepsProgress")
 {
-  lot_.results_.push_back({ "first", ItemState::Completed, "a" });
-  lot_.progress_["second"] = { 4, "w\nx\ny\nz" };
+  job_.results_.push_back({ "first", ItemState::Completed, "a" });
+  job_.progress_["second"] = { 4, "w\nx\ny\nz" };
   ItemSchedule schedule = Make();
   CHECK(Next(schedule) == 1);
   CHECK(schedule.ProgressOf(1).lastEvent_ == 4);
   CHECK(schedule.Progress().size() == 1);
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Tests/LibLots/StartOrderTest.cpp
+++ b/Tests/LibBatch/StartOrderTest.cpp
@@ -1,5 +1,5 @@
-#include "LibLots/StartOrder.h"
-#include "LibLots/ItemPace.h"
+#include "LibBatch/StartOrder.h"
+#include "LibBatch/ItemPace.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using namespace std::chrono_literals;
 
@@ -172,7 +172,7 @@
   std::mt19937_64 random_{ 4 };
 };
 
-// A partner sends six times its lots for a quarter of a minute: what the fleet
+// A partner sends six times its jobs for a quarter of a minute: what the fleet
 // can finish in time must be in time, although most items can't be. By due time
 // alone each place goes to an item whose time is just over. 16 places on
 // average finish 4.4 items a second; from the flood's begin until the last due
@@ -217,12 +217,12 @@
                   { "old", 2, { now + 9s, 4s } },
                   { "begun", 3, { now + 12s, 2s }, true } },
                 { now, 8.0, base::Duration::zero() });
-  std::vector<std::string> lots;
-  lots.reserve(ordered.size());
+  std::vector<std::string> jobs;
+  jobs.reserve(ordered.size());
   for (const StartCandidate& candidate : ordered) {
-    lots.push_back(candidate.lot_);
+    jobs.push_back(candidate.job_);
   }
-  CHECK(lots == std::vector<std::string>{ "begun", "old", "fresh", "late" });
+  CHECK(jobs == std::vector<std::string>{ "begun", "old", "fresh", "late" });
 }
 
 TEST_CASE("StartOrder_RunsOutOfReach_GiveWayFirst")
@@ -250,4 +250,4 @@
   CHECK(base::ToMs(pace.Remaining(1000, 300)) == 20);
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Tests/LibLots/TokenLedgerTest.cpp
+++ b/Tests/LibBatch/TokenLedgerTest.cpp
@@ -1,9 +1,9 @@
-#include "LibLots/TokenLedger.h"
-#include "LibLots/LedgerBook.h"
+#include "LibBatch/TokenLedger.h"
+#include "LibBatch/LedgerBook.h"
 
 #include <catch2/catch.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using namespace std::chrono_literals;
 
@@ -88,4 +88,4 @@
   CHECK(RoomAfter(100) == 300ms);
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Tests/LibFleet/EndpointTableTest.cpp
+++ b/Tests/LibFleet/EndpointTableTest.cpp
@@ -93,7 +93,7 @@
   CHECK_FALSE(Choose(WorkClass::Batch));
 }
 
-// Researchers wait behind a lot that arrived a moment before them: batch filled
+// Researchers wait behind a job that arrived a moment before them: batch filled
 // every place of every engine, and engines admit in order of arrival.
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_BatchStarts_LeaveRoomForOnline")
@@ -148,7 +148,7 @@
 }
 
 // A translator's hint waits 200 ms for nothing: every place is taken, one of
-// them by a lot of another host, and nobody tells that host.
+// them by a job of another host, and nobody tells that host.
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_OnlyPeersHaveBatch_NamesThePeerThatYields")
 {
--- a/Tests/LibFleet/PeerHearingTest.cpp
+++ b/Tests/LibFleet/PeerHearingTest.cpp
@@ -46,7 +46,7 @@
 }
 
 // Translators wait half a second at an entry host that is cut off from the
-// hosts that run lots: it takes their runs for none, and its requests to let
+// hosts that run jobs: it takes their runs for none, and its requests to let
 // batch give way are lost, though the other entry hosts reach both.
 TEST_CASE_METHOD(PeerHearingFixture, "PeerHearing_PeerSilent_IsHeardThroughOne")
 {
--- a/Tests/LibMetadata/PrefixMirrorTest.cpp
+++ b/Tests/LibMetadata/PrefixMirrorTest.cpp
@@ -279,7 +279,7 @@
   CHECK(store_.commits_.front().first.writes_.front().lease_ == 7);
 }
 
-// Lots of a living host are taken over. The store was away, the host's lease
+// Jobs of a living host are taken over. The store was away, the host's lease
 // lapsed, and nothing registered the host again.
 TEST_CASE_METHOD(HostLeaseFixture, "HostLease_LeaseLapsed_RegistersAgain")
 {
@@ -299,7 +299,7 @@
   CHECK(store_.commits_.size() == 1);
 }
 
-// A lot on a worker's disk is said not to exist: the host that was asked
+// A job on a worker's disk is said not to exist: the host that was asked
 // follows nothing and had not noticed that the store was away a moment ago.
 TEST_CASE_METHOD(HostLeaseFixture, "HostLease_RenewalFails_StoreCountsAsLost")
 {
--- a/Tests/LibMetadata/StoreHealthTest.cpp
+++ b/Tests/LibMetadata/StoreHealthTest.cpp
@@ -59,8 +59,8 @@
   CHECK(health_.ReturnedAt(now_) == returned);
 }
 
-// A lot that was accepted during an outage is denied: the host reads the store,
-// which is back, before the hosts that keep the lot have stored it.
+// A job that was accepted during an outage is denied: the host reads the store,
+// which is back, before the hosts that keep the job have stored it.
 TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_LatelyLost_IsRemembered")
 {
   Call(true, 0);
--- a/Tests/Platform/HeldLotsTest.cpp
+++ b/Tests/Platform/BatchJobSpoolTest.cpp
@@ -1,12 +1,12 @@
-#include "Tests/Platform/LotsFixture.h"
+#include "Tests/Platform/BatchJobsFixture.h"
 
-#include "LibLots/HeldLotFiles.h"
+#include "LibBatch/SpoolFiles.h"
 #include "Tests/Platform/TestRoute.h"
 #include "Tests/TemporaryFolder.h"
 
 namespace pumiceturn::adapter {
 
-class HeldLotsFixture : protected LotsFixture
+class BatchJobSpoolFixture : protected BatchJobsFixture
 {
 protected:
   TestHost& StartWorkerWithDisk(const std::string& aName)
@@ -33,15 +33,15 @@
 
   [[nodiscard]] std::size_t FileCount(const std::string& aName) const
   {
-    return lots::HeldLotFiles(FolderOf(aName)).ReadAll().size();
+    return batch::SpoolFiles(FolderOf(aName)).ReadAll().size();
   }
 
   TemporaryFolder folder_;
 };
 
-// A partner's lot is refused for as long as the store is down, and comes again
+// A partner's job is refused for as long as the store is down, and comes again
 // too late: nobody but the store could keep it.
-TEST_CASE_METHOD(HeldLotsFixture,
+TEST_CASE_METHOD(BatchJobSpoolFixture,
                  "HeldLots_StoreAway_LotIsKeptAndRunAfterwards")
 {
   StartWorkerWithDisk("worker-1");
@@ -51,7 +51,7 @@
   CHECK(Submit(*entry_, 5) == 202);
   CHECK(FileCount("worker-1") + FileCount("worker-2") == 2);
   CHECK(store_.Get("pumiceturn/lot/lot1").empty());
-  // Sent again, it is the same lot.
+  // Sent again, it is the same job.
   CHECK(Submit(*entry_, 5) == 202);
   store_.SetMood(StoreMood::Serving);
   WaitForAll(*entry_, 5);
@@ -60,9 +60,9 @@
     [this] { return FileCount("worker-1") + FileCount("worker-2") == 0; });
 }
 
-// A lot is lost: it was acknowledged with a single copy on a disk, and that
+// A job is lost: it was acknowledged with a single copy on a disk, and that
 // host was lost next.
-TEST_CASE_METHOD(HeldLotsFixture, "HeldLots_OneDiskAlone_IsNotEnough")
+TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_OneDiskAlone_IsNotEnough")
 {
   StartWorkerWithDisk("worker-1");
   StartWorker("worker-2");
@@ -74,7 +74,7 @@
   WaitForAll(*entry_, 2);
 }
 
-TEST_CASE_METHOD(HeldLotsFixture, "HeldLots_NoDisk_LotIsRefusedAsNotRun")
+TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_NoDisk_LotIsRefusedAsNotRun")
 {
   StartWorker("worker-1");
   StartWorker("worker-2");
@@ -87,78 +87,79 @@
   CHECK(RequestCount() == 2);
 }
 
-// Power fails while the store is down: the lots that were accepted meanwhile
+// Power fails while the store is down: the jobs that were accepted meanwhile
 // are on the disk of a host that starts anew.
-TEST_CASE_METHOD(HeldLotsFixture,
+TEST_CASE_METHOD(BatchJobSpoolFixture,
                  "HeldLots_HostStartsAnew_StoresWhatItsDiskHas")
 {
-  lots::HeldLot lot;
-  lot.id_ = "lot1";
-  lot.state_.owner_ = "worker-1/0";
-  lot.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
-  lot.state_.itemCount_ = 3;
-  lot.state_.hostName_ = "a.example";
-  lot.state_.path_ = "/lots/1";
-  lot.content_ = LotBody(3);
-  CHECK_FALSE(lots::HeldLotFiles(FolderOf("worker-1")).Write(lot).error_);
+  batch::SpooledJob job;
+  job.id_ = "lot1";
+  job.state_.owner_ = "worker-1/0";
+  job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
+  job.state_.itemCount_ = 3;
+  job.state_.hostName_ = "a.example";
+  job.state_.path_ = "/lots/1";
+  job.content_ = JobBody(3);
+  CHECK_FALSE(batch::SpoolFiles(FolderOf("worker-1")).Write(job).error_);
   StartWorkerWithDisk("worker-1");
   WaitForAll(*entry_, 3);
   RunUntil([this] { return FileCount("worker-1") == 0; });
 }
 
-// An organisation is told that its lot is accepted, under an id that another's
-// lot has.
-TEST_CASE_METHOD(HeldLotsFixture, "HeldLots_IdOfAnothersLot_IsNotTaken")
+// An organisation is told that its job is accepted, under an id that another's
+// job has.
+TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_IdOfAnothersLot_IsNotTaken")
 {
   StartWorkerWithDisk("worker-1");
-  lots::HeldLot lot;
-  lot.id_ = "lot1";
-  lot.state_.owner_ = "worker-1/1";
-  lot.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
-  lot.state_.itemCount_ = 3;
-  lot.state_.organisation_ = "archive";
-  store_.Put("pumiceturn/lot/lot1", lots::EncodeState(lot.state_));
-  const auto statusOf = [this, &lot] {
+  batch::SpooledJob job;
+  job.id_ = "lot1";
+  job.state_.owner_ = "worker-1/1";
+  job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
+  job.state_.itemCount_ = 3;
+  job.state_.organisation_ = "archive";
+  store_.Put("pumiceturn/lot/lot1", batch::EncodeState(job.state_));
+  const auto statusOf = [this, &job] {
     return Send(hosts_.back()->passOnPort_,
                 "PUT",
                 "/held/lot1",
                 {},
-                lots::EncodeHeldLot(lot));
+                batch::EncodeSpooledJob(job));
   };
-  lot.content_ = LotBody(3);
+  job.content_ = JobBody(3);
   RunUntil(
     [this] { return Ask(*entry_, "GET", "/api/lots/lot1")->status_ != 404; });
   const auto same = statusOf();
   RunUntil([&same] { return same->IsOver(); });
-  lot.state_.organisation_ = "portal";
+  job.state_.organisation_ = "portal";
   const auto other = statusOf();
   RunUntil([&other] { return other->IsOver(); });
   CHECK(other->status_ == 503);
   CHECK(same->status_ == 200);
 }
 
-// A lot runs a second time: a host that was off for long still had it on its
+// A job runs a second time: a host that was off for long still had it on its
 // disk, and the store had forgotten that it was finished.
-TEST_CASE_METHOD(HeldLotsFixture, "HeldLots_OlderThanRetention_IsDropped")
+TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_OlderThanRetention_IsDropped")
 {
-  lots::HeldLot lot;
-  lot.id_ = "lot1";
-  lot.state_.acceptedAtMs_ =
+  batch::SpooledJob job;
+  job.id_ = "lot1";
+  job.state_.acceptedAtMs_ =
     base::ToUnixMs(base::WallNow() - std::chrono::hours(1));
-  lot.state_.itemCount_ = 1;
-  lot.state_.hostName_ = "a.example";
-  lot.state_.path_ = "/lots/1";
-  lot.content_ = LotBody(1);
-  CHECK_FALSE(lots::HeldLotFiles(FolderOf("worker-1")).Write(lot).error_);
+  job.state_.itemCount_ = 1;
+  job.state_.hostName_ = "a.example";
+  job.state_.path_ = "/lots/1";
+  job.content_ = JobBody(1);
+  CHECK_FALSE(batch::SpoolFiles(FolderOf("worker-1")).Write(job).error_);
   StartWorkerWithDisk("worker-1");
   RunUntil([this] { return FileCount("worker-1") == 0; });
   CHECK(store_.Get("pumiceturn/lot/lot1").empty());
   CHECK(RequestCount() == 0);
 }
 
-// Lots pile up on the workers' disks while the store is away, and exceed their
+// Jobs pile up on the workers' disks while the store is away, and exceed their
 // route's cap together once it is back: the ledger could not be asked.
-TEST_CASE_METHOD(HeldLotsFixture, "HeldLots_RouteIsCapped_DisksTakeTheirPart")
+TEST_CASE_METHOD(BatchJobSpoolFixture,
+                 "HeldLots_RouteIsCapped_DisksTakeTheirPart")
 {
   capOverage_ = 0.1;
   StartWorkerWithDisk("worker-1");
@@ -180,7 +181,7 @@
   CHECK(Submit(*entry_, 11) == 202);
   CHECK(
     Ask(
-      *entry_, "POST", "/lots/1", "Attempt-Id: lot2\r\n", LotBody(1, "second-"))
+      *entry_, "POST", "/lots/1", "Attempt-Id: lot2\r\n", JobBody(1, "second-"))
       ->status_ == 503);
   // Sent again, the first is still accepted.
   CHECK(Submit(*entry_, 11) == 202);
@@ -188,17 +189,18 @@
   WaitForAll(*entry_, 11);
 }
 
-// A sender brings its lot to two entry hosts at once, and both to the same
-// worker: one of the two is never told that the lot is on the disk.
-TEST_CASE_METHOD(HeldLotsFixture, "HeldLots_BroughtTwiceAtOnce_BothAreAnswered")
+// A sender brings its job to two entry hosts at once, and both to the same
+// worker: one of the two is never told that the job is on the disk.
+TEST_CASE_METHOD(BatchJobSpoolFixture,
+                 "HeldLots_BroughtTwiceAtOnce_BothAreAnswered")
 {
   TestHost& worker = StartWorkerWithDisk("worker-1");
   store_.SetMood(StoreMood::Refusing);
-  lots::HeldLot lot;
-  lot.id_ = "lot1";
-  lot.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
-  lot.content_ = LotBody(1);
-  const std::string body = lots::EncodeHeldLot(lot);
+  batch::SpooledJob job;
+  job.id_ = "lot1";
+  job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
+  job.content_ = JobBody(1);
+  const std::string body = batch::EncodeSpooledJob(job);
   const auto bring = [&] {
     return SendTo(Loopback(worker.passOnPort_), "PUT", "/held/lot1", {}, body);
   };
--- a/Tests/Platform/LotsFixture.h
+++ b/Tests/Platform/BatchJobsFixture.h
@@ -8,27 +8,27 @@
 
 namespace pumiceturn::adapter {
 
-/// An entry host, two servers, and the calls that send and read a lot.
-class LotsFixture : protected GatewayFixture
+/// An entry host, two servers, and the calls that send and read a job.
+class BatchJobsFixture : protected GatewayFixture
 {
 protected:
-  LotsFixture()
+  BatchJobsFixture()
   {
     WriteConfiguration(1);
     AddServer("i-1");
     AddServer("i-2");
-    entry_ = &StartHost("entry", lots::LotPreference::IfNoOther);
+    entry_ = &StartHost("entry", batch::BatchPreference::IfNoOther);
   }
 
   TestHost& StartWorker(const std::string& aName)
   {
-    return StartHost(aName, lots::LotPreference::Worker);
+    return StartHost(aName, batch::BatchPreference::Worker);
   }
 
   unsigned Submit(TestHost& aHost, int aItems)
   {
     return Ask(
-             aHost, "POST", "/lots/1", "Attempt-Id: lot1\r\n", LotBody(aItems))
+             aHost, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(aItems))
       ->status_;
   }
 
--- a/Tests/Platform/LotsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -1,5 +1,5 @@
-#include "LibLots/HeldLot.h"
-#include "Tests/Platform/LotsFixture.h"
+#include "LibBatch/SpooledJob.h"
+#include "Tests/Platform/BatchJobsFixture.h"
 
 #include <nlohmann/json.hpp>
 
@@ -7,10 +7,10 @@
 
 using nlohmann::json;
 
-TEST_CASE_METHOD(LotsFixture, "Lots_CalmLot_IsAnsweredOnceAtEveryHost")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_CalmLot_IsAnsweredOnceAtEveryHost")
 {
   StartWorker("worker");
-  TestHost& other = StartHost("other", lots::LotPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   CHECK(Submit(*entry_, 5) == 202);
   const json page = WaitForAll(*entry_, 5);
   CHECK(page["total"] == 5);
@@ -24,9 +24,9 @@
   CHECK(Results(other, 3)["results"].size() == 2);
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_SentAgain_IsAcceptedOnce")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_SentAgain_IsAcceptedOnce")
 {
-  TestHost& other = StartHost("other", lots::LotPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   CHECK(Submit(*entry_, 3) == 202);
   CHECK(Submit(other, 3) == 202);
   CHECK(Submit(*entry_, 3) == 202);
@@ -34,7 +34,8 @@
   CHECK(RequestCount() == 3);
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_ItemStreamBreaks_GoesOnWithoutGapOrDouble")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_ItemStreamBreaks_GoesOnWithoutGapOrDouble")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Break, 2, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Break, 4, 0 });
@@ -44,7 +45,7 @@
   CHECK(page["results"][1]["output"] == WholeOutput());
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_ImpossibleItem_IsErroredAndOthersGoOn")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_ImpossibleItem_IsErroredAndOthersGoOn")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Status, 0, 422 });
   servers_[1]->Enqueue({ ServerScript::Kind::Status, 0, 422 });
@@ -57,7 +58,8 @@
   CHECK(errored == 2);
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_ItemFailsAtEachRun_IsErroredAfterTheLimit")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_ItemFailsAtEachRun_IsErroredAfterTheLimit")
 {
   for (int run = 0; run < 2; ++run) {
     servers_[0]->Enqueue({ ServerScript::Kind::Status, 0, 500 });
@@ -69,13 +71,13 @@
   CHECK(RequestCount() == 2);
 }
 
-// A society sends its lot again and both reports are billed. The store had
+// A society sends its job again and both reports are billed. The store had
 // carried out the first write, and its answer was lost.
-TEST_CASE_METHOD(LotsFixture, "Lots_AnswerOfTheStoreLost_LotIsKeptOnce")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_AnswerOfTheStoreLost_LotIsKeptOnce")
 {
   store_.SetMood(StoreMood::LosingWrites);
   const auto call = Send(
-    entry_->callerPort_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", LotBody(2));
+    entry_->callerPort_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
   RunUntil([this] { return !store_.Get("pumiceturn/lot/lot1").empty(); });
   store_.SetMood(StoreMood::Serving);
   RunUntil([&call] { return call->IsOver(); });
@@ -84,11 +86,12 @@
   CHECK(RequestCount() == 2);
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_StoreRefuses_LotIsRefusedAndNothingRuns")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_StoreRefuses_LotIsRefusedAndNothingRuns")
 {
   store_.SetMood(StoreMood::Refusing);
   const auto call =
-    Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", LotBody(2));
+    Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
   CHECK(call->status_ == 503);
   CHECK_FALSE(call->retryAfter_.empty());
   CHECK(Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 503);
@@ -99,9 +102,9 @@
   CHECK(RequestCount() == 0);
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_ReadAtAHostThatHasNotHeard_IsFound")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_ReadAtAHostThatHasNotHeard_IsFound")
 {
-  TestHost& other = StartHost("other", lots::LotPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   CHECK(Submit(*entry_, 1) == 202);
   CHECK(Ask(other, "GET", "/api/lots/lot1?after=0")->status_ == 200);
   const auto body = Ask(other, "GET", "/api/items/lot1?id=item-0");
@@ -114,21 +117,22 @@
 // Reports come back as given up although they had minutes left: the clock of
 // the host that runs them had jumped ahead of that of the host that accepted
 // them.
-TEST_CASE_METHOD(LotsFixture, "Lots_ClocksOfDayDiffer_NothingIsGivenUpSooner")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_ClocksOfDayDiffer_NothingIsGivenUpSooner")
 {
   constexpr std::chrono::seconds kGiveUpAfter{ 120 };
   constexpr std::chrono::seconds kJump{ 5 };
-  lots::HeldLot lot;
-  lot.id_ = "lot1";
-  lot.state_.owner_ = "nobody/0";
-  lot.state_.acceptedAtMs_ =
+  batch::SpooledJob job;
+  job.id_ = "lot1";
+  job.state_.owner_ = "nobody/0";
+  job.state_.acceptedAtMs_ =
     base::ToUnixMs(base::WallNow() - kGiveUpAfter - kJump);
-  lot.state_.itemCount_ = 2;
-  lot.state_.partCount_ = 1;
-  lot.state_.hostName_ = "a.example";
-  lot.state_.path_ = "/lots/1";
-  store_.Put("pumiceturn/data/lot1/content/000000", LotBody(2));
-  store_.Put("pumiceturn/lot/lot1", lots::EncodeState(lot.state_));
+  job.state_.itemCount_ = 2;
+  job.state_.partCount_ = 1;
+  job.state_.hostName_ = "a.example";
+  job.state_.path_ = "/lots/1";
+  store_.Put("pumiceturn/data/lot1/content/000000", JobBody(2));
+  store_.Put("pumiceturn/lot/lot1", batch::EncodeState(job.state_));
   StartWorker("worker");
   for (const json& result : WaitForAll(*entry_, 2)["results"]) {
     CHECK(result["state"] == "completed");
@@ -137,16 +141,17 @@
 
 // A society sees two results at one host and none at another a second later:
 // the other host's own copy of the results had fallen behind.
-TEST_CASE_METHOD(LotsFixture, "Lots_ReadElsewhere_ShowsWhatWasReadBefore")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_ReadElsewhere_ShowsWhatWasReadBefore")
 {
   StartWorker("worker");
-  TestHost& other = StartHost("other", lots::LotPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   CHECK(Submit(*entry_, 4) == 202);
   const json page = WaitForAll(*entry_, 4);
   CHECK(Results(other) == page);
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_OwnerDoesNotAnswer_ResultsComeFromTheStore")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_OwnerDoesNotAnswer_ResultsComeFromTheStore")
 {
   StartWorker("worker");
   CHECK(Submit(*entry_, 2) == 202);
@@ -158,9 +163,10 @@
 }
 
 // The last line of a script never comes, at any host. The store's watch tells
-// that the lot is finished before the answer to the write of its last result
+// that the job is finished before the answer to the write of its last result
 // arrives, and the host that ran it forgets the write.
-TEST_CASE_METHOD(LotsFixture, "Lots_WatchOvertakesTheAnswer_LastResultIsShown")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_WatchOvertakesTheAnswer_LastResultIsShown")
 {
   StartWorker("worker");
   store_.SetMood(StoreMood::AnsweringLate);
@@ -170,9 +176,10 @@
 }
 
 // The same end: the store carries out the write of the last result and its
-// answer is lost. The watch tells of the finished lot while the host waits to
+// answer is lost. The watch tells of the finished job while the host waits to
 // try again.
-TEST_CASE_METHOD(LotsFixture, "Lots_AnswerToTheLastWriteLost_ResultIsShown")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_AnswerToTheLastWriteLost_ResultIsShown")
 {
   StartWorker("worker");
   // The run that falls silent gives the host's watch time to be waiting again.
@@ -192,7 +199,8 @@
   CHECK(page["results"][0]["output"] == WholeOutput());
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_ReaderWaits_IsAnsweredWithTheFirstResult")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_ReaderWaits_IsAnsweredWithTheFirstResult")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
@@ -209,9 +217,9 @@
 }
 
 // Each request is refused for the rest of a host's grace: it has nothing left
-// to finish, but readers of lots come and wait there all the time, as the
+// to finish, but readers of jobs come and wait there all the time, as the
 // balancer knows no other host, and so it never ends and starts anew.
-TEST_CASE_METHOD(LotsFixture, "Lots_ReadersKeepComing_LeavingHostEnds")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_ReadersKeepComing_LeavingHostEnds")
 {
   StartWorker("worker");
   for (int run = 0; run < 40; ++run) {
@@ -238,7 +246,7 @@
   CHECK(base::MonotonicNow() - begin < std::chrono::seconds(6));
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_Ended_RunsNoMore")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_Ended_RunsNoMore")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
@@ -252,9 +260,9 @@
   CHECK(Results(*entry_)["results"].empty());
 }
 
-// A lot stays half done. The host that ran it leaves; another goes on where its
+// A job stays half done. The host that ran it leaves; another goes on where its
 // runs were, and lists each item once.
-TEST_CASE_METHOD(LotsFixture, "Lots_OwnerLeaves_AnotherGoesOnWhereItWas")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_OwnerLeaves_AnotherGoesOnWhereItWas")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
@@ -272,9 +280,9 @@
   RunUntil([&isStopped] { return isStopped; });
 }
 
-// A lot never ends: the host that ran it lost its power, and its registration
+// A job never ends: the host that ran it lost its power, and its registration
 // went with it.
-TEST_CASE_METHOD(LotsFixture, "Lots_OwnerVanishes_AnotherTakesOver")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_OwnerVanishes_AnotherTakesOver")
 {
   StartWorker("worker");
   for (int run = 0; run < 2; ++run) {
@@ -289,9 +297,10 @@
   CHECK(page["results"].size() == 2);
 }
 
-// A lot is late: the host that ran it lost its power, and items of several
+// A job is late: the host that ran it lost its power, and items of several
 // seconds run from their beginning, once more for each host that fails.
-TEST_CASE_METHOD(LotsFixture, "Lots_OwnerVanishes_ItsRunsGoOnWhereTheyWere")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_OwnerVanishes_ItsRunsGoOnWhereTheyWere")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
@@ -315,7 +324,7 @@
   CHECK(page["results"][1]["output"] == WholeOutput());
 }
 
-TEST_CASE_METHOD(LotsFixture,
+TEST_CASE_METHOD(BatchJobsFixture,
                  "Lots_HostIsToBeEmptied_ReportsWhenItsLotsAreGone")
 {
   StartWorker("worker");
@@ -330,23 +339,23 @@
   WaitForAll(*entry_, 2);
 }
 
-// A whole lot comes back as failed, without one run. The host that is to run it
+// A whole job comes back as failed, without one run. The host that is to run it
 // has an older configuration than the host that accepted it, or none yet after
 // its start, and took the missing route for one that operators had removed.
-TEST_CASE_METHOD(LotsFixture, "Lots_RouteNotKnownYet_ItemsWaitForIt")
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_RouteNotKnownYet_ItemsWaitForIt")
 {
   CHECK(Submit(*entry_, 2) == 202);
   WaitForAll(*entry_, 2);
-  // A lot on a route that comes with the next configuration.
+  // A job on a route that comes with the next configuration.
   std::string state = store_.Get("pumiceturn/lot/lot1");
   state.replace(state.find("/lots/1"), 7, "/v7/1xx");
   state.replace(state.find("\"finished\":true"), 15, "\"finished\":false");
-  store_.Put("pumiceturn/data/lot2/content/000000", LotBody(1));
+  store_.Put("pumiceturn/data/lot2/content/000000", JobBody(1));
   store_.Put("pumiceturn/lot/lot2", state);
   const auto read = [this] {
     return Ask(*entry_, "GET", "/api/lots/lot2?after=0");
   };
-  // Well past the looks in which such a lot was given up.
+  // Well past the looks in which such a job was given up.
   const std::size_t before = store_.CallCount();
   RunUntil([&] { return store_.CallCount() > before + 12; });
   CHECK(json::parse(read()->body_)["results"].empty());
@@ -355,12 +364,12 @@
   CHECK(json::parse(read()->body_)["results"][0]["state"] == "completed");
 }
 
-// The store fills up over weeks, and one day refuses every new lot.
-TEST_CASE_METHOD(LotsFixture, "Lots_RetentionOver_NothingIsLeftInTheStore")
+// The store fills up over weeks, and one day refuses every new job.
+TEST_CASE_METHOD(BatchJobsFixture, "Lots_RetentionOver_NothingIsLeftInTheStore")
 {
   CHECK(Submit(*entry_, 3) == 202);
   WaitForAll(*entry_, 3);
-  lotRetention_ = std::chrono::milliseconds(0);
+  jobRetention_ = std::chrono::milliseconds(0);
   StartWorker("worker");
   RunUntil([this] {
     return store_.Keys("pumiceturn/lot/").empty() &&
@@ -371,7 +380,8 @@
   });
 }
 
-TEST_CASE_METHOD(LotsFixture, "Lots_MalformedLots_Are400AndNothingIsStored")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "Lots_MalformedLots_Are400AndNothingIsStored")
 {
   const auto submit = [this](const std::string& aBody) {
     return Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", aBody)
@@ -379,11 +389,11 @@
   };
   CHECK(submit("{") == 400);
   CHECK(submit("{\"items\": []}") == 400);
-  CHECK(submit(LotBody(201)) == 400);
-  json twice = json::parse(LotBody(2));
+  CHECK(submit(JobBody(201)) == 400);
+  json twice = json::parse(JobBody(2));
   twice["items"][1]["id"] = "item-0";
   CHECK(submit(twice.dump()) == 400);
-  json notBase64 = json::parse(LotBody(1));
+  json notBase64 = json::parse(JobBody(1));
   notBase64["items"][0]["body"] = "a%b";
   CHECK(submit(notBase64.dump()) == 400);
   CHECK(store_.Keys("pumiceturn/lot/").empty());
--- a/Tests/Platform/CallersTest.cpp
+++ b/Tests/Platform/CallersTest.cpp
@@ -19,7 +19,7 @@
     Declare(
       { { "archive", { "key-a1", "key-a2" } }, { "portal", { "key-p" } } });
     AddServer("i-1");
-    host_ = &StartHost("entry", lots::LotPreference::IfNoOther);
+    host_ = &StartHost("entry", batch::BatchPreference::IfNoOther);
     RunUntil([this] { return IsReady(); });
   }
 
@@ -32,13 +32,13 @@
   };
 
   /// Writes a configuration with a route for callers with keys, an open one,
-  /// and one of lots.
+  /// and one of jobs.
   void Declare(const std::vector<Declared>& aOrganisations)
   {
     json open = MakeTestRoute("open", "stream");
     open["noAuth"] = true;
-    json lots = MakeTestRoute("lots", "batch");
-    lots["cap"] = lotCap_;
+    json jobs = MakeTestRoute("lots", "batch");
+    jobs["cap"] = jobCap_;
     json rows = json::array();
     for (const Declared& organisation : aOrganisations) {
       rows.push_back({ { "name", organisation.name_ },
@@ -51,7 +51,7 @@
       { "routes",
         { MakeTestRoute("stream", "stream"),
           std::move(open),
-          std::move(lots) } },
+          std::move(jobs) } },
       { "services", { { { "name", "service" }, { "maxConns", 100 } } } },
       { "tenants", std::move(rows) }
     };
@@ -90,7 +90,7 @@
       httpstream::ValueOf(servers_[0]->Requests().back(), aName));
   }
 
-  unsigned SubmitLot(const std::string& aKey, const std::string& aBody)
+  unsigned SubmitJob(const std::string& aKey, const std::string& aBody)
   {
     return Ask(*host_,
                "POST",
@@ -100,7 +100,7 @@
       ->status_;
   }
 
-  std::unique_ptr<CallerCall> AskLot(const std::string& aMethod,
+  std::unique_ptr<CallerCall> AskJob(const std::string& aMethod,
                                      const std::string& aFields)
   {
     return Ask(*host_, aMethod, "/api/lots/lot1", aFields);
@@ -108,7 +108,7 @@
 
   TestHost* host_ = nullptr;
   std::uint64_t version_ = 0;
-  std::uint64_t lotCap_ = 0; ///< Tokens that may wait; 0: no bound.
+  std::uint64_t jobCap_ = 0; ///< Tokens that may wait; 0: no bound.
 };
 
 // Servers were told a key, and nobody's name.
@@ -185,7 +185,7 @@
 // not refuse anyone.
 TEST_CASE_METHOD(CallersFixture, "Callers_OneHostTurnedAway_PeersConfirm")
 {
-  StartHost("worker", lots::LotPreference::Worker);
+  StartHost("worker", batch::BatchPreference::Worker);
   RunUntil([this] {
     return Metrics(*host_).find("pumiceturn_peers_heard 1") !=
            std::string::npos;
@@ -203,55 +203,55 @@
 
 TEST_CASE_METHOD(CallersFixture, "Callers_Lot_BelongsToItsOrganisation")
 {
-  StartHost("worker", lots::LotPreference::Worker);
-  CHECK(SubmitLot("", LotBody(1)) == 401);
-  CHECK(SubmitLot("key-a1", LotBody(2)) == 202);
+  StartHost("worker", batch::BatchPreference::Worker);
+  CHECK(SubmitJob("", JobBody(1)) == 401);
+  CHECK(SubmitJob("key-a1", JobBody(2)) == 202);
   // Any of its keys, sent again.
-  CHECK(SubmitLot("key-a2", LotBody(2)) == 202);
-  CHECK(AskLot("GET", Bearer("key-a2"))->status_ == 200);
+  CHECK(SubmitJob("key-a2", JobBody(2)) == 202);
+  CHECK(AskJob("GET", Bearer("key-a2"))->status_ == 200);
   // Another organisation learns nothing of it, and can't take its id.
-  CHECK(AskLot("GET", Bearer("key-p"))->status_ == 404);
-  CHECK(AskLot("DELETE", Bearer("key-p"))->status_ == 404);
-  CHECK(SubmitLot("key-p", LotBody(2)) == 409);
-  CHECK(AskLot("GET", "")->status_ == 401);
-  CHECK(AskLot("GET", Bearer("other"))->status_ == 401);
-  // A key that is taken away ends no lot.
+  CHECK(AskJob("GET", Bearer("key-p"))->status_ == 404);
+  CHECK(AskJob("DELETE", Bearer("key-p"))->status_ == 404);
+  CHECK(SubmitJob("key-p", JobBody(2)) == 409);
+  CHECK(AskJob("GET", "")->status_ == 401);
+  CHECK(AskJob("GET", Bearer("other"))->status_ == 401);
+  // A key that is taken away ends no job.
   Declare({ { "archive", { "key-a2" } } });
-  RunUntil([this] { return AskLot("GET", Bearer("key-a1"))->status_ == 401; });
+  RunUntil([this] { return AskJob("GET", Bearer("key-a1"))->status_ == 401; });
   RunUntil([this] {
-    const auto call = AskLot("GET", Bearer("key-a2"));
+    const auto call = AskJob("GET", Bearer("key-a2"));
     return call->status_ == 200 &&
            json::parse(call->body_)["results"].size() == 2;
   });
-  CHECK(AskLot("DELETE", Bearer("key-a2"))->status_ == 200);
+  CHECK(AskJob("DELETE", Bearer("key-a2"))->status_ == 200);
 }
 
 // Items carried keys and names that their sender had written into them.
 TEST_CASE_METHOD(CallersFixture, "Callers_ItemsFields_DontNameTheCaller")
 {
-  StartHost("worker", lots::LotPreference::Worker);
-  json body = json::parse(LotBody(1));
+  StartHost("worker", batch::BatchPreference::Worker);
+  json body = json::parse(JobBody(1));
   body["items"][0]["headers"]["Authorization"] = "Bearer key-p";
   body["items"][0]["headers"]["tenant"] = "portal";
-  CHECK(SubmitLot("key-a1", body.dump()) == 202);
+  CHECK(SubmitJob("key-a1", body.dump()) == 202);
   RunUntil([this] { return !servers_[0]->Requests().empty(); });
   CHECK(Seen("Tenant") == "archive");
   CHECK(Seen("Authorization").empty());
 }
 
-// One organisation filled a route, and no other's lot was accepted.
+// One organisation filled a route, and no other's job was accepted.
 TEST_CASE_METHOD(CallersFixture, "Callers_CapOfTheRoute_IsForEachOrganisation")
 {
-  lotCap_ = 20;
+  jobCap_ = 20;
   Declare({ { "archive", { "key-a1" } }, { "portal", { "key-p" } } });
   RunUntil([this] { return StatusFor(Bearer("key-a2")) == 401; });
-  CHECK(SubmitLot("key-a1", LotBody(2)) == 202);
-  const auto submit = [this](const std::string& aKey, const std::string& aLot) {
+  CHECK(SubmitJob("key-a1", JobBody(2)) == 202);
+  const auto submit = [this](const std::string& aKey, const std::string& aJob) {
     return Ask(*host_,
                "POST",
                "/lots/1",
-               "Attempt-Id: " + aLot + "\r\n" + Bearer(aKey),
-               LotBody(2, aLot))
+               "Attempt-Id: " + aJob + "\r\n" + Bearer(aKey),
+               JobBody(2, aJob))
       ->status_;
   };
   CHECK(submit("key-a1", "second") == 429);
@@ -288,8 +288,8 @@
 // Two hosts let twice the limit run.
 TEST_CASE_METHOD(CallersFixture, "Callers_BeyondTheLimit_AtTwoHosts_CountOnce")
 {
-  TestHost& other = StartHost("other", lots::LotPreference::IfNoOther);
-  StartHost("worker", lots::LotPreference::Worker);
+  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  StartHost("worker", batch::BatchPreference::Worker);
   Declare({ { "archive", { "key-a1" }, 0.1, 10 } });
   RunUntil([this] { return StatusFor(Bearer("key-p")) == 401; });
   RunUntil([this, &other] {
--- a/Tests/Platform/GatewayFixture.cpp
+++ b/Tests/Platform/GatewayFixture.cpp
@@ -70,7 +70,7 @@
 
 TestHost&
 GatewayFixture::StartHost(const std::string& aName,
-                          lots::LotPreference aPreference)
+                          batch::BatchPreference aPreference)
 {
   hosts_.push_back(std::make_unique<TestHost>());
   TestHost& host = *hosts_.back();
@@ -80,11 +80,11 @@
   settings.host_ = aName;
   settings.incarnation_ = "1";
   settings.failureDomain_ = "a";
-  settings.lotPreference_ = aPreference;
+  settings.batchPreference_ = aPreference;
   settings.callerAddress_ = fmt::format("127.0.0.1:{}", host.callerPort_);
   settings.statusAddress_ = fmt::format("127.0.0.1:{}", host.statusPort_);
   settings.peerAddress_ = fmt::format("127.0.0.1:{}", FreePort());
-  settings.lotRetention_ = lotRetention_;
+  settings.jobRetention_ = jobRetention_;
   settings.dataFolder_ = dataFolder_;
   settings.capOverage_ = capOverage_;
   settings.revocationBound_ = revocationBound_;
@@ -137,7 +137,7 @@
 }
 
 std::string
-GatewayFixture::LotBody(int aItems, const std::string& aPrefix)
+GatewayFixture::JobBody(int aItems, const std::string& aPrefix)
 {
   json items = json::array();
   for (int item = 0; item < aItems; ++item) {
--- a/Tests/Platform/GatewayFixture.h
+++ b/Tests/Platform/GatewayFixture.h
@@ -41,11 +41,11 @@
 
   /// Starts a host and waits until it is ready.
   TestHost& StartHost(const std::string& aName,
-                      lots::LotPreference aPreference);
+                      batch::BatchPreference aPreference);
 
   /// Writes a configuration with a resumable stream, a stream that may run
   /// once, one that may not wait for a place, a service call that may run once,
-  /// and lots.
+  /// and jobs.
   void WriteConfiguration(std::uint64_t aVersion);
 
   ServerStandin& AddServer(const std::string& aInstance);
@@ -65,7 +65,7 @@
                                   const std::string& aBody = {});
 
   /// @param aPrefix Begins the items' ids.
-  static std::string LotBody(int aItems, const std::string& aPrefix = {});
+  static std::string JobBody(int aItems, const std::string& aPrefix = {});
 
   StoreStandin store_;
   RequestCodec requestCodec_;
@@ -75,7 +75,7 @@
   std::vector<boost::asio::ip::tcp::socket> heldPorts_;
   double capOverage_ = 0.0;                       ///< Of the next host.
   std::optional<base::Duration> revocationBound_; ///< Of the next host.
-  base::Duration lotRetention_{ std::chrono::minutes{ 10 } };
+  base::Duration jobRetention_{ std::chrono::minutes{ 10 } };
   std::vector<std::unique_ptr<TestHost>> hosts_;
   std::vector<std::unique_ptr<ServerStandin>> servers_;
 };
--- a/Tests/Platform/PlatformSettingsTest.cpp
+++ b/Tests/Platform/PlatformSettingsTest.cpp
@@ -42,9 +42,10 @@
   CHECK(settings->gateway_.host_ == "n1");
   CHECK(settings->gateway_.callerAddress_ == "10.1.0.10:8161");
   CHECK(settings->gateway_.peerAddress_ == "10.1.0.10:7720");
-  CHECK(settings->gateway_.lotRetention_ == std::chrono::seconds(180));
+  CHECK(settings->gateway_.jobRetention_ == std::chrono::seconds(180));
   CHECK(settings->gateway_.grace_ == std::chrono::seconds(8));
-  CHECK(settings->gateway_.lotPreference_ == lots::LotPreference::IfNoOther);
+  CHECK(settings->gateway_.batchPreference_ ==
+        batch::BatchPreference::IfNoOther);
 }
 
 TEST_CASE_METHOD(PlatformSettingsFixture,
@@ -54,7 +55,7 @@
   const auto* settings = std::get_if<PlatformSettings>(&outcome);
   REQUIRE(settings != nullptr);
   CHECK(settings->gateway_.callerAddress_.empty());
-  CHECK(settings->gateway_.lotPreference_ == lots::LotPreference::Worker);
+  CHECK(settings->gateway_.batchPreference_ == batch::BatchPreference::Worker);
 }
 
 TEST_CASE_METHOD(PlatformSettingsFixture, "PlatformSettings_Malformed_HasACode")
--- a/Tests/Platform/ResultKeeperTest.cpp
+++ b/Tests/Platform/ResultKeeperTest.cpp
@@ -8,26 +8,26 @@
 using namespace std::chrono_literals;
 using metadata::StoreStatus;
 
-/// Lots of two items each that this host runs, and a store whose answers the
+/// Jobs of two items each that this host runs, and a store whose answers the
 /// test gives.
 class ResultKeeperFixture
 {
 protected:
-  void Begin(const std::string& aLot)
+  void Begin(const std::string& aJob)
   {
-    lots::LotState state;
+    batch::BatchJobState state;
     state.itemCount_ = 2;
-    lots_.Apply(keys_.StateOf(aLot), lots::EncodeState(state), 5);
-    keeper_.Begin(*lots_.Find(aLot));
+    jobs_.Apply(keys_.StateOf(aJob), batch::EncodeState(state), 5);
+    keeper_.Begin(*jobs_.Find(aJob));
   }
 
-  void Finish(const std::string& aLot,
+  void Finish(const std::string& aJob,
               int aItem,
               base::Duration aDueAfter = 10s)
   {
     keeper_.Add(
-      aLot,
-      { aLot + std::to_string(aItem), lots::ItemState::Completed, "output" },
+      aJob,
+      { aJob + std::to_string(aItem), batch::ItemState::Completed, "output" },
       now_ + aDueAfter,
       now_);
   }
@@ -44,24 +44,25 @@
     metadata::FakeStore::Take(store_.commits_).second(aReply);
   }
 
-  [[nodiscard]] std::size_t StoredCount(const std::string& aLot) const
+  [[nodiscard]] std::size_t StoredCount(const std::string& aJob) const
   {
-    return lots_.Find(aLot)->results_.size();
+    return jobs_.Find(aJob)->results_.size();
   }
 
   base::Instant now_ = base::MonotonicNow();
-  lots::LotKeySpace keys_{ "lot/", "data/" };
-  lots::LotTable lots_{ keys_, [](std::string_view) {
-                         return std::optional(std::vector<lots::LotItem>{});
-                       } };
+  batch::BatchJobKeySpace keys_{ "lot/", "data/" };
+  batch::BatchJobTable jobs_{ keys_, [](std::string_view) {
+                               return std::optional(
+                                 std::vector<batch::BatchItem>{});
+                             } };
   metadata::FakeStore store_;
   std::vector<std::string> told_;
-  ResultKeeper keeper_{ store_, lots_, [this](const std::string& aLot) {
-                         told_.push_back(aLot);
+  ResultKeeper keeper_{ store_, jobs_, [this](const std::string& aJob) {
+                         told_.push_back(aJob);
                        } };
 };
 
-// Load: results of several lots within a short while. Each was a call, most of
+// Load: results of several jobs within a short while. Each was a call, most of
 // all calls to the store.
 TEST_CASE_METHOD(ResultKeeperFixture, "ResultKeeper_SeveralLots_AreOneCall")
 {
@@ -74,13 +75,13 @@
   CHECK(store_.commits_.empty());
   Pass(300ms);
   REQUIRE(store_.commits_.size() == 1);
-  // A page each, and the state of the lot that is finished by it.
+  // A page each, and the state of the job that is finished by it.
   CHECK(store_.commits_.front().first.writes_.size() == 3);
   CHECK(store_.commits_.front().first.expectations_.size() == 4);
   Answer({ StoreStatus::Ok, 9, {} });
   CHECK(StoredCount("a") == 1);
   CHECK(StoredCount("b") == 2);
-  CHECK(lots_.Find("b")->state_.isFinished_);
+  CHECK(jobs_.Find("b")->state_.isFinished_);
   CHECK(told_ == std::vector<std::string>{ "a", "b" });
 }
 
@@ -93,7 +94,7 @@
   CHECK(store_.commits_.size() == 1);
 }
 
-// One lot's sender had ended it, and the others' results were not stored.
+// One job's sender had ended it, and the others' results were not stored.
 TEST_CASE_METHOD(ResultKeeperFixture,
                  "ResultKeeper_OneLotConflicts_OthersAreStoredAlone")
 {
@@ -145,12 +146,12 @@
   Begin("a");
   Finish("a", 0);
   metadata::Transaction transaction;
-  CHECK_FALSE(keeper_.AddTo(transaction, *lots_.Find("a")));
+  CHECK_FALSE(keeper_.AddTo(transaction, *jobs_.Find("a")));
   CHECK(transaction.writes_.size() == 1);
   Begin("b");
   Finish("b", 0);
   Finish("b", 1);
-  CHECK(keeper_.AddTo(transaction, *lots_.Find("b")));
+  CHECK(keeper_.AddTo(transaction, *jobs_.Find("b")));
 }
 
 } // namespace pumiceturn::gateway
--- a/Tests/Platform/SpoiledEntriesTest.cpp
+++ b/Tests/Platform/SpoiledEntriesTest.cpp
@@ -1,7 +1,7 @@
+#include "LibBatch/SpooledJob.h"
+#include "LibBatch/TokenLedger.h"
 #include "LibGateway/EndpointAddress.h"
 #include "LibGateway/HostRecord.h"
-#include "LibLots/HeldLot.h"
-#include "LibLots/TokenLedger.h"
 #include "Tests/Platform/TestRoute.h"
 #include "platform/RequestCodec.h"
 #include "platform/StoreEntries.h"
@@ -43,18 +43,18 @@
                         { "headers", { { "Model", "m" } } },
                         { "body", "cHJvbXB0" },
                         { "tokens", 9 } };
-    lots::HeldLot held;
+    batch::SpooledJob held;
     held.id_ = "lot";
     held.content_ = "content";
     whole_ = { configuration.dump(),
                server.dump(),
                json{ { "items", { item } } }.dump(),
                gateway::EncodeHostRecord({ "h/1", "10.0.0.1:1", "10.0.0.1:2" }),
-               lots::EncodeState({ "h/1", 5, 2, 1, "a.example", "/p" }),
-               lots::EncodeResults(
-                 { { "i", lots::ItemState::Completed, "text" } }),
-               lots::EncodeProgress({ { "i", { 4, "text" } } }),
-               lots::EncodeHeldLot(held),
+               batch::EncodeState({ "h/1", 5, 2, 1, "a.example", "/p" }),
+               batch::EncodeResults(
+                 { { "i", batch::ItemState::Completed, "text" } }),
+               batch::EncodeProgress({ { "i", { 4, "text" } } }),
+               batch::EncodeSpooledJob(held),
                "{\"lot\":900}" };
   }
 
@@ -128,13 +128,13 @@
       CHECK_FALSE(record->service_.empty());
       CHECK(gateway::ParseAddress(record->address_));
     }
-    (void)requests_.ReadLotContent(aText);
+    (void)requests_.ReadBatchJobContent(aText);
     (void)gateway::DecodeHostRecord(aText);
-    (void)lots::DecodeState(aText);
-    (void)lots::DecodeResults(aText);
-    (void)lots::DecodeProgress(aText);
-    (void)lots::DecodeHeldLot(aText);
-    (void)lots::DecodeLedger(aText);
+    (void)batch::DecodeState(aText);
+    (void)batch::DecodeResults(aText);
+    (void)batch::DecodeProgress(aText);
+    (void)batch::DecodeSpooledJob(aText);
+    (void)batch::DecodeLedger(aText);
   }
 
   std::vector<std::string> whole_;
--- a/Tests/Platform/StorePathTest.cpp
+++ b/Tests/Platform/StorePathTest.cpp
@@ -1,10 +1,10 @@
-#include "Tests/Platform/LotsFixture.h"
+#include "Tests/Platform/BatchJobsFixture.h"
 
 #include <chrono>
 
 namespace pumiceturn::adapter {
 
-class StorePathFixture : protected LotsFixture
+class StorePathFixture : protected BatchJobsFixture
 {
 protected:
   void TurnAway(const TestHost& aHost)
@@ -17,27 +17,27 @@
     store_.SetDoorMood(aHost.storePort_, StoreMood::Serving);
   }
 
-  /// Starts a worker and waits until the entry host gives it lots.
+  /// Starts a worker and waits until the entry host gives it jobs.
   TestHost& StartKnownWorker()
   {
     TestHost& worker = StartWorker("worker");
-    // One lot at a time, and seldom: thousands would keep the only way to the
+    // One job at a time, and seldom: thousands would keep the only way to the
     // store busy when the test begins.
     constexpr std::chrono::milliseconds kPause{ 50 };
     int tries = 0;
-    std::string lot;
+    std::string job;
     auto nextAt = std::chrono::steady_clock::now();
-    RunUntil([this, &tries, &lot, &nextAt, kPause] {
+    RunUntil([this, &tries, &job, &nextAt, kPause] {
       if (std::chrono::steady_clock::now() >= nextAt) {
         nextAt = std::chrono::steady_clock::now() + kPause;
-        lot = "first" + std::to_string(++tries);
+        job = "first" + std::to_string(++tries);
         (void)Ask(*entry_,
                   "POST",
                   "/lots/1",
-                  "Attempt-Id: " + lot + "\r\n",
-                  LotBody(1));
+                  "Attempt-Id: " + job + "\r\n",
+                  JobBody(1));
       }
-      return store_.Get("pumiceturn/lot/" + lot).find("worker") !=
+      return store_.Get("pumiceturn/lot/" + job).find("worker") !=
              std::string::npos;
     });
     return worker;
@@ -49,7 +49,7 @@
   }
 };
 
-// A lot is late. The store turns away the host that runs it and serves the
+// A job is late. The store turns away the host that runs it and serves the
 // others; nothing that the host makes can be stored, its registration lapses,
 // and another host runs the items once more.
 TEST_CASE_METHOD(StorePathFixture, "StorePath_WorkerTurnedAway_FinishesItsLot")
@@ -63,7 +63,7 @@
   CHECK(ServedCount(worker) == before);
 }
 
-// A partner's lot is refused by a host that the store turns away, although its
+// A partner's job is refused by a host that the store turns away, although its
 // peers could have it stored.
 TEST_CASE_METHOD(StorePathFixture, "StorePath_EntryTurnedAway_AcceptsALot")
 {
@@ -73,8 +73,8 @@
   WaitForAll(*entry_, 3);
 }
 
-// A partner's lot is accepted seconds late: the store turned the host away, and
-// the peers that it asked to have the lot stored were cut off from it, so that
+// A partner's job is accepted seconds late: the store turned the host away, and
+// the peers that it asked to have the job stored were cut off from it, so that
 // each call hung until its timeout.
 TEST_CASE_METHOD(StorePathFixture,
                  "StorePath_SomePeersCutOff_AsksTheOneItHears")
--- a/Tests/Platform/StoreReportTest.cpp
+++ b/Tests/Platform/StoreReportTest.cpp
@@ -39,12 +39,12 @@
 {
   StoreReport report;
   report.state_ = { true, false };
-  report.views_.push_back({ StorePrefix::Lots, { 5, 9, 120ms } });
+  report.views_.push_back({ StorePrefix::BatchJobs, { 5, 9, 120ms } });
   const StoreReport read = DecodeStoreReport(Sent(EncodeStoreReport(report)));
   CHECK(read.state_.mayFollow_);
   CHECK_FALSE(read.state_.isPreferred_);
   REQUIRE(read.views_.size() == 1);
-  CHECK(read.views_.front().prefix_ == StorePrefix::Lots);
+  CHECK(read.views_.front().prefix_ == StorePrefix::BatchJobs);
   CHECK(read.views_.front().view_.lastChange_ == 5);
   CHECK(read.views_.front().view_.followed_ == 9);
   CHECK(read.views_.front().view_.age_ == 120ms);
@@ -75,7 +75,7 @@
 TEST_CASE_METHOD(StoreReportFixture, "StoreReport_AgeIsNoAge_IsRefused")
 {
   StoreReport report;
-  report.views_.push_back({ StorePrefix::Lots, { 5, 9, 120ms } });
+  report.views_.push_back({ StorePrefix::BatchJobs, { 5, 9, 120ms } });
   json row = EncodeStoreReport(report);
   for (const std::int64_t age : { std::int64_t{ -1 }, INT64_MAX }) {
     row["views"][0]["age"] = age;
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -1,4 +1,4 @@
-#include "Tests/Platform/LotsFixture.h"
+#include "Tests/Platform/BatchJobsFixture.h"
 #include "Tests/Platform/TestRoute.h"
 
 #include <fmt/format.h>
@@ -7,9 +7,9 @@
 
 using nlohmann::json;
 
-/// Lots of items with 9 tokens each, on a route that lets 100 wait, and servers
+/// Jobs of items with 9 tokens each, on a route that lets 100 wait, and servers
 /// that hold what they are sent until they are told to go on.
-class TokenCapFixture : protected LotsFixture
+class TokenCapFixture : protected BatchJobsFixture
 {
 protected:
   TokenCapFixture()
@@ -39,22 +39,22 @@
     }
   }
 
-  unsigned SubmitAs(TestHost& aHost, const std::string& aLot, int aItems)
+  unsigned SubmitAs(TestHost& aHost, const std::string& aJob, int aItems)
   {
-    return AskFor(aHost, aLot, aItems)->status_;
+    return AskFor(aHost, aJob, aItems)->status_;
   }
 
   std::unique_ptr<CallerCall> AskFor(TestHost& aHost,
-                                     const std::string& aLot,
+                                     const std::string& aJob,
                                      int aItems)
   {
     return Ask(
-      aHost, "POST", "/lots/1", Fields(aLot), LotBody(aItems, aLot + "-"));
+      aHost, "POST", "/lots/1", Fields(aJob), JobBody(aItems, aJob + "-"));
   }
 
-  static std::string Fields(const std::string& aLot)
+  static std::string Fields(const std::string& aJob)
   {
-    return "Attempt-Id: " + aLot + "\r\n";
+    return "Attempt-Id: " + aJob + "\r\n";
   }
 
   /// Lets the servers answer from now on.
@@ -88,7 +88,7 @@
 };
 
 // The foreman's overnight reports fill the fleet for minutes, although the
-// operators bound what may wait: 176 lots came in ten seconds, all were
+// operators bound what may wait: 176 jobs came in ten seconds, all were
 // accepted, and two of three were late.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LotDoesNotFit_IsRefusedWithATime")
 {
@@ -102,21 +102,21 @@
 }
 
 // Hosts that accept at the same moment must not exceed the cap together, and
-// none may refuse a lot that fits because its own view is old.
+// none may refuse a job that fits because its own view is old.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ManyHostsAtOnce_FillItExactly")
 {
-  TestHost& second = StartHost("second", lots::LotPreference::IfNoOther);
-  TestHost& third = StartHost("third", lots::LotPreference::IfNoOther);
+  TestHost& second = StartHost("second", batch::BatchPreference::IfNoOther);
+  TestHost& third = StartHost("third", batch::BatchPreference::IfNoOther);
   SetCap(100);
   std::vector<std::unique_ptr<CallerCall>> calls;
-  for (int lot = 0; lot < 6; ++lot) {
+  for (int job = 0; job < 6; ++job) {
     for (TestHost* host : { entry_, &second, &third }) {
-      const std::string id = fmt::format("{}-{}", host->callerPort_, lot);
+      const std::string id = fmt::format("{}-{}", host->callerPort_, job);
       calls.push_back(Send(host->callerPort_,
                            "POST",
                            "/lots/1",
                            Fields(id),
-                           LotBody(1, id + "-")));
+                           JobBody(1, id + "-")));
     }
   }
   std::size_t accepted = 0;
@@ -129,10 +129,10 @@
   CHECK(Waiting() == 99);
 }
 
-// A lot that was accepted is accepted whenever it comes again, full or not.
+// A job that was accepted is accepted whenever it comes again, full or not.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_SentAgainToAFullRoute_IsAccepted")
 {
-  TestHost& other = StartHost("other", lots::LotPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   SetCap(100);
   CHECK(SubmitAs(*entry_, "a", 11) == 202);
   CHECK(SubmitAs(other, "a", 11) == 202);
@@ -151,7 +151,7 @@
   RunUntil([this] { return Waiting() == 0; });
 }
 
-// A sender ends its lot: what it had waiting is free again.
+// A sender ends its job: what it had waiting is free again.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LotIsEnded_ThereIsRoomAgain")
 {
   StartWorker("worker");
@@ -162,7 +162,7 @@
 }
 
 // The operators lower the cap far below what waits: nothing that was accepted
-// is dropped, and new lots hear at once that they don't fit.
+// is dropped, and new jobs hear at once that they don't fit.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_Lowered_KeepsWhatWasAccepted")
 {
   CHECK(SubmitAs(*entry_, "a", 11) == 202);
@@ -176,7 +176,7 @@
   RunUntil([this] { return SubmitAs(*entry_, "b", 1) == 202; });
 }
 
-// Lots that came while the route had no cap count as soon as it has one.
+// Jobs that came while the route had no cap count as soon as it has one.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_SetLater_CountsWhatWaits")
 {
   SetCap(0);
@@ -193,7 +193,7 @@
 {
   store_.SetMood(StoreMood::LosingWrites);
   const auto call =
-    Send(entry_->callerPort_, "POST", "/lots/1", Fields("a"), LotBody(6, "a-"));
+    Send(entry_->callerPort_, "POST", "/lots/1", Fields("a"), JobBody(6, "a-"));
   RunUntil([this] { return !store_.Get("pumiceturn/lot/a").empty(); });
   store_.SetMood(StoreMood::Serving);
   RunUntil([&call] { return call->IsOver(); });
@@ -202,7 +202,7 @@
   CHECK(SubmitAs(*entry_, "b", 5) == 202);
 }
 
-// Someone wrote the ledger's key: the lots that run are counted anew.
+// Someone wrote the ledger's key: the jobs that run are counted anew.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LedgerSpoiled_IsBuiltAnew")
 {
   CHECK(SubmitAs(*entry_, "a", 10) == 202);
--- a/Tests/PlatformPath/PathFixture.cpp
+++ b/Tests/PlatformPath/PathFixture.cpp
@@ -110,13 +110,13 @@
 
 unsigned
 PathFixture::Submit(const std::string& aProcess,
-                    const std::string& aLot,
+                    const std::string& aJob,
                     const std::string& aItemPath,
                     std::size_t aItems)
 {
   json items = json::array();
   for (std::size_t item = 0; item < aItems; ++item) {
-    items.push_back({ { "id", fmt::format("{}-{}", aLot, item) },
+    items.push_back({ { "id", fmt::format("{}-{}", aJob, item) },
                       { "path", aItemPath },
                       { "headers", { { "Model", "m" } } },
                       { "body", base::EncodeBase64("prompt") },
@@ -125,27 +125,27 @@
   return Ask(aProcess,
              "POST",
              "/lots/1",
-             "Attempt-Id: " + aLot + "\r\n",
+             "Attempt-Id: " + aJob + "\r\n",
              json{ { "items", std::move(items) } }.dump())
     ->status_;
 }
 
-PathFixture::HeldLot
-PathFixture::SubmitHeldLot(const std::string& aName, std::size_t aItems)
+PathFixture::SpooledJob
+PathFixture::SubmitSpooledJob(const std::string& aName, std::size_t aItems)
 {
-  HeldLot held;
+  SpooledJob held;
   int tries = 0;
-  // The entry host may not know of the workers yet, and takes a lot itself.
+  // The entry host may not know of the workers yet, and takes a job itself.
   RunUntil([&] {
-    held.lot_ = aName + std::to_string(++tries);
-    CHECK(Submit("entry-1", held.lot_, "/lots/hold-2", aItems) == 202);
-    return ReadKey("pumiceturn/lot/" + held.lot_).find("worker-") !=
+    held.job_ = aName + std::to_string(++tries);
+    CHECK(Submit("entry-1", held.job_, "/lots/hold-2", aItems) == 202);
+    return ReadKey("pumiceturn/lot/" + held.job_).find("worker-") !=
            std::string::npos;
   });
   RunUntil([&] {
-    const std::string state = ReadKey("pumiceturn/lot/" + held.lot_);
+    const std::string state = ReadKey("pumiceturn/lot/" + held.job_);
     const std::string progress =
-      ReadKey("pumiceturn/data/" + held.lot_ + "/progress");
+      ReadKey("pumiceturn/data/" + held.job_ + "/progress");
     const bool isFirst = state.find("worker-1") != std::string::npos;
     held.owner_ = isFirst ? "worker-1" : "worker-2";
     return progress.find("text-2") != std::string::npos;
@@ -168,12 +168,12 @@
 
 PathFixture::json
 PathFixture::WaitForAll(const std::string& aProcess,
-                        const std::string& aLot,
+                        const std::string& aJob,
                         std::size_t aCount)
 {
   json page;
   RunUntil([&] {
-    const auto call = Ask(aProcess, "GET", "/api/lots/" + aLot + "?after=0");
+    const auto call = Ask(aProcess, "GET", "/api/lots/" + aJob + "?after=0");
     if (call->status_ != 200) {
       return false;
     }
--- a/Tests/PlatformPath/PathFixture.h
+++ b/Tests/PlatformPath/PathFixture.h
@@ -53,30 +53,30 @@
   std::string ReadKey(const std::string& aKey);
   void WriteKey(const std::string& aKey, const std::string& aValue);
 
-  /// Sends a lot whose items go to one path.
+  /// Sends a job whose items go to one path.
   unsigned Submit(const std::string& aProcess,
-                  const std::string& aLot,
+                  const std::string& aJob,
                   const std::string& aItemPath,
                   std::size_t aItems);
 
-  /// A lot whose items have fallen silent after two events.
-  struct HeldLot
+  /// A job whose items have fallen silent after two events.
+  struct SpooledJob
   {
-    std::string lot_;
+    std::string job_;
     std::string owner_; ///< The worker that runs it.
   };
 
-  /// Sends a lot to a worker, and waits until what its items have so far is
+  /// Sends a job to a worker, and waits until what its items have so far is
   /// stored.
-  HeldLot SubmitHeldLot(const std::string& aName, std::size_t aItems);
+  SpooledJob SubmitSpooledJob(const std::string& aName, std::size_t aItems);
 
-  /// @return whether a lot's results are completed, whole, and of as many
+  /// @return whether a job's results are completed, whole, and of as many
   /// items.
   static bool AreWholeAndDistinct(const json& aPage, std::size_t aItems);
 
-  /// Reads a lot until it has all results.
+  /// Reads a job until it has all results.
   json WaitForAll(const std::string& aProcess,
-                  const std::string& aLot,
+                  const std::string& aJob,
                   std::size_t aCount);
 
 private:
--- a/Tests/PlatformPath/PathTest.cpp
+++ b/Tests/PlatformPath/PathTest.cpp
@@ -81,33 +81,33 @@
   CHECK(Look("entry-1", "/look-up/1")->body_ == WholeStream());
 }
 
-// An item is listed twice: its worker stood still, the other took the lot over,
+// An item is listed twice: its worker stood still, the other took the job over,
 // and the first woke up with results of its own in hand.
 TEST_CASE_METHOD(PathFixture, "Path_WorkerFreezes_ItsLateResultsChangeNothing")
 {
   constexpr std::size_t kItems = 4;
-  const HeldLot held = SubmitHeldLot("frozen", kItems);
+  const SpooledJob held = SubmitSpooledJob("frozen", kItems);
   CHECK(::kill(Process(held.owner_).id_, SIGSTOP) == 0);
-  const json page = WaitForAll("entry-2", held.lot_, kItems);
+  const json page = WaitForAll("entry-2", held.job_, kItems);
   CHECK(AreWholeAndDistinct(page, kItems));
   CHECK(::kill(Process(held.owner_).id_, SIGCONT) == 0);
-  // Once it is registered again, it has read what became of its lot.
+  // Once it is registered again, it has read what became of its job.
   RunUntil([&] {
     return !ReadKey("pumiceturn/host/" + held.owner_).empty() &&
-           ReadKey("pumiceturn/lot/" + held.lot_).find("\"finished\":true") !=
+           ReadKey("pumiceturn/lot/" + held.job_).find("\"finished\":true") !=
              std::string::npos;
   });
-  CHECK(WaitForAll("entry-1", held.lot_, kItems) == page);
+  CHECK(WaitForAll("entry-1", held.job_, kItems) == page);
 }
 
-// A lot never ends, or an item is listed twice: its worker is killed while it
+// A job never ends, or an item is listed twice: its worker is killed while it
 // runs, and the other takes over when the registration lapses.
 TEST_CASE_METHOD(PathFixture, "Path_WorkerKilled_OtherEndsItsLot")
 {
   constexpr std::size_t kItems = 4;
-  const HeldLot held = SubmitHeldLot("killed", kItems);
+  const SpooledJob held = SubmitSpooledJob("killed", kItems);
   CHECK(::kill(Process(held.owner_).id_, SIGKILL) == 0);
-  CHECK(AreWholeAndDistinct(WaitForAll("entry-2", held.lot_, kItems), kItems));
+  CHECK(AreWholeAndDistinct(WaitForAll("entry-2", held.job_, kItems), kItems));
 }
 
 // A caller's answer is cut off, because its host is asked to stop.
--- a/Tests/PlatformSoak/SoakFixture.cpp
+++ b/Tests/PlatformSoak/SoakFixture.cpp
@@ -26,7 +26,7 @@
 /// Work begun at each step of kStep, as one in so many.
 constexpr milliseconds kStep{ 10 };
 constexpr std::uint64_t kStepsToOnline = 3;
-constexpr std::uint64_t kStepsToLot = 60;
+constexpr std::uint64_t kStepsToJob = 60;
 constexpr std::uint64_t kStepsToRead = 5;
 constexpr std::uint64_t kStepsToProbe = 15;
 constexpr std::uint64_t kStepsToFault = 40;
@@ -36,7 +36,7 @@
 /// A bound for what must happen in the end; no verdict depends on how fast.
 constexpr std::chrono::seconds kRecoveryBound{ 120 };
 
-/// A lot that was accepted while the store was away is on disks first, and the
+/// A job that was accepted while the store was away is on disks first, and the
 /// platform gives a host a second until it must know it.
 constexpr std::chrono::seconds kSettle{ 1 };
 
@@ -258,12 +258,12 @@
 }
 
 void
-SoakFixture::SendLot(Lot& aLot)
+SoakFixture::SendJob(BatchJob& aJob)
 {
-  aLot.sendAt_ = Clock::time_point::max();
+  aJob.sendAt_ = Clock::time_point::max();
   json items = json::array();
-  for (std::size_t item = 0; item < aLot.items_; ++item) {
-    items.push_back({ { "id", fmt::format("{}-{}", aLot.id_, item) },
+  for (std::size_t item = 0; item < aJob.items_; ++item) {
+    items.push_back({ { "id", fmt::format("{}-{}", aJob.id_, item) },
                       { "path", fmt::format("/lots/pause-{}", 50 * item) },
                       { "headers", { { "Model", "m" } } },
                       { "body", base::EncodeBase64("prompt") },
@@ -272,90 +272,90 @@
   Ask(DrawEntry(),
       "POST",
       "/lots/1",
-      "Attempt-Id: " + aLot.id_ + "\r\n",
+      "Attempt-Id: " + aJob.id_ + "\r\n",
       json{ { "items", std::move(items) } }.dump(),
-      [this, &aLot](const CallerCall& aCall) {
+      [this, &aJob](const CallerCall& aCall) {
         const bool isWhole = aCall.end_ == httpstream::CallEnd::Complete;
         if (isWhole && aCall.status_ == kAccepted) {
-          aLot.isAccepted_ = true;
-          aLot.acceptedAt_ = Clock::now();
+          aJob.isAccepted_ = true;
+          aJob.acceptedAt_ = Clock::now();
           return;
         }
         if (isWhole && aCall.status_ == kNotFound) {
-          Violate(aLot.id_ + ": 404 for the lots' route");
+          Violate(aJob.id_ + ": 404 for the lots' route");
         }
-        aLot.sendAt_ = Clock::now() + kResendPause;
+        aJob.sendAt_ = Clock::now() + kResendPause;
       });
 }
 
 bool
-SoakFixture::MustBeKnown(const Lot& aLot, const Host& aHost)
+SoakFixture::MustBeKnown(const BatchJob& aJob, const Host& aHost)
 {
   const auto now = Clock::now();
-  return now - aLot.acceptedAt_ > kSettle &&
+  return now - aJob.acceptedAt_ > kSettle &&
          now - aHost.startedAt_ > kOutOfTouch;
 }
 
 void
-SoakFixture::ReadLot(Lot& aLot, Host& aHost, std::size_t aPosition)
+SoakFixture::ReadJob(BatchJob& aJob, Host& aHost, std::size_t aPosition)
 {
   Ask(aHost,
       "GET",
-      fmt::format("/api/lots/{}?after={}", aLot.id_, aPosition),
+      fmt::format("/api/lots/{}?after={}", aJob.id_, aPosition),
       {},
       {},
-      [this, &aLot, aPosition, mustBeKnown = MustBeKnown(aLot, aHost)](
+      [this, &aJob, aPosition, mustBeKnown = MustBeKnown(aJob, aHost)](
         const CallerCall& aCall) {
         if (aCall.end_ != httpstream::CallEnd::Complete) {
           return;
         }
         if (aCall.status_ == kNotFound && mustBeKnown) {
-          Violate(aLot.id_ + ": 404 for an accepted lot");
+          Violate(aJob.id_ + ": 404 for an accepted lot");
         } else if (aCall.status_ == kOk) {
-          CheckPage(aLot, aPosition, aCall.body_);
+          CheckPage(aJob, aPosition, aCall.body_);
         }
       });
 }
 
 void
-SoakFixture::ReadBody(const Lot& aLot, Host& aHost)
+SoakFixture::ReadBody(const BatchJob& aJob, Host& aHost)
 {
   Ask(aHost,
       "GET",
-      fmt::format("/api/items/{}?id={}-0", aLot.id_, aLot.id_),
+      fmt::format("/api/items/{}?id={}-0", aJob.id_, aJob.id_),
       {},
       {},
-      [this, &aLot, mustBeKnown = MustBeKnown(aLot, aHost)](
+      [this, &aJob, mustBeKnown = MustBeKnown(aJob, aHost)](
         const CallerCall& aCall) {
         if (aCall.end_ != httpstream::CallEnd::Complete) {
           return;
         }
         if ((aCall.status_ == kNotFound && mustBeKnown) ||
             (aCall.status_ == kOk && aCall.body_ != "prompt")) {
-          Violate(aLot.id_ + ": an item's body is gone or another");
+          Violate(aJob.id_ + ": an item's body is gone or another");
         }
       });
 }
 
 void
-SoakFixture::CheckPage(Lot& aLot,
+SoakFixture::CheckPage(BatchJob& aJob,
                        std::size_t aPosition,
                        const std::string& aBody)
 {
   const json page = json::parse(aBody);
-  if (page["total"] != aLot.items_) {
-    Violate(aLot.id_ + ": another number of items");
+  if (page["total"] != aJob.items_) {
+    Violate(aJob.id_ + ": another number of items");
   }
   std::size_t position = aPosition;
   for (const json& result : page["results"]) {
     const std::string text = result.dump();
-    const auto [known, isNew] = aLot.results_.try_emplace(position, text);
+    const auto [known, isNew] = aJob.results_.try_emplace(position, text);
     if (known->second != text) {
-      Violate(fmt::format("{}: position {} changed", aLot.id_, position));
+      Violate(fmt::format("{}: position {} changed", aJob.id_, position));
     }
     if (isNew &&
         (result["state"] != "completed" || result["output"] != WholeOutput())) {
-      Violate(fmt::format("{}: position {}: {}", aLot.id_, position, text));
+      Violate(fmt::format("{}: position {}: {}", aJob.id_, position, text));
     }
     ++position;
   }
@@ -383,15 +383,15 @@
 }
 
 void
-SoakFixture::CheckLots()
+SoakFixture::CheckJobs()
 {
-  for (const auto& lot : lots_) {
+  for (const auto& job : jobs_) {
     std::set<std::string> items;
-    for (const auto& [position, text] : lot->results_) {
+    for (const auto& [position, text] : job->results_) {
       items.insert(json::parse(text)["id"].get<std::string>());
     }
-    if (items.size() != lot->items_ || lot->results_.size() != lot->items_) {
-      Violate(lot->id_ + ": an item is missing or listed twice");
+    if (items.size() != job->items_ || job->results_.size() != job->items_) {
+      Violate(job->id_ + ": an item is missing or listed twice");
     }
   }
 }
@@ -532,16 +532,16 @@
     pending_.erase(pending_.begin() + static_cast<std::ptrdiff_t>(index));
     ended.onEnd_(*ended.call_);
   }
-  for (const auto& lot : lots_) {
-    if (!lot->isAccepted_ && lot->sendAt_ <= Clock::now()) {
-      SendLot(*lot);
+  for (const auto& job : jobs_) {
+    if (!job->isAccepted_ && job->sendAt_ <= Clock::now()) {
+      SendJob(*job);
     }
   }
-  if (!lots_.empty() && Draw(kStepsToRead) == 0) {
-    Lot& lot = *lots_[Draw(lots_.size())];
-    if (lot.isAccepted_) {
-      ReadLot(lot, DrawEntry(), Draw(lot.results_.size() + 1));
-      ReadBody(lot, DrawEntry());
+  if (!jobs_.empty() && Draw(kStepsToRead) == 0) {
+    BatchJob& job = *jobs_[Draw(jobs_.size())];
+    if (job.isAccepted_) {
+      ReadJob(job, DrawEntry(), Draw(job.results_.size() + 1));
+      ReadBody(job, DrawEntry());
     }
   }
   if (Draw(isCalm_ ? kStepsToOnline * 10 : kStepsToOnline) == 0) {
@@ -557,8 +557,8 @@
 SoakFixture::IsAllAnswered() const
 {
   return pending_.empty() &&
-         std::all_of(lots_.begin(), lots_.end(), [](const auto& aLot) {
-           return aLot->results_.size() >= aLot->items_;
+         std::all_of(jobs_.begin(), jobs_.end(), [](const auto& aJob) {
+           return aJob->results_.size() >= aJob->items_;
          });
 }
 
@@ -576,19 +576,19 @@
       Step();
     }
   };
-  // Each lot is read whole at each entry host, and the results compared.
+  // Each job is read whole at each entry host, and the results compared.
   goOnUntil([this] {
-    for (const auto& lot : lots_) {
-      if (lot->results_.size() < lot->items_ && lot->isAccepted_ &&
+    for (const auto& job : jobs_) {
+      if (job->results_.size() < job->items_ && job->isAccepted_ &&
           Draw(10) == 0) {
-        ReadLot(*lot, DrawEntry(), 0);
+        ReadJob(*job, DrawEntry(), 0);
       }
     }
     return IsAllAnswered();
   });
-  for (const auto& lot : lots_) {
-    for (std::size_t entry = 0; entry < kEntries && lot->isAccepted_; ++entry) {
-      ReadLot(*lot, *hosts_[entry], 0);
+  for (const auto& job : jobs_) {
+    for (std::size_t entry = 0; entry < kEntries && job->isAccepted_; ++entry) {
+      ReadJob(*job, *hosts_[entry], 0);
     }
   }
   goOnUntil([this] { return pending_.empty(); });
@@ -602,13 +602,13 @@
   const auto until = Clock::now() + aTime;
   while (Clock::now() < until) {
     Step();
-    if (Draw(kStepsToLot) == 0) {
-      auto lot = std::make_unique<Lot>();
-      lot->id_ = fmt::format("lot{}", ++nextId_);
-      lot->items_ = 1 + Draw(kMostItems);
-      ++tally_.lots_;
-      tally_.items_ += static_cast<int>(lot->items_);
-      lots_.push_back(std::move(lot));
+    if (Draw(kStepsToJob) == 0) {
+      auto job = std::make_unique<BatchJob>();
+      job->id_ = fmt::format("lot{}", ++nextId_);
+      job->items_ = 1 + Draw(kMostItems);
+      ++tally_.jobs_;
+      tally_.items_ += static_cast<int>(job->items_);
+      jobs_.push_back(std::move(job));
     }
     if (Draw(kStepsToProbe) == 0) {
       SendProbeOfConfiguration();
@@ -619,7 +619,7 @@
   }
   EndFaults();
   CheckServers();
-  CheckLots();
+  CheckJobs();
   for (const auto& host : hosts_) {
     if (host->process_->CrashCount() > 0) {
       Violate(host->process_->Where().name_ + ": ended by itself");
--- a/Tests/PlatformSoak/SoakFixture.h
+++ b/Tests/PlatformSoak/SoakFixture.h
@@ -23,7 +23,7 @@
 
 /// Runs the real programs as processes, with the platform's stand-ins behind
 /// proxies, injects faults drawn from a seed while callers send requests and
-/// lots, and checks what callers and servers see.
+/// jobs, and checks what callers and servers see.
 class SoakFixture : protected CallingFixture
 {
 protected:
@@ -45,7 +45,7 @@
     int wholeAnswers_ = 0;
     int refusals_ = 0;
     int otherEnds_ = 0;
-    int lots_ = 0;
+    int jobs_ = 0;
     int items_ = 0;
     int faults_ = 0;
     int restarts_ = 0;
@@ -69,7 +69,7 @@
     std::unique_ptr<ServerStandin> standin_;
     std::unique_ptr<FaultProxy> way_;
   };
-  struct Lot
+  struct BatchJob
   {
     std::string id_;
     std::size_t items_ = 0;
@@ -103,19 +103,22 @@
            std::function<void(const CallerCall&)> aOnEnd);
   void SendOnline();
   void SendProbeOfConfiguration();
-  void SendLot(Lot& aLot);
-  void ReadLot(Lot& aLot, Host& aHost, std::size_t aPosition);
-  void ReadBody(const Lot& aLot, Host& aHost);
+  void SendJob(BatchJob& aJob);
+  void ReadJob(BatchJob& aJob, Host& aHost, std::size_t aPosition);
+  void ReadBody(const BatchJob& aJob, Host& aHost);
 
-  /// @return whether a host must know a lot that it is asked for now.
-  [[nodiscard]] static bool MustBeKnown(const Lot& aLot, const Host& aHost);
+  /// @return whether a host must know a job that it is asked for now.
+  [[nodiscard]] static bool MustBeKnown(const BatchJob& aJob,
+                                        const Host& aHost);
 
   // Checks.
   void Violate(const std::string& aWhat);
   void CheckOnline(const std::string& aId, const CallerCall& aCall);
-  void CheckPage(Lot& aLot, std::size_t aPosition, const std::string& aBody);
+  void CheckPage(BatchJob& aJob,
+                 std::size_t aPosition,
+                 const std::string& aBody);
   void CheckServers();
-  void CheckLots();
+  void CheckJobs();
 
   // Faults.
   void InjectFault();
@@ -138,7 +141,7 @@
   std::vector<std::unique_ptr<Host>> hosts_; ///< Entry hosts come first.
   std::vector<Server> servers_;
   std::vector<Pending> pending_;
-  std::vector<std::unique_ptr<Lot>> lots_;
+  std::vector<std::unique_ptr<BatchJob>> jobs_;
   std::vector<Undo> undos_;
   std::set<std::string> refused_; ///< Requests that were said not to have run.
   std::set<std::string> once_;    ///< Requests that may run once.
--- a/Tests/PlatformSoak/SoakTest.cpp
+++ b/Tests/PlatformSoak/SoakTest.cpp
@@ -37,7 +37,7 @@
     played.wholeAnswers_,
     played.refusals_,
     played.otherEnds_,
-    played.lots_,
+    played.jobs_,
     played.items_,
     played.faults_,
     played.restarts_);
