--- a/Libraries/LibBatch/LedgerBook.cpp
+++ b/Libraries/LibBatch/LedgerCache.cpp
@@ -1,4 +1,4 @@
-#include "LibBatch/LedgerBook.h"
+#include "LibBatch/LedgerCache.h"
 
 #include <algorithm>
 #include <utility>
@@ -29,7 +29,7 @@
 ReleasedBetween(const TokenLedger& aOld, const TokenLedger& aNew)
 {
   std::uint64_t released = 0;
-  for (const auto& [job, tokens] : aOld.Rows()) {
+  for (const auto& [job, tokens] : aOld.Entries()) {
     const std::uint64_t left = aNew.Of(job).value_or(0);
     released += tokens > left ? tokens - left : 0;
   }
@@ -39,25 +39,26 @@
 } // namespace
 
 const LedgerView&
-LedgerBook::Of(const std::string& aLedger) const
+LedgerCache::Of(const std::string& aLedger) const
 {
   static const LedgerView kNone;
   const auto entry = entries_.find(aLedger);
   return entry == entries_.end() ? kNone : entry->second.view_;
 }
 
-LedgerNews
-LedgerBook::Learn(const std::string& aLedger,
-                  std::string_view aValue,
-                  std::uint64_t aRevision,
-                  base::Instant aNow)
+LedgerUpdateOutcome
+LedgerCache::Update(const std::string& aLedger,
+                    std::string_view aValue,
+                    std::uint64_t aRevision,
+                    base::Instant aNow)
 {
   Entry& entry = entries_[aLedger];
   if (aRevision <= entry.view_.revision_) {
-    return LedgerNews::Old;
+    return LedgerUpdateOutcome::Old;
   }
   auto ledger = DecodeLedger(aValue);
-  const LedgerNews news = ledger ? LedgerNews::Newer : LedgerNews::Unreadable;
+  const LedgerUpdateOutcome outcome =
+    ledger ? LedgerUpdateOutcome::Newer : LedgerUpdateOutcome::Unreadable;
   LedgerView view{ aRevision, std::move(ledger).value_or(TokenLedger{}) };
   if (const auto released =
         ReleasedBetween(entry.view_.ledger_, view.ledger_)) {
@@ -68,15 +69,15 @@
     entry.releases_.pop_front();
   }
   entry.view_ = std::move(view);
-  return news;
+  return outcome;
 }
 
 base::Duration
-LedgerBook::RoomExpectedAfter(const std::string& aLedger,
-                              std::uint64_t aTokens,
-                              std::uint64_t aCap,
-                              base::Instant aNow,
-                              double aRandom) const
+LedgerCache::RoomExpectedAfter(const std::string& aLedger,
+                               std::uint64_t aTokens,
+                               std::uint64_t aCap,
+                               base::Instant aNow,
+                               double aRandom) const
 {
   const std::uint64_t wanted = Of(aLedger).ledger_.Total() + aTokens;
   const std::uint64_t excess = wanted > aCap ? wanted - aCap : 0;
--- a/Libraries/LibBatch/LedgerBook.h
+++ b/Libraries/LibBatch/LedgerCache.h
@@ -19,7 +19,7 @@
 };
 
 /// What a learned key was.
-enum class LedgerNews : std::uint8_t
+enum class LedgerUpdateOutcome : std::uint8_t
 {
   Newer,
   Old,        ///< As known, or older.
@@ -30,16 +30,16 @@
 /// them. A view may be old: a change is made under the condition that it is
 /// not, and the store's refusal brings the present one. Takes the time as an
 /// argument, does no I/O, is not thread-safe.
-class LedgerBook
+class LedgerCache
 {
 public:
   [[nodiscard]] const LedgerView& Of(const std::string& aLedger) const;
 
   /// Takes over a ledger as the store has it.
-  LedgerNews Learn(const std::string& aLedger,
-                   std::string_view aValue,
-                   std::uint64_t aRevision,
-                   base::Instant aNow);
+  LedgerUpdateOutcome Update(const std::string& aLedger,
+                             std::string_view aValue,
+                             std::uint64_t aRevision,
+                             base::Instant aNow);
 
   /// @return when room for a job that doesn't fit now is expected, by how fast
   ///         tokens were freed of late.
--- a/Libraries/LibBatch/StartOrder.cpp
+++ b/Libraries/LibBatch/StartOrder.cpp
@@ -60,7 +60,7 @@
 void
 LeaveOutOldest(std::vector<Ranked>& aRanked, const StartConditions& aConditions)
 {
-  const double places = std::max(aConditions.places_, 1.0);
+  const double places = std::max(aConditions.slots_, 1.0);
   // Work in place-seconds that is done before an item can start, from the
   // present runs on.
   std::vector<double> workBefore;
--- a/Libraries/LibBatch/StartOrder.h
+++ b/Libraries/LibBatch/StartOrder.h
@@ -37,7 +37,7 @@
 struct StartConditions
 {
   base::Instant now_;
-  double places_ = 1.0; ///< Runs that the host had at a time of late.
+  double slots_ = 1.0; ///< Runs that the host had at a time of late.
   /// What the present runs still take, all together.
   base::Duration runningWork_{ 0 };
 };
--- a/Libraries/LibBatch/TokenLedger.cpp
+++ b/Libraries/LibBatch/TokenLedger.cpp
@@ -16,8 +16,8 @@
 std::optional<std::uint64_t>
 TokenLedger::Of(const std::string& aJob) const
 {
-  const auto row = rows_.find(aJob);
-  return row == rows_.end() ? std::nullopt : std::optional(row->second);
+  const auto row = entries_.find(aJob);
+  return row == entries_.end() ? std::nullopt : std::optional(row->second);
 }
 
 void
@@ -26,16 +26,16 @@
   total_ -= Of(aJob).value_or(0);
   total_ += aTokens;
   if (aTokens == 0) {
-    rows_.erase(aJob);
+    entries_.erase(aJob);
   } else {
-    rows_[aJob] = aTokens;
+    entries_[aJob] = aTokens;
   }
 }
 
 std::string
 EncodeLedger(const TokenLedger& aLedger)
 {
-  return json(aLedger.Rows())
+  return json(aLedger.Entries())
     .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/Libraries/LibBatch/TokenLedger.h
+++ b/Libraries/LibBatch/TokenLedger.h
@@ -29,16 +29,16 @@
   /// Adds a job or changes its row; zero tokens remove it.
   void Set(const std::string& aJob, std::uint64_t aTokens);
 
-  [[nodiscard]] const std::map<std::string, std::uint64_t>& Rows() const
+  [[nodiscard]] const std::map<std::string, std::uint64_t>& Entries() const
   {
-    return rows_;
+    return entries_;
   }
 
   bool operator==(const TokenLedger&) const = default;
 
 private:
-  std::map<std::string, std::uint64_t> rows_; ///< Without zeros.
-  std::uint64_t total_ = 0;                   ///< Of all rows.
+  std::map<std::string, std::uint64_t> entries_; ///< Without zeros.
+  std::uint64_t total_ = 0;                      ///< Of all rows.
 };
 
 std::string
--- a/Libraries/LibFleet/AdmissionControl.cpp
+++ b/Libraries/LibFleet/AdmissionControl.cpp
@@ -73,7 +73,7 @@
 }
 
 Admission
-AdmissionControl::Judge(const AdmissionRequest& aRequest, double aRandom)
+AdmissionControl::Check(const AdmissionRequest& aRequest, double aRandom)
 {
   Admission admission;
   admission.expectedWait_ = ExpectedWait(aRequest);
@@ -81,14 +81,14 @@
   const bool hasObjective = aRequest.objective_ > base::Duration::zero();
   if (hasObjective && !hasBeenHere &&
       admission.expectedWait_ > Scale(aRequest.objective_, kWaitShare)) {
-    admission.comeBackAfter_ = ComeBackAfter(aRequest.patience_, aRandom);
+    admission.retryAfter_ = RetryAfter(aRequest.patience_, aRandom);
   }
   return admission;
 }
 
 base::Duration
-AdmissionControl::ComeBackAfter(std::optional<base::Duration> aPatience,
-                                double aRandom)
+AdmissionControl::RetryAfter(std::optional<base::Duration> aPatience,
+                             double aRandom)
 {
   const base::Duration longest =
     std::min(Scale(aPatience.value_or(kUsualPatience), kComeBackShare),
--- a/Libraries/LibFleet/AdmissionControl.h
+++ b/Libraries/LibFleet/AdmissionControl.h
@@ -27,7 +27,7 @@
 {
   base::Duration expectedWait_{ 0 }; ///< For a place at the endpoint.
   /// Set: refuse the request, and tell its caller to come back then.
-  std::optional<base::Duration> comeBackAfter_;
+  std::optional<base::Duration> retryAfter_;
 };
 
 /// Refuses online requests that would wait too long in an engine's queue.
@@ -44,11 +44,11 @@
 
   /// Judges a request before it is sent for the first time.
   /// @param aRandom Uniform in [0, 1): spreads the returns of callers.
-  [[nodiscard]] Admission Judge(const AdmissionRequest& aRequest,
+  [[nodiscard]] Admission Check(const AdmissionRequest& aRequest,
                                 double aRandom);
 
   /// @return when a caller that gets no place should come back.
-  [[nodiscard]] static base::Duration ComeBackAfter(
+  [[nodiscard]] static base::Duration RetryAfter(
     std::optional<base::Duration> aPatience,
     double aRandom);
 
--- a/Libraries/LibFleet/CallerCheck.cpp
+++ b/Libraries/LibFleet/CallerAuthentication.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/CallerCheck.h"
+#include "LibFleet/CallerAuthentication.h"
 
 namespace pumiceturn::fleet {
 
@@ -26,7 +26,7 @@
       return age_.MayReject() ? Caller{ UnauthorisedCaller{ "unknown key" } }
                               : Caller{ UnconfirmedCaller{} };
     }
-    return age_.MayAdmit() ? Caller{ KnownCaller{ organisation } }
+    return age_.MayAdmit() ? Caller{ AuthenticatedCaller{ organisation } }
                            : Caller{ UnconfirmedCaller{} };
   }
 };
@@ -34,10 +34,10 @@
 } // namespace
 
 Caller
-JudgeCaller(const OrganisationTable& aOrganisations,
-            const Credential& aCredential,
-            bool aNeedsKey,
-            const DeclarationsAge& aAge)
+AuthenticateCaller(const OrganisationTable& aOrganisations,
+                   const Credential& aCredential,
+                   bool aNeedsKey,
+                   const DeclarationsAge& aAge)
 {
   if (!aNeedsKey || !aOrganisations.AreDeclared()) {
     return AnonymousCaller{};
--- a/Libraries/LibFleet/CallerCheck.h
+++ b/Libraries/LibFleet/CallerAuthentication.h
@@ -51,7 +51,7 @@
 {};
 
 /// A caller with a key of an organisation.
-struct KnownCaller
+struct AuthenticatedCaller
 {
   const Organisation* organisation_ = nullptr; ///< As in the table.
 };
@@ -66,15 +66,17 @@
 struct UnconfirmedCaller
 {};
 
-using Caller = std::
-  variant<AnonymousCaller, KnownCaller, UnauthorisedCaller, UnconfirmedCaller>;
+using Caller = std::variant<AnonymousCaller,
+                            AuthenticatedCaller,
+                            UnauthorisedCaller,
+                            UnconfirmedCaller>;
 
 /// Decides who calls.
 /// @param aNeedsKey Whether the route is one for organisations alone.
 [[nodiscard]] Caller
-JudgeCaller(const OrganisationTable& aOrganisations,
-            const Credential& aCredential,
-            bool aNeedsKey,
-            const DeclarationsAge& aAge);
+AuthenticateCaller(const OrganisationTable& aOrganisations,
+                   const Credential& aCredential,
+                   bool aNeedsKey,
+                   const DeclarationsAge& aAge);
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/Declarations.h
+++ b/Libraries/LibFleet/Declarations.h
@@ -45,7 +45,7 @@
   /// Tokens that accepted items of an organisation's jobs may have waiting at a
   /// time; zero: no bound.
   std::uint64_t waitingTokenCap_ = 0;
-  bool isOpen_ = false; ///< Callers need no key.
+  bool allowsAnonymous_ = false; ///< Callers need no key.
 };
 
 /// How many requests may run, for all hosts together.
--- a/Libraries/LibFleet/RateKeeper.cpp
+++ b/Libraries/LibFleet/RateAccounts.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/RateKeeper.h"
+#include "LibFleet/RateAccounts.h"
 
 #include <algorithm>
 #include <cmath>
@@ -56,8 +56,8 @@
 
 } // namespace
 
-RateKeeper::Part
-RateKeeper::PartOf(const RateLimit& aLimit, double aShare) const
+RateAccounts::Part
+RateAccounts::PartOf(const RateLimit& aLimit, double aShare) const
 {
   const double seconds = SecondsOf(tolerance_.window_);
   const double allowed = aLimit.ratePerSecond_ * seconds + aLimit.burst_;
@@ -74,11 +74,11 @@
   return part;
 }
 
-RateKeeper::Bucket&
-RateKeeper::Fill(const std::string& aOrganisation,
-                 const Part& aPart,
-                 const RateMembers& aMembers,
-                 base::Instant aNow)
+RateAccounts::Bucket&
+RateAccounts::Fill(const std::string& aOrganisation,
+                   const Part& aPart,
+                   const RateLimitMembership& aMembers,
+                   base::Instant aNow)
 {
   const auto [found, isNew] = buckets_.try_emplace(aOrganisation);
   Bucket& bucket = found->second;
@@ -101,7 +101,7 @@
 }
 
 void
-RateKeeper::MoveWindow(Bucket& aBucket, base::Instant aNow) const
+RateAccounts::MoveWindow(Bucket& aBucket, base::Instant aNow) const
 {
   const base::Duration slice = tolerance_.window_ / kSlices;
   const std::int64_t present = aNow.time_since_epoch() / slice;
@@ -117,7 +117,7 @@
 }
 
 void
-RateKeeper::Spend(Bucket& aBucket, double aRequests)
+RateAccounts::Spend(Bucket& aBucket, double aRequests)
 {
   const auto count = static_cast<std::int64_t>(aBucket.ran_.size());
   aBucket.credit_ -= aRequests;
@@ -126,9 +126,9 @@
 }
 
 void
-RateKeeper::Charge(Bucket& aBucket,
-                   const std::string& aHost,
-                   const RateReport& aReport)
+RateAccounts::Charge(Bucket& aBucket,
+                     const std::string& aHost,
+                     const RateReport& aReport)
 {
   Account& account = aBucket.accounts_[aHost];
   if (account.id_ != aReport.account_) {
@@ -145,25 +145,25 @@
   }
 }
 
-RateAnswer
-RateKeeper::Take(const std::string& aHost,
-                 const RateReport& aReport,
-                 const RateLimit& aLimit,
-                 const RateMembers& aMembers,
-                 base::Instant aNow)
+RateResponse
+RateAccounts::Take(const std::string& aHost,
+                   const RateReport& aReport,
+                   const RateLimit& aLimit,
+                   const RateLimitMembership& aMembers,
+                   base::Instant aNow)
 {
   const Part part = PartOf(aLimit, aMembers.Share());
   Bucket& bucket = Fill(aReport.organisation_, part, aMembers, aNow);
   Charge(bucket, aHost, aReport);
   bucket.credit_ =
     std::clamp(bucket.credit_, -kLongestDebt * part.rate_, part.capacity_);
-  RateAnswer answer;
-  answer.organisation_ = aReport.organisation_;
-  answer.account_ = aReport.account_;
-  answer.question_ = aReport.question_;
-  if (aReport.question_ != 0) {
-    answer.isGranted_ = RoomIn(bucket, part) >= 1.0;
-    if (answer.isGranted_) {
+  RateResponse response;
+  response.organisation_ = aReport.organisation_;
+  response.account_ = aReport.account_;
+  response.query_ = aReport.query_;
+  if (aReport.query_ != 0) {
+    response.isGranted_ = RoomIn(bucket, part) >= 1.0;
+    if (response.isGranted_) {
       Spend(bucket, 1.0);
     } else {
       bucket.refused_ += 1.0;
@@ -172,26 +172,26 @@
   const double room = RoomIn(bucket, part);
   if (room <
       std::max(1.0, kAskShare * std::min(part.capacity_, part.window_))) {
-    answer.askFirst_ = kAskFirst;
+    response.askFirst_ = kAskFirst;
   }
   if (room < 1.0) {
-    answer.noCreditFor_ = TimeToCredit(bucket, part);
-    answer.comeBackAfter_ = std::clamp<base::Duration>(
+    response.noCreditFor_ = TimeToCredit(bucket, part);
+    response.retryAfter_ = std::clamp<base::Duration>(
       FromSeconds(bucket.refused_ / std::max(part.rate_, kLeastRate)),
-      answer.noCreditFor_,
+      response.noCreditFor_,
       kLongestComeBack);
   }
-  return answer;
+  return response;
 }
 
 double
-RateKeeper::RoomIn(const Bucket& aBucket, const Part& aPart)
+RateAccounts::RoomIn(const Bucket& aBucket, const Part& aPart)
 {
   return std::min(aBucket.credit_, aPart.window_ - aBucket.inWindow_);
 }
 
 base::Duration
-RateKeeper::TimeToCredit(const Bucket& aBucket, const Part& aPart) const
+RateAccounts::TimeToCredit(const Bucket& aBucket, const Part& aPart) const
 {
   const double rate = std::max(aPart.rate_, kLeastRate);
   const base::Duration byBucket = FromSeconds((1.0 - aBucket.credit_) / rate);
@@ -211,7 +211,7 @@
 }
 
 void
-RateKeeper::Expire(base::Instant aNow)
+RateAccounts::Expire(base::Instant aNow)
 {
   std::erase_if(buckets_, [aNow](const auto& aEntry) {
     return aNow - aEntry.second.filledAt_ > kForgotten;
--- a/Libraries/LibFleet/RateKeeper.h
+++ b/Libraries/LibFleet/RateAccounts.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/Time.h"
 #include "LibFleet/Declarations.h"
-#include "LibFleet/RateMembers.h"
+#include "LibFleet/RateLimitMembership.h"
 #include "LibFleet/RateMessages.h"
 
 #include <array>
@@ -25,26 +25,26 @@
 /// Keeps the accounts of some organisations for all hosts. Two things bound
 /// what may run: the requests of the last window, which a limit allows to come
 /// in any rhythm, and a bucket of credit that fills at the organisation's rate.
-/// The bucket bounds what a keeper that starts anew, and knows nothing of the
+/// The bucket bounds what an owner that starts anew, and knows nothing of the
 /// window, may add to what ran before.
 ///
 /// While there is plenty, hosts let requests run by themselves and report them
 /// afterwards; where it runs low, they are told to ask first. Takes the time as
 /// an argument, does no I/O, is not thread-safe.
-class RateKeeper
+class RateAccounts
 {
 public:
-  explicit RateKeeper(RateTolerance aTolerance)
+  explicit RateAccounts(RateTolerance aTolerance)
     : tolerance_(aTolerance)
   {
   }
 
-  /// Takes in a host's report, and answers its question.
-  [[nodiscard]] RateAnswer Take(const std::string& aHost,
-                                const RateReport& aReport,
-                                const RateLimit& aLimit,
-                                const RateMembers& aMembers,
-                                base::Instant aNow);
+  /// Takes in a host's report, and answers its query.
+  [[nodiscard]] RateResponse Take(const std::string& aHost,
+                                  const RateReport& aReport,
+                                  const RateLimit& aLimit,
+                                  const RateLimitMembership& aMembers,
+                                  base::Instant aNow);
 
   /// Drops accounts that nobody has used for long.
   void Expire(base::Instant aNow);
@@ -78,14 +78,14 @@
   {
     double rate_ = 0.0;
     double capacity_ = 0.0;    ///< Of the bucket.
-    double startCredit_ = 0.0; ///< Of a keeper that knows nothing.
+    double startCredit_ = 0.0; ///< Of an owner that knows nothing.
     double window_ = 0.0;      ///< Requests in one window.
   };
 
   [[nodiscard]] Part PartOf(const RateLimit& aLimit, double aShare) const;
   Bucket& Fill(const std::string& aOrganisation,
                const Part& aPart,
-               const RateMembers& aMembers,
+               const RateLimitMembership& aMembers,
                base::Instant aNow);
   void MoveWindow(Bucket& aBucket, base::Instant aNow) const;
   static void Spend(Bucket& aBucket, double aRequests);
--- a/Libraries/LibFleet/RateMembers.cpp
+++ b/Libraries/LibFleet/RateLimitMembership.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/RateMembers.h"
+#include "LibFleet/RateLimitMembership.h"
 
 #include "LibBase/Ids.h"
 
@@ -7,9 +7,9 @@
 namespace pumiceturn::fleet {
 
 void
-RateMembers::Update(std::span<const Member> aOthers, base::Instant aNow)
+RateLimitMembership::Update(std::span<const Member> aOthers, base::Instant aNow)
 {
-  std::vector<Keeper> heard;
+  std::vector<AccountHost> heard;
   std::size_t admitting = admits_ ? 1 : 0;
   std::size_t registered = admitting;
   for (const Member& member : aOthers) {
@@ -37,7 +37,7 @@
 }
 
 const std::string&
-RateMembers::KeeperOf(std::string_view aOrganisation) const
+RateLimitMembership::OwnerOf(std::string_view aOrganisation) const
 {
   const std::uint64_t seed = base::HashBytes(aOrganisation);
   const std::string* best = &ownName_;
--- a/Libraries/LibFleet/RateMembers.h
+++ b/Libraries/LibFleet/RateLimitMembership.h
@@ -17,7 +17,7 @@
 /// organisation's account, and which part of its limit the hosts that hear
 /// each other may use. Takes the time as an argument, does no I/O, is not
 /// thread-safe.
-class RateMembers
+class RateLimitMembership
 {
 public:
   struct Member
@@ -33,7 +33,7 @@
   /// cut off and go on.
   static constexpr base::Duration kMemory{ std::chrono::seconds{ 5 } };
 
-  RateMembers(std::string aOwnName, bool aAdmits)
+  RateLimitMembership(std::string aOwnName, bool aAdmits)
     : ownName_(std::move(aOwnName))
     , admits_(aAdmits)
   {
@@ -44,7 +44,7 @@
 
   /// @return the host that keeps an organisation's account, by highest random
   ///         weight among the hosts that are heard.
-  [[nodiscard]] const std::string& KeeperOf(
+  [[nodiscard]] const std::string& OwnerOf(
     std::string_view aOrganisation) const;
 
   /// @return which part of each limit the hosts that are heard may use. Hosts
@@ -67,11 +67,11 @@
   };
 
   /// Whether a host only keeps accounts, and its name.
-  using Keeper = std::pair<bool, std::string>;
+  using AccountHost = std::pair<bool, std::string>;
 
   std::string ownName_;
   bool admits_;
-  std::vector<Keeper> heard_;         ///< Sorted, without this host.
+  std::vector<AccountHost> heard_;    ///< Sorted, without this host.
   std::deque<Registered> registered_; ///< Of late, falling counts.
   std::size_t count_ = 1;
   double share_ = 1.0;
--- a/Libraries/LibFleet/RateLimits.cpp
+++ b/Libraries/LibFleet/RateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/RateLimits.h"
+#include "LibFleet/RateLimiter.h"
 
 #include <algorithm>
 
@@ -25,35 +25,35 @@
 
 } // namespace
 
-RateLimits::RateLimits(std::string aOwnName,
-                       bool aAdmits,
-                       RateTolerance aTolerance)
+RateLimiter::RateLimiter(std::string aOwnName,
+                         bool aAdmits,
+                         RateTolerance aTolerance)
   : members_(std::move(aOwnName), aAdmits)
-  , keeper_(aTolerance)
+  , accounts_(aTolerance)
 {
 }
 
 void
-RateLimits::SetMembers(std::span<const RateMembers::Member> aOthers,
-                       base::Instant aNow)
+RateLimiter::SetMembers(std::span<const RateLimitMembership::Member> aOthers,
+                        base::Instant aNow)
 {
   members_.Update(aOthers, aNow);
 }
 
-RateLimits::Use&
-RateLimits::Find(const Organisation& aOrganisation,
-                 base::Instant aNow,
-                 std::mt19937_64& aRandom)
+RateLimiter::Use&
+RateLimiter::Find(const Organisation& aOrganisation,
+                  base::Instant aNow,
+                  std::mt19937_64& aRandom)
 {
   Use& use = uses_[aOrganisation.name_];
-  const std::string& keeper = members_.KeeperOf(aOrganisation.name_);
-  if (use.keeper_ != keeper) {
-    // The new keeper begins with what this host has not reported yet.
+  const std::string& owner = members_.OwnerOf(aOrganisation.name_);
+  if (use.owner_ != owner) {
+    // The new owner begins with what this host has not reported yet.
     const std::uint64_t unreported =
       use.admitted_ + use.returned_ - use.reported_;
     const base::Instant askUntil = use.askUntil_;
     use = {};
-    use.keeper_ = keeper;
+    use.owner_ = owner;
     use.account_ = std::max<std::uint64_t>(aRandom(), 1);
     use.admitted_ = unreported;
     use.askUntil_ = askUntil;
@@ -69,44 +69,44 @@
 }
 
 RateReport
-RateLimits::ReportOf(const std::string& aOrganisation, const Use& aUse)
+RateLimiter::ReportOf(const std::string& aOrganisation, const Use& aUse)
 {
   return { aOrganisation, aUse.account_, aUse.admitted_, aUse.returned_, 0 };
 }
 
 RateDecision
-RateLimits::Judge(const Organisation& aOrganisation,
-                  base::Instant aNow,
-                  std::mt19937_64& aRandom)
+RateLimiter::Check(const Organisation& aOrganisation,
+                   base::Instant aNow,
+                   std::mt19937_64& aRandom)
 {
   if (!aOrganisation.limit_.IsSet()) {
     return RateAdmitted{};
   }
   Use& use = Find(aOrganisation, aNow, aRandom);
   if (aNow < use.noCreditUntil_) {
-    return RateRefused{ use.comeBackAfter_, "no credit" };
+    return RateRefused{ use.retryAfter_, "no credit" };
   }
-  const bool isKeeper = use.keeper_ == members_.OwnName();
+  const bool isOwner = use.owner_ == members_.OwnName();
   const std::uint64_t unreported =
     use.admitted_ + use.returned_ - use.reported_;
-  if (!isKeeper && aNow >= use.askUntil_ && unreported < use.reportAfter_) {
+  if (!isOwner && aNow >= use.askUntil_ && unreported < use.reportAfter_) {
     ++use.admitted_;
     return RateAdmitted{};
   }
   RateReport report = ReportOf(aOrganisation.name_, use);
-  report.question_ = ++lastQuestion_;
+  report.query_ = ++lastQuery_;
   use.reported_ = use.admitted_ + use.returned_;
   use.reportedAt_ = aNow;
-  if (!isKeeper) {
-    return RateAsk{ use.keeper_, std::move(report) };
+  if (!isOwner) {
+    return RateQuery{ use.owner_, std::move(report) };
   }
-  const RateAnswer answer = keeper_.Take(
+  const RateResponse response = accounts_.Take(
     members_.OwnName(), report, aOrganisation.limit_, members_, aNow);
-  return *TakeAnswer(answer, aNow);
+  return *HandleResponse(response, aNow);
 }
 
 RateDecision
-RateLimits::JudgeAlone(const Organisation& aOrganisation, base::Instant aNow)
+RateLimiter::CheckLocally(const Organisation& aOrganisation, base::Instant aNow)
 {
   Use& use = uses_[aOrganisation.name_];
   use.usedAt_ = aNow;
@@ -134,7 +134,7 @@
 }
 
 void
-RateLimits::Return(const std::string& aOrganisation)
+RateLimiter::Refund(const std::string& aOrganisation)
 {
   if (const auto use = uses_.find(aOrganisation); use != uses_.end()) {
     ++use->second.returned_;
@@ -142,44 +142,46 @@
 }
 
 void
-RateLimits::NoteAnswer(Use& aUse, const RateAnswer& aAnswer, base::Instant aNow)
+RateLimiter::RecordResponse(Use& aUse,
+                            const RateResponse& aResponse,
+                            base::Instant aNow)
 {
-  aUse.askUntil_ = std::max(aUse.askUntil_, aNow + aAnswer.askFirst_);
-  aUse.noCreditUntil_ = aNow + aAnswer.noCreditFor_;
-  aUse.comeBackAfter_ = aAnswer.comeBackAfter_;
+  aUse.askUntil_ = std::max(aUse.askUntil_, aNow + aResponse.askFirst_);
+  aUse.noCreditUntil_ = aNow + aResponse.noCreditFor_;
+  aUse.retryAfter_ = aResponse.retryAfter_;
 }
 
 std::optional<RateDecision>
-RateLimits::TakeAnswer(const RateAnswer& aAnswer, base::Instant aNow)
+RateLimiter::HandleResponse(const RateResponse& aResponse, base::Instant aNow)
 {
-  const auto use = uses_.find(aAnswer.organisation_);
-  if (use != uses_.end() && use->second.account_ == aAnswer.account_) {
-    NoteAnswer(use->second, aAnswer, aNow);
+  const auto use = uses_.find(aResponse.organisation_);
+  if (use != uses_.end() && use->second.account_ == aResponse.account_) {
+    RecordResponse(use->second, aResponse, aNow);
   }
-  if (aAnswer.question_ == 0) {
+  if (aResponse.query_ == 0) {
     return std::nullopt;
   }
-  if (aAnswer.isGranted_) {
+  if (aResponse.isGranted_) {
     return RateAdmitted{};
   }
-  return RateRefused{ aAnswer.comeBackAfter_, "keeper" };
+  return RateRefused{ aResponse.retryAfter_, "keeper" };
 }
 
-std::optional<RateAnswer>
-RateLimits::TakeReport(const std::string& aHost,
-                       const RateReport& aReport,
-                       const Organisation& aOrganisation,
-                       base::Instant aNow)
+std::optional<RateResponse>
+RateLimiter::HandleReport(const std::string& aHost,
+                          const RateReport& aReport,
+                          const Organisation& aOrganisation,
+                          base::Instant aNow)
 {
-  RateAnswer answer =
-    keeper_.Take(aHost, aReport, aOrganisation.limit_, members_, aNow);
+  RateResponse response =
+    accounts_.Take(aHost, aReport, aOrganisation.limit_, members_, aNow);
   const bool isDue =
-    aReport.question_ != 0 || answer.askFirst_ > base::Duration::zero();
-  return isDue ? std::optional(std::move(answer)) : std::nullopt;
+    aReport.query_ != 0 || response.askFirst_ > base::Duration::zero();
+  return isDue ? std::optional(std::move(response)) : std::nullopt;
 }
 
 std::vector<std::pair<std::string, RateReport>>
-RateLimits::TakeDueReports(base::Instant aNow)
+RateLimiter::CollectDueReports(base::Instant aNow)
 {
   std::vector<std::pair<std::string, RateReport>> due;
   for (auto& [organisation, use] : uses_) {
@@ -192,18 +194,19 @@
     use.reported_ = total;
     use.reportedAt_ = aNow;
     const RateReport report = ReportOf(organisation, use);
-    if (use.keeper_ == members_.OwnName()) {
-      NoteAnswer(use,
-                 keeper_.Take(use.keeper_, report, use.limit_, members_, aNow),
-                 aNow);
+    if (use.owner_ == members_.OwnName()) {
+      RecordResponse(
+        use,
+        accounts_.Take(use.owner_, report, use.limit_, members_, aNow),
+        aNow);
     } else {
-      due.emplace_back(use.keeper_, report);
+      due.emplace_back(use.owner_, report);
     }
   }
   std::erase_if(uses_, [aNow](const auto& aEntry) {
     return aNow - aEntry.second.usedAt_ > kForgotten;
   });
-  keeper_.Expire(aNow);
+  accounts_.Expire(aNow);
   return due;
 }
 
--- a/Libraries/LibGateway/CallerGate.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/CallerGate.h"
+#include "LibGateway/AccessControl.h"
 
 #include "LibGateway/Events.h"
 
@@ -15,26 +15,26 @@
 /// message between hosts takes, and for clocks.
 constexpr double kRevocationMargin = 0.1;
 
-/// Longest wait for the keeper of an account. It answers within the way there
+/// Longest wait for the owner of an account. It answers within the way there
 /// and back; a lost datagram must not make its request late.
-constexpr std::chrono::milliseconds kKeeperPatience{ 60 };
+constexpr std::chrono::milliseconds kOwnerTimeout{ 60 };
 
 /// For a caller whose key can't be judged now.
 constexpr std::chrono::milliseconds kRetryAfter{ 400 };
 
 std::string_view
-RequestIdOf(const Shared& aShared, const httpstream::Request& aRequest)
+RequestIdOf(const SharedState& aShared, const httpstream::Request& aRequest)
 {
   return httpstream::ValueOf(aRequest, aShared.codec_.EchoField());
 }
 
 } // namespace
 
-CallerGate::CallerGate(boost::asio::any_io_executor aExecutor,
-                       Shared& aShared,
-                       const StoreFollowing& aFollowing,
-                       PeerExchange& aPeers,
-                       Bounds aBounds)
+AccessControl::AccessControl(boost::asio::any_io_executor aExecutor,
+                             SharedState& aShared,
+                             const StoreFollowing& aFollowing,
+                             PeerExchange& aPeers,
+                             Bounds aBounds)
   : executor_(std::move(aExecutor))
   , shared_(aShared)
   , following_(aFollowing)
@@ -45,12 +45,13 @@
     [this](const std::string& aHost, const fleet::RateReport& aReport) {
       OnReport(aHost, aReport);
     });
-  peers_.SetOnRateAnswer(
-    [this](const fleet::RateAnswer& aAnswer) { OnAnswer(aAnswer); });
+  peers_.SetOnRateResponse([this](const fleet::RateResponse& aResponse) {
+    OnRateResponse(aResponse);
+  });
 }
 
 fleet::DeclarationsAge
-CallerGate::Age() const
+AccessControl::Age() const
 {
   fleet::DeclarationsAge age;
   age.age_ = following_.AgeOf(StorePrefix::Operators);
@@ -63,39 +64,41 @@
 }
 
 bool
-CallerGate::IsConfirmed() const
+AccessControl::IsConfirmed() const
 {
   return !shared_.routes_.Organisations().AreDeclared() || Age().MayAdmit();
 }
 
 std::optional<CallerName>
-CallerGate::Identify(const ExchangePtr& aExchange, const fleet::Route& aRoute)
+AccessControl::Identify(const ExchangePtr& aExchange,
+                        const fleet::Route& aRoute)
 {
-  return Answer(
-    aExchange,
-    fleet::JudgeCaller(shared_.routes_.Organisations(),
-                       shared_.codec_.ReadCredential(aExchange->GetRequest()),
-                       !aRoute.isOpen_,
-                       Age()));
+  return Answer(aExchange,
+                fleet::AuthenticateCaller(
+                  shared_.routes_.Organisations(),
+                  shared_.codec_.ReadCredential(aExchange->GetRequest()),
+                  !aRoute.allowsAnonymous_,
+                  Age()));
 }
 
 std::optional<CallerName>
-CallerGate::IdentifyReader(const ExchangePtr& aExchange)
+AccessControl::IdentifyReader(const ExchangePtr& aExchange)
 {
   const fleet::Credential credential =
     shared_.codec_.ReadCredential(aExchange->GetRequest());
   const bool hasKey = !std::holds_alternative<fleet::NoCredential>(credential);
   return Answer(aExchange,
-                fleet::JudgeCaller(
+                fleet::AuthenticateCaller(
                   shared_.routes_.Organisations(), credential, hasKey, Age()));
 }
 
 std::optional<CallerName>
-CallerGate::Answer(const ExchangePtr& aExchange, const fleet::Caller& aCaller)
+AccessControl::Answer(const ExchangePtr& aExchange,
+                      const fleet::Caller& aCaller)
 {
   struct Visitor
   {
-    CallerGate& gate_;
+    AccessControl& gate_;
     httpstream::Exchange& exchange_;
 
     std::optional<CallerName> operator()(const fleet::AnonymousCaller&) const
@@ -104,7 +107,8 @@
         gate_.shared_.routes_.Organisations().AreDeclared();
       return areDeclared ? CallerName{ std::string() } : CallerName{};
     }
-    std::optional<CallerName> operator()(const fleet::KnownCaller& aKnown) const
+    std::optional<CallerName> operator()(
+      const fleet::AuthenticatedCaller& aKnown) const
     {
       return CallerName{ aKnown.organisation_->name_ };
     }
@@ -141,9 +145,9 @@
 }
 
 void
-CallerGate::RunWithinLimit(const ExchangePtr& aExchange,
-                           const CallerName& aCaller,
-                           std::function<void()> aRun)
+AccessControl::RunWithinLimit(const ExchangePtr& aExchange,
+                              const CallerName& aCaller,
+                              std::function<void()> aRun)
 {
   const fleet::Organisation* organisation =
     aCaller ? shared_.routes_.Organisations().FindByName(*aCaller) : nullptr;
@@ -151,88 +155,89 @@
     aRun();
     return;
   }
-  const fleet::RateDecision decision = shared_.rateLimits_.Judge(
+  const fleet::RateDecision decision = shared_.rateLimiter_.Check(
     *organisation, base::MonotonicNow(), shared_.random_);
   if (const auto* refusal = std::get_if<fleet::RateRefused>(&decision)) {
     Refuse(*aExchange, *organisation, *refusal);
-  } else if (const auto* ask = std::get_if<fleet::RateAsk>(&decision)) {
-    Ask(aExchange, organisation->name_, std::move(aRun), *ask);
+  } else if (const auto* query = std::get_if<fleet::RateQuery>(&decision)) {
+    Ask(aExchange, organisation->name_, std::move(aRun), *query);
   } else {
     aRun();
   }
 }
 
 void
-CallerGate::Ask(const ExchangePtr& aExchange,
-                const std::string& aOrganisation,
-                std::function<void()> aRun,
-                const fleet::RateAsk& aAsk)
+AccessControl::Ask(const ExchangePtr& aExchange,
+                   const std::string& aOrganisation,
+                   std::function<void()> aRun,
+                   const fleet::RateQuery& aQuery)
 {
-  const std::uint64_t id = aAsk.report_.question_;
-  auto question = std::make_shared<Question>(executor_);
-  question->exchange_ = aExchange;
-  question->organisation_ = aOrganisation;
-  question->run_ = std::move(aRun);
-  question->timer_.expires_after(kKeeperPatience);
-  question->timer_.async_wait(
+  const std::uint64_t id = aQuery.report_.query_;
+  auto query = std::make_shared<PendingQuery>(executor_);
+  query->exchange_ = aExchange;
+  query->organisation_ = aOrganisation;
+  query->run_ = std::move(aRun);
+  query->timer_.expires_after(kOwnerTimeout);
+  query->timer_.async_wait(
     lifetime_.Guard([this, id](const boost::system::error_code& aError) {
       if (!aError) {
-        OnKeeperSilent(id);
+        OnOwnerTimeout(id);
       }
     }));
-  questions_.emplace(id, std::move(question));
-  peers_.SendRateReport(aAsk.keeper_, aAsk.report_);
+  queries_.emplace(id, std::move(query));
+  peers_.SendRateReport(aQuery.owner_, aQuery.report_);
 }
 
 void
-CallerGate::OnKeeperSilent(std::uint64_t aQuestion)
+AccessControl::OnOwnerTimeout(std::uint64_t aQuery)
 {
-  auto found = questions_.extract(aQuestion);
+  auto found = queries_.extract(aQuery);
   if (found.empty()) {
     return;
   }
-  const Question& question = *found.mapped();
+  const PendingQuery& query = *found.mapped();
   const fleet::Organisation* organisation =
-    shared_.routes_.Organisations().FindByName(question.organisation_);
+    shared_.routes_.Organisations().FindByName(query.organisation_);
   if (organisation == nullptr) {
-    question.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    query.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
   const fleet::RateDecision decision =
-    shared_.rateLimits_.JudgeAlone(*organisation, base::MonotonicNow());
+    shared_.rateLimiter_.CheckLocally(*organisation, base::MonotonicNow());
   if (const auto* refusal = std::get_if<fleet::RateRefused>(&decision)) {
-    Refuse(*question.exchange_, *organisation, *refusal);
+    Refuse(*query.exchange_, *organisation, *refusal);
   } else {
-    question.run_();
+    query.run_();
   }
 }
 
 void
-CallerGate::OnAnswer(const fleet::RateAnswer& aAnswer)
+AccessControl::OnRateResponse(const fleet::RateResponse& aResponse)
 {
   const auto decision =
-    shared_.rateLimits_.TakeAnswer(aAnswer, base::MonotonicNow());
-  auto found = questions_.extract(aAnswer.question_);
+    shared_.rateLimiter_.HandleResponse(aResponse, base::MonotonicNow());
+  auto found = queries_.extract(aResponse.query_);
   if (!decision || found.empty()) {
     return;
   }
-  Question& question = *found.mapped();
-  question.timer_.cancel();
+  PendingQuery& query = *found.mapped();
+  query.timer_.cancel();
   const fleet::Organisation* organisation =
-    shared_.routes_.Organisations().FindByName(question.organisation_);
+    shared_.routes_.Organisations().FindByName(query.organisation_);
   if (organisation == nullptr) {
-    question.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    query.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
   if (const auto* refusal = std::get_if<fleet::RateRefused>(&*decision)) {
-    Refuse(*question.exchange_, *organisation, *refusal);
+    Refuse(*query.exchange_, *organisation, *refusal);
   } else {
-    question.run_();
+    query.run_();
   }
 }
 
 void
-CallerGate::OnReport(const std::string& aHost, const fleet::RateReport& aReport)
+AccessControl::OnReport(const std::string& aHost,
+                        const fleet::RateReport& aReport)
 {
   const fleet::Organisation* organisation =
     shared_.routes_.Organisations().FindByName(aReport.organisation_);
@@ -240,17 +245,17 @@
     // A version that this host doesn't have yet: the reporter decides alone.
     return;
   }
-  const auto answer = shared_.rateLimits_.TakeReport(
+  const auto response = shared_.rateLimiter_.HandleReport(
     aHost, aReport, *organisation, base::MonotonicNow());
-  if (answer) {
-    peers_.SendRateAnswer(aHost, *answer);
+  if (response) {
+    peers_.SendRateResponse(aHost, *response);
   }
 }
 
 void
-CallerGate::Refuse(httpstream::Exchange& aExchange,
-                   const fleet::Organisation& aOrganisation,
-                   const fleet::RateRefused& aRefusal)
+AccessControl::Refuse(httpstream::Exchange& aExchange,
+                      const fleet::Organisation& aOrganisation,
+                      const fleet::RateRefused& aRefusal)
 {
   base::Log(kRequestOverRate,
             { { "request", RequestIdOf(shared_, aExchange.GetRequest()) },
@@ -258,27 +263,28 @@
               { "rate", aOrganisation.limit_.ratePerSecond_ },
               { "burst", aOrganisation.limit_.burst_ },
               { "decided_by", aRefusal.decidedBy_ },
-              { "share", shared_.rateLimits_.Share() },
-              { "come_back_ms", base::ToMs(aRefusal.comeBackAfter_) } });
+              { "share", shared_.rateLimiter_.Share() },
+              { "come_back_ms", base::ToMs(aRefusal.retryAfter_) } });
   shared_.metrics_
     .GetCounter("pumiceturn_requests_over_rate_total",
                 "Requests beyond their organisation's limit.")
     .Add();
-  aExchange.Answer(shared_.codec_.MakeOverLimit(aRefusal.comeBackAfter_));
+  aExchange.Answer(shared_.codec_.MakeOverLimit(aRefusal.retryAfter_));
 }
 
 void
-CallerGate::Tick(std::span<const batch::PeerAddress> aPeers, base::Instant aNow)
+AccessControl::Tick(std::span<const batch::PeerAddress> aPeers,
+                    base::Instant aNow)
 {
-  std::vector<fleet::RateMembers::Member> members;
+  std::vector<fleet::RateLimitMembership::Member> members;
   for (const batch::PeerAddress& peer : aPeers) {
     members.push_back(
       { peer.host_, peers_.IsHeard(peer.host_), !peer.isWorker_ });
   }
-  shared_.rateLimits_.SetMembers(members, aNow);
-  for (const auto& [keeper, report] :
-       shared_.rateLimits_.TakeDueReports(aNow)) {
-    peers_.SendRateReport(keeper, report);
+  shared_.rateLimiter_.SetMembers(members, aNow);
+  for (const auto& [owner, report] :
+       shared_.rateLimiter_.CollectDueReports(aNow)) {
+    peers_.SendRateReport(owner, report);
   }
 }
 
--- a/Libraries/LibGateway/CallerGate.h
+++ b/Libraries/LibGateway/AccessControl.h
@@ -1,13 +1,13 @@
 #pragma once
 
 #include "LibBase/Lifetime.h"
-#include "LibFleet/CallerCheck.h"
-#include "LibFleet/RateLimits.h"
+#include "LibBatch/HostSet.h"
+#include "LibFleet/CallerAuthentication.h"
+#include "LibFleet/RateLimiter.h"
 #include "LibGateway/PeerExchange.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibGateway/StoreFollowing.h"
 #include "LibHttpStream/ServerConnection.h"
-#include "LibBatch/HostSet.h"
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -25,7 +25,7 @@
 /// Lets requests through to be run: tells who calls by the declarations in
 /// force, and holds organisations to their limits together with the other
 /// hosts. Answers what isn't let through. Belongs to the event thread.
-class CallerGate
+class AccessControl
 {
 public:
   struct Bounds
@@ -39,11 +39,11 @@
 
   using ExchangePtr = std::shared_ptr<httpstream::Exchange>;
 
-  CallerGate(boost::asio::any_io_executor aExecutor,
-             Shared& aShared,
-             const StoreFollowing& aFollowing,
-             PeerExchange& aPeers,
-             Bounds aBounds);
+  AccessControl(boost::asio::any_io_executor aExecutor,
+                SharedState& aShared,
+                const StoreFollowing& aFollowing,
+                PeerExchange& aPeers,
+                Bounds aBounds);
 
   /// Tells who calls on a route.
   /// @return nothing where the request is answered: the caller has no valid
@@ -68,11 +68,11 @@
   void Tick(std::span<const batch::PeerAddress> aPeers, base::Instant aNow);
 
 private:
-  /// A request that waits until the keeper of its organisation's account says
+  /// A request that waits until the owner of its organisation's account says
   /// whether it may run.
-  struct Question
+  struct PendingQuery
   {
-    explicit Question(const boost::asio::any_io_executor& aExecutor)
+    explicit PendingQuery(const boost::asio::any_io_executor& aExecutor)
       : timer_(aExecutor)
     {
     }
@@ -89,20 +89,20 @@
   void Ask(const ExchangePtr& aExchange,
            const std::string& aOrganisation,
            std::function<void()> aRun,
-           const fleet::RateAsk& aAsk);
-  void OnKeeperSilent(std::uint64_t aQuestion);
+           const fleet::RateQuery& aQuery);
+  void OnOwnerTimeout(std::uint64_t aQuery);
   void OnReport(const std::string& aHost, const fleet::RateReport& aReport);
-  void OnAnswer(const fleet::RateAnswer& aAnswer);
+  void OnRateResponse(const fleet::RateResponse& aResponse);
   void Refuse(httpstream::Exchange& aExchange,
               const fleet::Organisation& aOrganisation,
               const fleet::RateRefused& aRefusal);
 
   boost::asio::any_io_executor executor_;
-  Shared& shared_;
+  SharedState& shared_;
   const StoreFollowing& following_;
   PeerExchange& peers_;
   Bounds bounds_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Question>> questions_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<PendingQuery>> queries_;
   base::Lifetime lifetime_;
 };
 
--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -54,7 +54,7 @@
 
 } // namespace
 
-BatchJobHandler::BatchJobHandler(Shared& aShared,
+BatchJobHandler::BatchJobHandler(SharedState& aShared,
                                  metadata::StoreClient& aStore,
                                  batch::BatchJobTable& aJobs,
                                  BatchJobLoader& aLoader,
--- a/Libraries/LibGateway/BatchJobHandler.h
+++ b/Libraries/LibGateway/BatchJobHandler.h
@@ -4,7 +4,7 @@
 #include "LibBatch/HostSet.h"
 #include "LibGateway/BatchJobLoader.h"
 #include "LibGateway/PeerCallers.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibHttpStream/ServerConnection.h"
 #include "LibMetadata/StoreClient.h"
 #include "LibMetadata/StoreHealth.h"
@@ -25,7 +25,7 @@
 class BatchJobHandler
 {
 public:
-  BatchJobHandler(Shared& aShared,
+  BatchJobHandler(SharedState& aShared,
                   metadata::StoreClient& aStore,
                   batch::BatchJobTable& aJobs,
                   BatchJobLoader& aLoader,
@@ -114,7 +114,7 @@
                    const batch::BatchJob& aJob,
                    std::uint32_t aPosition) const;
 
-  Shared& shared_;
+  SharedState& shared_;
   metadata::StoreClient& store_;
   batch::BatchJobTable& jobs_;
   BatchJobLoader& loader_;
--- a/Libraries/LibGateway/BatchJobSpool.cpp
+++ b/Libraries/LibGateway/BatchJobSpool.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 BatchJobSpool::BatchJobSpool(boost::asio::io_context& aContext,
-                             Shared& aShared,
+                             SharedState& aShared,
                              metadata::StoreClient& aStore,
                              const metadata::StoreHealth& aHealth,
                              const batch::BatchJobTable& aJobs,
@@ -265,7 +265,7 @@
   const std::string ledger = LedgerOf(aEntry.job_);
   if (!ledger.empty()) {
     // Accepted long since: it counts whether it fits or not.
-    AddRow(
+    AddLedgerEntry(
       creation, shared_, jobs_.Keys(), ledger, aEntry.job_.id_, aEntry.tokens_);
   }
   store_.Commit(creation,
@@ -289,13 +289,14 @@
   const bool isConflict = aReply.status_ == StoreStatus::Conflict;
   // Another host, or an earlier try, has stored it.
   const bool isThere =
-    isConflict && (!hasLedger || ShowsKey(aReply, jobs_.Keys().StateOf(aJob)));
+    isConflict &&
+    (!hasLedger || ContainsKey(aReply, jobs_.Keys().StateOf(aJob)));
   if (aReply.status_ == StoreStatus::Ok || isThere) {
     Drop(aJob, "stored");
     return;
   }
   if (isConflict) {
-    LearnLedger(shared_, jobs_.Keys(), aLedger, aReply);
+    UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aReply);
     found->second.tryAt_ = base::MonotonicNow();
     return;
   }
--- a/Libraries/LibGateway/BatchJobSpool.h
+++ b/Libraries/LibGateway/BatchJobSpool.h
@@ -4,7 +4,7 @@
 #include "LibBatch/HostSet.h"
 #include "LibBatch/SpoolFiles.h"
 #include "LibGateway/DiskThread.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibHttpStream/ServerConnection.h"
 #include "LibMetadata/StoreClient.h"
 #include "LibMetadata/StoreHealth.h"
@@ -37,7 +37,7 @@
   /// @param aRetention Jobs older than this are dropped: they were stored by
   ///   another host and are removed from the store by now.
   BatchJobSpool(boost::asio::io_context& aContext,
-                Shared& aShared,
+                SharedState& aShared,
                 metadata::StoreClient& aStore,
                 const metadata::StoreHealth& aHealth,
                 const batch::BatchJobTable& aJobs,
@@ -107,7 +107,7 @@
   void Drop(const std::string& aJob, std::string_view aReason);
   [[nodiscard]] std::size_t Bytes() const;
 
-  Shared& shared_;
+  SharedState& shared_;
   metadata::StoreClient& store_;
   const metadata::StoreHealth& health_;
   const batch::BatchJobTable& jobs_;
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -73,7 +73,7 @@
 };
 
 BatchSubmissionHandler::BatchSubmissionHandler(
-  Shared& aShared,
+  SharedState& aShared,
   metadata::StoreClient& aStore,
   const batch::BatchJobTable& aJobs,
   const batch::HostSet& aHosts,
@@ -168,12 +168,12 @@
     return transaction;
   }
   if (Fits(aSubmission)) {
-    AddRow(transaction,
-           shared_,
-           jobs_.Keys(),
-           aSubmission.ledger_,
-           aSubmission.job_.id_,
-           aSubmission.tokens_);
+    AddLedgerEntry(transaction,
+                   shared_,
+                   jobs_.Keys(),
+                   aSubmission.ledger_,
+                   aSubmission.job_.id_,
+                   aSubmission.tokens_);
     return transaction;
   }
   // By what is known here, the job doesn't fit. That may be old, or the job may
@@ -199,10 +199,10 @@
       batch::TokenLedger ledger =
         shared_.ledgers_.Of(submission.ledger_).ledger_;
       ledger.Set(submission.job_.id_, submission.tokens_);
-      shared_.ledgers_.Learn(submission.ledger_,
-                             batch::EncodeLedger(ledger),
-                             aReply.revision_,
-                             base::MonotonicNow());
+      shared_.ledgers_.Update(submission.ledger_,
+                              batch::EncodeLedger(ledger),
+                              aReply.revision_,
+                              base::MonotonicNow());
     }
     Accept(submission, "store");
     return;
@@ -240,7 +240,7 @@
     Accept(submission, "store before");
     return;
   }
-  LearnLedger(shared_, jobs_.Keys(), submission.ledger_, aReply);
+  UpdateCachedLedger(shared_, jobs_.Keys(), submission.ledger_, aReply);
   if (submission.isAnswered_) {
     return;
   }
--- a/Libraries/LibGateway/BatchSubmissionHandler.h
+++ b/Libraries/LibGateway/BatchSubmissionHandler.h
@@ -2,7 +2,7 @@
 
 #include "LibBatch/BatchJobTable.h"
 #include "LibBatch/HostSet.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibGateway/SpoolClient.h"
 #include "LibHttpStream/ServerConnection.h"
 #include "LibMetadata/StoreClient.h"
@@ -24,7 +24,7 @@
 class BatchSubmissionHandler
 {
 public:
-  BatchSubmissionHandler(Shared& aShared,
+  BatchSubmissionHandler(SharedState& aShared,
                          metadata::StoreClient& aStore,
                          const batch::BatchJobTable& aJobs,
                          const batch::HostSet& aHosts,
@@ -69,7 +69,7 @@
   /// Answers that the job isn't accepted, when no way is open any more.
   void GiveUpIfOver(Submission& aSubmission);
 
-  Shared& shared_;
+  SharedState& shared_;
   metadata::StoreClient& store_;
   const batch::BatchJobTable& jobs_;
   const batch::HostSet& hosts_;
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -78,7 +78,7 @@
 } // namespace
 
 BatchWorker::BatchWorker(boost::asio::io_context& aContext,
-                         Shared& aShared,
+                         SharedState& aShared,
                          metadata::StoreClient& aStore,
                          batch::BatchJobTable& aJobs,
                          BatchJobLoader& aLoader,
@@ -94,7 +94,7 @@
   , results_(aStore,
              aJobs,
              [this](const std::string& aJob) { onResults_(aJob); })
-  , progressKeeper_(aStore, aJobs.Keys())
+  , progressWriter_(aStore, aJobs.Keys())
 {
 }
 
@@ -213,7 +213,7 @@
   }
   own_.erase(aJob);
   results_.Forget(aJob);
-  progressKeeper_.Forget(aJob);
+  progressWriter_.Forget(aJob);
   base::Log(kBatchJobReleased, { { "lot", aJob }, { "reason", aReason } });
 }
 
@@ -246,8 +246,8 @@
   for (const auto& run : std::vector(runs_)) {
     run->ReadOn();
   }
-  if (progressKeeper_.IsDue(hosts_.Count(), aNow)) {
-    progressKeeper_.Store(CollectProgress(), aNow);
+  if (progressWriter_.IsDue(hosts_.Count(), aNow)) {
+    progressWriter_.Store(CollectProgress(), aNow);
   }
 }
 
--- a/Libraries/LibGateway/BatchWorker.h
+++ b/Libraries/LibGateway/BatchWorker.h
@@ -7,9 +7,9 @@
 #include "LibBatch/StartOrder.h"
 #include "LibGateway/BatchJobLoader.h"
 #include "LibGateway/ItemRun.h"
-#include "LibGateway/LedgerKeeper.h"
-#include "LibGateway/ProgressKeeper.h"
-#include "LibGateway/ResultKeeper.h"
+#include "LibGateway/LedgerWriter.h"
+#include "LibGateway/ProgressWriter.h"
+#include "LibGateway/ResultWriter.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <boost/asio/io_context.hpp>
@@ -33,7 +33,7 @@
 {
 public:
   BatchWorker(boost::asio::io_context& aContext,
-              Shared& aShared,
+              SharedState& aShared,
               metadata::StoreClient& aStore,
               batch::BatchJobTable& aJobs,
               BatchJobLoader& aLoader,
@@ -109,7 +109,7 @@
   [[nodiscard]] std::vector<BatchJobProgress> CollectProgress() const;
 
   boost::asio::io_context& context_;
-  Shared& shared_;
+  SharedState& shared_;
   metadata::StoreClient& store_;
   batch::BatchJobTable& jobs_;
   BatchJobLoader& loader_;
@@ -124,8 +124,8 @@
   std::unordered_map<std::string, batch::ItemPace> paces_; ///< By route.
   double usualRuns_ = 0.0; ///< Runs at a time while items wait.
   std::vector<std::shared_ptr<ItemRun>> runs_;
-  ResultKeeper results_;
-  ProgressKeeper progressKeeper_;
+  ResultWriter results_;
+  ProgressWriter progressWriter_;
   bool leaving_ = false;
 };
 
--- a/Libraries/LibGateway/Codec.h
+++ b/Libraries/LibGateway/Codec.h
@@ -2,7 +2,7 @@
 
 #include "LibBase/Time.h"
 #include "LibBatch/BatchJob.h"
-#include "LibFleet/CallerCheck.h"
+#include "LibFleet/CallerAuthentication.h"
 #include "LibFleet/Declarations.h"
 #include "LibHttpStream/Message.h"
 
--- a/Libraries/LibGateway/EndpointRun.cpp
+++ b/Libraries/LibGateway/EndpointRun.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-EndpointRun::EndpointRun(Shared& aShared,
+EndpointRun::EndpointRun(SharedState& aShared,
                          fleet::EndpointRecord aEndpoint,
                          fleet::WorkClass aWork)
   : shared_(aShared)
--- a/Libraries/LibGateway/EndpointRun.h
+++ b/Libraries/LibGateway/EndpointRun.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibFleet/EndpointTable.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibHttpStream/ClientConnection.h"
 
 #include <functional>
@@ -18,7 +18,7 @@
   , public std::enable_shared_from_this<EndpointRun>
 {
 public:
-  EndpointRun(Shared& aShared,
+  EndpointRun(SharedState& aShared,
               fleet::EndpointRecord aEndpoint,
               fleet::WorkClass aWork);
   ~EndpointRun() override;
@@ -46,7 +46,7 @@
 private:
   void Leave();
 
-  Shared& shared_;
+  SharedState& shared_;
   fleet::EndpointRecord endpoint_;
   fleet::WorkClass work_;
   httpstream::CallObserver* observer_ = nullptr;
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -89,9 +89,9 @@
              {},
              {},
              {},
-             fleet::RateLimits(settings_.host_,
-                               !settings_.callerAddress_.empty(),
-                               settings_.rateTolerance_) }
+             fleet::RateLimiter(settings_.host_,
+                                !settings_.callerAddress_.empty(),
+                                settings_.rateTolerance_) }
   , jobs_(layout_.jobs_, MakeDecoder(aCodec))
   , following_(aContext,
                aStore,
@@ -124,18 +124,19 @@
             peerCallers_,
             settings_.jobCopies_)
   , worker_(aContext, shared_, aStore, jobs_, loader_, hosts_, OwnName())
-  , ledgerKeeper_(shared_, aStore, jobs_, hosts_, OwnName())
+  , ledgerWriter_(shared_, aStore, jobs_, hosts_, OwnName())
   , retention_(aStore, jobs_, hosts_, OwnName(), settings_.jobRetention_)
   , peers_(aContext,
            shared_,
            settings_.host_,
            following_,
            [this](const std::string& aEndpoint) { worker_.Preempt(aEndpoint); })
-  , callerGate_(aContext.get_executor(),
-                shared_,
-                following_,
-                peers_,
-                { settings_.revocationBound_, settings_.configurationBound_ })
+  , accessControl_(
+      aContext.get_executor(),
+      shared_,
+      following_,
+      peers_,
+      { settings_.revocationBound_, settings_.configurationBound_ })
   , preemptBatch_(
       [this](const fleet::EndpointChoice& aChoice) { Preempt(aChoice); })
   , callers_(aContext, [this](const auto& aExchange) { OnRequest(aExchange); })
@@ -273,7 +274,7 @@
 {
   return !stopping_ && shared_.routes_.Version() > 0 &&
          following_.IsComplete(StorePrefix::Endpoints) &&
-         !shared_.endpoints_.IsEmpty() && callerGate_.IsConfirmed();
+         !shared_.endpoints_.IsEmpty() && accessControl_.IsConfirmed();
 }
 
 void
@@ -315,7 +316,7 @@
       httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
     return;
   }
-  const auto caller = callerGate_.Identify(aExchange, *route);
+  const auto caller = accessControl_.Identify(aExchange, *route);
   if (!caller) {
     return;
   }
@@ -326,7 +327,7 @@
                    *caller);
     return;
   }
-  callerGate_.RunWithinLimit(
+  accessControl_.RunWithinLimit(
     aExchange, *caller, [this, aExchange, route = *route, caller = *caller] {
       std::make_shared<OnlineRelay>(shared_,
                                     context_.get_executor(),
@@ -342,7 +343,7 @@
 Gateway::OnBatchJobCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
                         const BatchJobCall& aCall)
 {
-  if (const auto caller = callerGate_.IdentifyReader(aExchange)) {
+  if (const auto caller = accessControl_.IdentifyReader(aExchange)) {
     desk_.Handle(aExchange, aCall, *caller);
   }
 }
@@ -456,7 +457,7 @@
 Gateway::Tick()
 {
   const base::Instant now = base::MonotonicNow();
-  callerGate_.Tick(hosts_.PeersBut(OwnName()), now);
+  accessControl_.Tick(hosts_.PeersBut(OwnName()), now);
   NoteReadiness();
   following_.Tick(!stopping_ && !retiring_ && !storePaths_.IsOwnLost(), now);
   for (const std::string& id : shared_.endpoints_.Expire(now)) {
@@ -465,7 +466,7 @@
   }
   const base::WallTime wallNow = base::WallNow();
   worker_.Tick(now);
-  ledgerKeeper_.Tick(worker_.CollectWaitingJobs(), now);
+  ledgerWriter_.Tick(worker_.CollectWaitingJobs(), now);
   if (!stopping_) {
     retention_.Tick(now, wallNow);
   }
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,16 +1,16 @@
 #pragma once
 
 #include "LibBase/Lifetime.h"
+#include "LibGateway/AccessControl.h"
 #include "LibGateway/BatchJobHandler.h"
 #include "LibGateway/BatchJobRetention.h"
 #include "LibGateway/BatchJobSpool.h"
 #include "LibGateway/BatchSubmissionHandler.h"
 #include "LibGateway/BatchWorker.h"
-#include "LibGateway/CallerGate.h"
 #include "LibGateway/OnlineRelay.h"
 #include "LibGateway/PeerCallers.h"
 #include "LibGateway/PeerExchange.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibGateway/StoreFollowing.h"
 #include "LibGateway/StorePaths.h"
 #include "LibHttpStream/Listener.h"
@@ -159,7 +159,7 @@
   const StoreCodec& storeCodec_;
   metadata::StoreClient& store_;
   StorePaths& storePaths_;
-  Shared shared_;
+  SharedState shared_;
   batch::BatchJobTable jobs_;
   batch::HostSet hosts_;
   metadata::StoreHealth health_;
@@ -171,10 +171,10 @@
   BatchSubmissionHandler intake_;
   std::optional<BatchJobSpool> spool_; ///< Where this host has a data folder.
   BatchWorker worker_;
-  LedgerKeeper ledgerKeeper_;
+  LedgerWriter ledgerWriter_;
   BatchJobRetention retention_;
   PeerExchange peers_;
-  CallerGate callerGate_;
+  AccessControl accessControl_;
   OnlineRelay::PreemptBatch preemptBatch_;
   httpstream::Listener callers_;
   httpstream::Listener status_;
--- a/Libraries/LibGateway/ItemRun.cpp
+++ b/Libraries/LibGateway/ItemRun.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-ItemRun::ItemRun(Shared& aShared,
+ItemRun::ItemRun(SharedState& aShared,
                  EndHandler aOnEnd,
                  std::string aJob,
                  std::size_t aItem,
@@ -98,7 +98,7 @@
 }
 
 batch::ItemRunEnd
-ItemRun::Judge(httpstream::CallEnd aEnd) const
+ItemRun::Check(httpstream::CallEnd aEnd) const
 {
   if (aEnd == httpstream::CallEnd::NotConnected) {
     return batch::ItemRunEnd::NotRun;
@@ -122,7 +122,7 @@
 void
 ItemRun::OnEnd(httpstream::CallEnd aEnd)
 {
-  onEnd_(*this, Judge(aEnd));
+  onEnd_(*this, Check(aEnd));
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/ItemRun.h
+++ b/Libraries/LibGateway/ItemRun.h
@@ -17,7 +17,7 @@
   /// Called once, unless the run is cancelled.
   using EndHandler = std::function<void(ItemRun&, batch::ItemRunEnd)>;
 
-  ItemRun(Shared& aShared,
+  ItemRun(SharedState& aShared,
           EndHandler aOnEnd,
           std::string aJob,
           std::size_t aItem,
@@ -61,9 +61,9 @@
   void OnEnd(httpstream::CallEnd aEnd) override;
 
 private:
-  [[nodiscard]] batch::ItemRunEnd Judge(httpstream::CallEnd aEnd) const;
+  [[nodiscard]] batch::ItemRunEnd Check(httpstream::CallEnd aEnd) const;
 
-  Shared& shared_;
+  SharedState& shared_;
   EndHandler onEnd_;
   std::string job_;
   std::size_t item_;
--- a/Libraries/LibGateway/LedgerChange.cpp
+++ b/Libraries/LibGateway/LedgerChange.cpp
@@ -7,19 +7,19 @@
 namespace pumiceturn::gateway {
 
 void
-LearnLedger(Shared& aShared,
-            const batch::BatchJobKeySpace& aKeys,
-            const std::string& aLedger,
-            const metadata::TransactionReply& aReply)
+UpdateCachedLedger(SharedState& aShared,
+                   const batch::BatchJobKeySpace& aKeys,
+                   const std::string& aLedger,
+                   const metadata::TransactionReply& aReply)
 {
   const std::string key = aKeys.LedgerOf(aLedger);
   for (const metadata::StoreItem& item : aReply.current_) {
     if (item.key_ != key || item.revision_ == 0) {
       continue;
     }
-    const batch::LedgerNews news = aShared.ledgers_.Learn(
+    const batch::LedgerUpdateOutcome outcome = aShared.ledgers_.Update(
       aLedger, item.value_, item.revision_, base::MonotonicNow());
-    if (news == batch::LedgerNews::Unreadable) {
+    if (outcome == batch::LedgerUpdateOutcome::Unreadable) {
       base::Log(kLedgerUnreadable,
                 { { "ledger", aLedger }, { "revision", item.revision_ } });
     }
@@ -27,7 +27,7 @@
 }
 
 bool
-ShowsKey(const metadata::TransactionReply& aReply, const std::string& aKey)
+ContainsKey(const metadata::TransactionReply& aReply, const std::string& aKey)
 {
   return std::any_of(
     aReply.current_.begin(), aReply.current_.end(), [&aKey](const auto& aItem) {
@@ -36,12 +36,12 @@
 }
 
 void
-AddRow(metadata::Transaction& aCreation,
-       const Shared& aShared,
-       const batch::BatchJobKeySpace& aKeys,
-       const std::string& aLedger,
-       const std::string& aJob,
-       std::uint64_t aTokens)
+AddLedgerEntry(metadata::Transaction& aCreation,
+               const SharedState& aShared,
+               const batch::BatchJobKeySpace& aKeys,
+               const std::string& aLedger,
+               const std::string& aJob,
+               std::uint64_t aTokens)
 {
   const batch::LedgerView& view = aShared.ledgers_.Of(aLedger);
   batch::TokenLedger ledger = view.ledger_;
--- a/Libraries/LibGateway/LedgerKeeper.cpp
+++ b/Libraries/LibGateway/LedgerWriter.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/LedgerKeeper.h"
+#include "LibGateway/LedgerWriter.h"
 
 #include "LibGateway/LedgerChange.h"
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-LedgerKeeper::LedgerKeeper(Shared& aShared,
+LedgerWriter::LedgerWriter(SharedState& aShared,
                            metadata::StoreClient& aStore,
                            const batch::BatchJobTable& aJobs,
                            const batch::HostSet& aHosts,
@@ -48,7 +48,7 @@
 }
 
 void
-LedgerKeeper::Tick(const std::vector<WaitingBatchJob>& aOwn, base::Instant aNow)
+LedgerWriter::Tick(const std::vector<WaitingBatchJob>& aOwn, base::Instant aNow)
 {
   for (const WaitingBatchJob& job : aOwn) {
     updates_[job.ledger_].cap_ = job.cap_;
@@ -64,7 +64,7 @@
 }
 
 base::Duration
-LedgerKeeper::PauseFor(const std::string& aLedger,
+LedgerWriter::PauseFor(const std::string& aLedger,
                        const LedgerUpdate& aUpdate) const
 {
   // The view may be from before a flood; jobs are spread evenly over the hosts
@@ -79,7 +79,7 @@
 }
 
 void
-LedgerKeeper::Update(const std::string& aLedger,
+LedgerWriter::Update(const std::string& aLedger,
                      const std::vector<WaitingBatchJob>& aOwn,
                      base::Instant aNow)
 {
@@ -104,7 +104,7 @@
 }
 
 void
-LedgerKeeper::NoteOwn(LedgerUpdate& aUpdate,
+LedgerWriter::NoteOwn(LedgerUpdate& aUpdate,
                       const std::string& aLedger,
                       const std::vector<WaitingBatchJob>& aOwn)
 {
@@ -127,13 +127,13 @@
 }
 
 batch::TokenLedger
-LedgerKeeper::Corrected(const std::string& aLedger,
+LedgerWriter::Corrected(const std::string& aLedger,
                         const std::vector<WaitingBatchJob>& aOwn,
                         base::Instant aNow)
 {
   batch::TokenLedger ledger = shared_.ledgers_.Of(aLedger).ledger_;
   for (const auto& [job, tokens] :
-       shared_.ledgers_.Of(aLedger).ledger_.Rows()) {
+       shared_.ledgers_.Of(aLedger).ledger_.Entries()) {
     if (IsToBeRemoved(job, aNow)) {
       ledger.Set(job, 0);
     }
@@ -152,7 +152,7 @@
 }
 
 bool
-LedgerKeeper::IsToBeRemoved(const std::string& aJob, base::Instant aNow)
+LedgerWriter::IsToBeRemoved(const std::string& aJob, base::Instant aNow)
 {
   const batch::BatchJob* job = jobs_.Find(aJob);
   if (job == nullptr) {
@@ -167,7 +167,7 @@
 }
 
 void
-LedgerKeeper::Commit(const std::string& aLedger,
+LedgerWriter::Commit(const std::string& aLedger,
                      const batch::TokenLedger& aContent)
 {
   const std::string key = jobs_.Keys().LedgerOf(aLedger);
@@ -191,11 +191,11 @@
         std::erase_if(update.closed_, [&closed](const std::string& aJob) {
           return closed.contains(aJob);
         });
-        shared_.ledgers_.Learn(aLedger, value, aReply.revision_, now);
+        shared_.ledgers_.Update(aLedger, value, aReply.revision_, now);
         return;
       }
       if (aReply.status_ == StoreStatus::Conflict) {
-        LearnLedger(shared_, jobs_.Keys(), aLedger, aReply);
+        UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aReply);
         // With the present one, at the next look.
         update.nextAt_ = now;
       }
--- a/Libraries/LibGateway/LedgerKeeper.h
+++ b/Libraries/LibGateway/LedgerWriter.h
@@ -2,7 +2,7 @@
 
 #include "LibBatch/BatchJobTable.h"
 #include "LibBatch/HostSet.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <set>
@@ -26,10 +26,10 @@
 /// high makes an entry host refuse a job that fits, so rows follow quickly
 /// where a ledger is near its cap, and seldom elsewhere, as each change is a
 /// call that is charged. Belongs to the event thread.
-class LedgerKeeper
+class LedgerWriter
 {
 public:
-  LedgerKeeper(Shared& aShared,
+  LedgerWriter(SharedState& aShared,
                metadata::StoreClient& aStore,
                const batch::BatchJobTable& aJobs,
                const batch::HostSet& aHosts,
@@ -68,7 +68,7 @@
   [[nodiscard]] base::Duration PauseFor(const std::string& aLedger,
                                         const LedgerUpdate& aUpdate) const;
 
-  Shared& shared_;
+  SharedState& shared_;
   metadata::StoreClient& store_;
   const batch::BatchJobTable& jobs_;
   const batch::HostSet& hosts_;
--- a/Libraries/LibGateway/OnlineRelay.cpp
+++ b/Libraries/LibGateway/OnlineRelay.cpp
@@ -93,7 +93,7 @@
 
 } // namespace
 
-OnlineRelay::OnlineRelay(Shared& aShared,
+OnlineRelay::OnlineRelay(SharedState& aShared,
                          const boost::asio::any_io_executor& aExecutor,
                          std::shared_ptr<httpstream::Exchange> aExchange,
                          fleet::Route aRoute,
@@ -218,10 +218,10 @@
     aChoice.endpoint_.slots_,   route_.objective_, call_.patience_
   };
   const fleet::Admission admission =
-    shared_.admission_.Judge(request, NextRandom(shared_.random_));
+    shared_.admission_.Check(request, NextRandom(shared_.random_));
   expectedWait_ = admission.expectedWait_;
   // Who was sent once is never sent away: a refusal would come late.
-  if (!admission.comeBackAfter_ || !tried_.empty() || mayHaveRun_) {
+  if (!admission.retryAfter_ || !tried_.empty() || mayHaveRun_) {
     return true;
   }
   base::Log(kRequestNotAdmitted,
@@ -232,8 +232,8 @@
               { "candidates", aChoice.candidates_ },
               { "wait_ms", base::ToMs(admission.expectedWait_) },
               { "objective_ms", base::ToMs(route_.objective_) },
-              { "come_back_ms", base::ToMs(*admission.comeBackAfter_) } });
-  exchange_->Answer(shared_.codec_.MakeNotRun(*admission.comeBackAfter_));
+              { "come_back_ms", base::ToMs(*admission.retryAfter_) } });
+  exchange_->Answer(shared_.codec_.MakeNotRun(*admission.retryAfter_));
   Finish(RelayEnd::NotRun);
   return false;
 }
@@ -481,7 +481,7 @@
 OnlineRelay::AnswerNotRun()
 {
   exchange_->Answer(
-    shared_.codec_.MakeNotRun(fleet::AdmissionControl::ComeBackAfter(
+    shared_.codec_.MakeNotRun(fleet::AdmissionControl::RetryAfter(
       TimeLeft(), NextRandom(shared_.random_))));
   Finish(RelayEnd::NotRun);
 }
@@ -496,7 +496,7 @@
     run->Cancel();
   }
   if (aEnd == RelayEnd::NotRun && caller_) {
-    shared_.rateLimits_.Return(*caller_);
+    shared_.rateLimiter_.Refund(*caller_);
   }
   const base::Instant now = base::MonotonicNow();
   const base::Duration first =
--- a/Libraries/LibGateway/OnlineRelay.h
+++ b/Libraries/LibGateway/OnlineRelay.h
@@ -37,7 +37,7 @@
   /// Makes room at the chosen endpoint by cancelling a batch run there.
   using PreemptBatch = std::function<void(const fleet::EndpointChoice&)>;
 
-  OnlineRelay(Shared& aShared,
+  OnlineRelay(SharedState& aShared,
               const boost::asio::any_io_executor& aExecutor,
               std::shared_ptr<httpstream::Exchange> aExchange,
               fleet::Route aRoute,
@@ -68,7 +68,7 @@
   void AnswerNotRun();
   void Finish(RelayEnd aEnd);
 
-  Shared& shared_;
+  SharedState& shared_;
   boost::asio::steady_timer deadlineTimer_;
   std::shared_ptr<httpstream::Exchange> exchange_;
   fleet::Route route_;
--- a/Libraries/LibGateway/PeerExchange.cpp
+++ b/Libraries/LibGateway/PeerExchange.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 PeerExchange::PeerExchange(asio::io_context& aContext,
-                           Shared& aShared,
+                           SharedState& aShared,
                            std::string aOwnName,
                            StoreFollowing& aFollowing,
                            YieldHandler aOnYield)
@@ -185,12 +185,12 @@
 }
 
 void
-PeerExchange::SendRateAnswer(const std::string& aPeer,
-                             const fleet::RateAnswer& aAnswer)
+PeerExchange::SendRateResponse(const std::string& aPeer,
+                               const fleet::RateResponse& aResponse)
 {
   SendTo(
     aPeer,
-    { { "host", ownName_ }, { "rate_answer", EncodeRateAnswer(aAnswer) } });
+    { { "host", ownName_ }, { "rate_answer", EncodeRateResponse(aResponse) } });
 }
 
 void
@@ -202,7 +202,7 @@
   if (const auto report = aMessage.find("rate"); report != aMessage.end()) {
     onRateReport_(aHost, DecodeRateReport(*report));
   } else {
-    onRateAnswer_(DecodeRateAnswer(aMessage.at("rate_answer")));
+    onRateResponse_(DecodeRateResponse(aMessage.at("rate_answer")));
   }
 }
 
@@ -221,7 +221,7 @@
   // A host with an earlier version sends none.
   const auto report = aMessage.find("store");
   if (report != aMessage.end() && IsFromPeer(aHost)) {
-    following_.TakeReport(aHost, DecodeStoreReport(*report), aNow);
+    following_.HandleReport(aHost, DecodeStoreReport(*report), aNow);
   }
 }
 
--- a/Libraries/LibGateway/PeerExchange.h
+++ b/Libraries/LibGateway/PeerExchange.h
@@ -4,7 +4,7 @@
 #include "LibFleet/CountNews.h"
 #include "LibFleet/PeerHearing.h"
 #include "LibFleet/RateMessages.h"
-#include "LibGateway/Shared.h"
+#include "LibGateway/SharedState.h"
 #include "LibGateway/StoreFollowing.h"
 
 #include <boost/asio/io_context.hpp>
@@ -37,10 +37,10 @@
 
   using RateReportHandler =
     std::function<void(const std::string& aHost, const fleet::RateReport&)>;
-  using RateAnswerHandler = std::function<void(const fleet::RateAnswer&)>;
+  using RateResponseHandler = std::function<void(const fleet::RateResponse&)>;
 
   PeerExchange(boost::asio::io_context& aContext,
-               Shared& aShared,
+               SharedState& aShared,
                std::string aOwnName,
                StoreFollowing& aFollowing,
                YieldHandler aOnYield);
@@ -77,17 +77,17 @@
   {
     onRateReport_ = std::move(aHandler);
   }
-  void SetOnRateAnswer(RateAnswerHandler aHandler)
+  void SetOnRateResponse(RateResponseHandler aHandler)
   {
-    onRateAnswer_ = std::move(aHandler);
+    onRateResponse_ = std::move(aHandler);
   }
 
   /// Both may get lost: totals make up for a report, and who asked decides
   /// alone after a while.
   void SendRateReport(const std::string& aPeer,
                       const fleet::RateReport& aReport);
-  void SendRateAnswer(const std::string& aPeer,
-                      const fleet::RateAnswer& aAnswer);
+  void SendRateResponse(const std::string& aPeer,
+                        const fleet::RateResponse& aResponse);
 
 private:
   void SendLater();
@@ -125,12 +125,12 @@
 
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer timer_;
-  Shared& shared_;
+  SharedState& shared_;
   std::string ownName_;
   StoreFollowing& following_;
   YieldHandler onYield_;
   RateReportHandler onRateReport_;
-  RateAnswerHandler onRateAnswer_;
+  RateResponseHandler onRateResponse_;
   fleet::CountNews news_;
   fleet::PeerHearing hearing_;
   struct Peer
--- a/Libraries/LibGateway/ProgressKeeper.cpp
+++ b/Libraries/LibGateway/ProgressWriter.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/ProgressKeeper.h"
+#include "LibGateway/ProgressWriter.h"
 
 #include "LibGateway/Events.h"
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-ProgressKeeper::ProgressKeeper(metadata::StoreClient& aStore,
+ProgressWriter::ProgressWriter(metadata::StoreClient& aStore,
                                const batch::BatchJobKeySpace& aKeys)
   : store_(aStore)
   , keys_(aKeys)
@@ -42,7 +42,7 @@
 }
 
 bool
-ProgressKeeper::IsDue(std::size_t aHosts, base::Instant aNow) const
+ProgressWriter::IsDue(std::size_t aHosts, base::Instant aNow) const
 {
   const base::Duration interval =
     std::max<base::Duration>(kInterval, kIntervalOfEachHost * aHosts);
@@ -50,7 +50,7 @@
 }
 
 bool
-ProgressKeeper::HasAdvanced(const BatchJobProgress& aJob) const
+ProgressWriter::HasAdvanced(const BatchJobProgress& aJob) const
 {
   const auto stored = stored_.find(aJob.job_);
   return std::any_of(
@@ -65,14 +65,14 @@
 }
 
 base::Instant
-ProgressKeeper::StoredAt(const BatchJobProgress& aJob) const
+ProgressWriter::StoredAt(const BatchJobProgress& aJob) const
 {
   const auto stored = stored_.find(aJob.job_);
   return stored == stored_.end() ? base::Instant{} : stored->second.at_;
 }
 
 void
-ProgressKeeper::Store(std::vector<BatchJobProgress> aJobs, base::Instant aNow)
+ProgressWriter::Store(std::vector<BatchJobProgress> aJobs, base::Instant aNow)
 {
   std::erase_if(
     aJobs, [this](const BatchJobProgress& aJob) { return !HasAdvanced(aJob); });
@@ -122,7 +122,7 @@
 }
 
 void
-ProgressKeeper::NoteStored(const BatchJobProgress& aJob, base::Instant aNow)
+ProgressWriter::NoteStored(const BatchJobProgress& aJob, base::Instant aNow)
 {
   Stored& stored = stored_[aJob.job_];
   stored.at_ = aNow;
--- a/Libraries/LibGateway/ProgressKeeper.h
+++ b/Libraries/LibGateway/ProgressWriter.h
@@ -23,10 +23,10 @@
 /// the next owner goes on there when this host loses its power: an item takes
 /// up to 8 s, and a host that fails would cost all its items their time.
 /// Belongs to the event thread.
-class ProgressKeeper
+class ProgressWriter
 {
 public:
-  ProgressKeeper(metadata::StoreClient& aStore,
+  ProgressWriter(metadata::StoreClient& aStore,
                  const batch::BatchJobKeySpace& aKeys);
 
   /// @param aHosts All hosts together make a bounded number of calls.
--- a/Libraries/LibGateway/RateCodec.cpp
+++ b/Libraries/LibGateway/RateCodec.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Longer than any time that a keeper tells; what a stranger sends must not
+/// Longer than any time that an owner tells; what a stranger sends must not
 /// shut an organisation out.
 constexpr std::int64_t kLongestMs = 10000;
 
@@ -33,7 +33,7 @@
            { "account", aReport.account_ },
            { "admitted", aReport.admitted_ },
            { "returned", aReport.returned_ },
-           { "question", aReport.question_ } };
+           { "question", aReport.query_ } };
 }
 
 fleet::RateReport
@@ -47,29 +47,29 @@
 }
 
 json
-EncodeRateAnswer(const fleet::RateAnswer& aAnswer)
+EncodeRateResponse(const fleet::RateResponse& aResponse)
 {
-  return { { "name", aAnswer.organisation_ },
-           { "account", aAnswer.account_ },
-           { "question", aAnswer.question_ },
-           { "granted", aAnswer.isGranted_ },
-           { "ask_first", base::ToMs(aAnswer.askFirst_) },
-           { "no_credit", base::ToMs(aAnswer.noCreditFor_) },
-           { "come_back", base::ToMs(aAnswer.comeBackAfter_) } };
+  return { { "name", aResponse.organisation_ },
+           { "account", aResponse.account_ },
+           { "question", aResponse.query_ },
+           { "granted", aResponse.isGranted_ },
+           { "ask_first", base::ToMs(aResponse.askFirst_) },
+           { "no_credit", base::ToMs(aResponse.noCreditFor_) },
+           { "come_back", base::ToMs(aResponse.retryAfter_) } };
 }
 
-fleet::RateAnswer
-DecodeRateAnswer(const json& aRow)
+fleet::RateResponse
+DecodeRateResponse(const json& aRow)
 {
-  fleet::RateAnswer answer;
-  answer.organisation_ = aRow.at("name").get<std::string>();
-  answer.account_ = aRow.at("account").get<std::uint64_t>();
-  answer.question_ = aRow.at("question").get<std::uint64_t>();
-  answer.isGranted_ = aRow.at("granted").get<bool>();
-  answer.askFirst_ = DecodeTime(aRow.at("ask_first"));
-  answer.noCreditFor_ = DecodeTime(aRow.at("no_credit"));
-  answer.comeBackAfter_ = DecodeTime(aRow.at("come_back"));
-  return answer;
+  fleet::RateResponse response;
+  response.organisation_ = aRow.at("name").get<std::string>();
+  response.account_ = aRow.at("account").get<std::uint64_t>();
+  response.query_ = aRow.at("question").get<std::uint64_t>();
+  response.isGranted_ = aRow.at("granted").get<bool>();
+  response.askFirst_ = DecodeTime(aRow.at("ask_first"));
+  response.noCreditFor_ = DecodeTime(aRow.at("no_credit"));
+  response.retryAfter_ = DecodeTime(aRow.at("come_back"));
+  return response;
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/RateCodec.h
+++ b/Libraries/LibGateway/RateCodec.h
@@ -14,10 +14,10 @@
 DecodeRateReport(const nlohmann::json& aRow);
 
 [[nodiscard]] nlohmann::json
-EncodeRateAnswer(const fleet::RateAnswer& aAnswer);
+EncodeRateResponse(const fleet::RateResponse& aResponse);
 
 /// @throws nlohmann::json::exception where it is no answer.
-[[nodiscard]] fleet::RateAnswer
-DecodeRateAnswer(const nlohmann::json& aRow);
+[[nodiscard]] fleet::RateResponse
+DecodeRateResponse(const nlohmann::json& aRow);
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/ResultKeeper.cpp
+++ b/Libraries/LibGateway/ResultWriter.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/ResultKeeper.h"
+#include "LibGateway/ResultWriter.h"
 
 #include "LibGateway/Events.h"
 
@@ -51,7 +51,7 @@
 } // namespace
 
 void
-ResultKeeper::Begin(const batch::BatchJob& aJob)
+ResultWriter::Begin(const batch::BatchJob& aJob)
 {
   Entry entry;
   entry.nextPosition_ = static_cast<std::uint32_t>(aJob.results_.size());
@@ -59,7 +59,7 @@
 }
 
 void
-ResultKeeper::Add(const std::string& aJob,
+ResultWriter::Add(const std::string& aJob,
                   batch::ItemResult aResult,
                   base::Instant aDueAt,
                   base::Instant aNow)
@@ -73,21 +73,21 @@
 }
 
 bool
-ResultKeeper::IsStoring(const std::string& aJob) const
+ResultWriter::IsStoring(const std::string& aJob) const
 {
   const auto entry = entries_.find(aJob);
   return entry != entries_.end() && !entry->second.storing_.empty();
 }
 
 bool
-ResultKeeper::MayStore(const Entry& aEntry, base::Instant aNow) const
+ResultWriter::MayStore(const Entry& aEntry, base::Instant aNow) const
 {
   const bool hasAny = !aEntry.unstored_.empty() || !aEntry.storing_.empty();
   return hasAny && !aEntry.callUnderWay_ && aEntry.retryAt_ <= aNow;
 }
 
 void
-ResultKeeper::Tick(base::Instant aNow)
+ResultWriter::Tick(base::Instant aNow)
 {
   const bool isAnyDue =
     std::any_of(entries_.begin(), entries_.end(), [&](const auto& aEntry) {
@@ -107,7 +107,7 @@
 }
 
 std::size_t
-ResultKeeper::StoreTogether(base::Instant aNow)
+ResultWriter::StoreTogether(base::Instant aNow)
 {
   metadata::Transaction transaction;
   std::vector<PageWrite> writes;
@@ -133,7 +133,7 @@
 }
 
 void
-ResultKeeper::StoreAlone(const std::string& aJob, Entry& aEntry)
+ResultWriter::StoreAlone(const std::string& aJob, Entry& aEntry)
 {
   const batch::BatchJob* job = jobs_.Find(aJob);
   if (job == nullptr) {
@@ -147,8 +147,8 @@
                 });
 }
 
-ResultKeeper::PageWrite
-ResultKeeper::AddPage(metadata::Transaction& aTransaction,
+ResultWriter::PageWrite
+ResultWriter::AddPage(metadata::Transaction& aTransaction,
                       const batch::BatchJob& aJob,
                       Entry& aEntry)
 {
@@ -181,7 +181,7 @@
 }
 
 void
-ResultKeeper::OnReplyTogether(const std::vector<PageWrite>& aWrites,
+ResultWriter::OnReplyTogether(const std::vector<PageWrite>& aWrites,
                               const metadata::TransactionReply& aReply)
 {
   const bool isConflict =
@@ -201,7 +201,7 @@
 }
 
 void
-ResultKeeper::OnReply(const PageWrite& aWrite,
+ResultWriter::OnReply(const PageWrite& aWrite,
                       const metadata::TransactionReply& aReply)
 {
   using metadata::StoreStatus;
@@ -243,7 +243,7 @@
 }
 
 void
-ResultKeeper::NoteStored(Entry& aEntry,
+ResultWriter::NoteStored(Entry& aEntry,
                          const PageWrite& aWrite,
                          std::uint64_t aStateRevision)
 {
@@ -263,7 +263,7 @@
 }
 
 bool
-ResultKeeper::AddTo(metadata::Transaction& aTransaction,
+ResultWriter::AddTo(metadata::Transaction& aTransaction,
                     const batch::BatchJob& aJob)
 {
   const auto found = entries_.find(aJob.id_);
--- a/Libraries/LibGateway/ResultKeeper.h
+++ b/Libraries/LibGateway/ResultWriter.h
@@ -15,13 +15,13 @@
 /// Stores the results of the jobs that this host runs, those of a short while
 /// together: a call is charged whatever it holds. Results that are due soon
 /// don't wait for others. Belongs to the event thread.
-class ResultKeeper
+class ResultWriter
 {
 public:
   /// Called with each job whose results were stored.
   using StoredHandler = std::function<void(const std::string&)>;
 
-  ResultKeeper(metadata::StoreClient& aStore,
+  ResultWriter(metadata::StoreClient& aStore,
                batch::BatchJobTable& aJobs,
                StoredHandler aOnStored)
     : store_(aStore)
--- a/Libraries/LibGateway/Shared.h
+++ b/Libraries/LibGateway/SharedState.h
@@ -1,13 +1,13 @@
 #pragma once
 
+#include "LibBatch/LedgerCache.h"
 #include "LibFleet/AdmissionControl.h"
 #include "LibFleet/EndpointTable.h"
-#include "LibFleet/RateLimits.h"
+#include "LibFleet/RateLimiter.h"
 #include "LibFleet/RouteTable.h"
 #include "LibFleet/SuspectTable.h"
 #include "LibGateway/Codec.h"
 #include "LibHttpStream/ConnectionPool.h"
-#include "LibBatch/LedgerBook.h"
 #include "LibMetrics/Registry.h"
 
 #include <random>
@@ -15,7 +15,7 @@
 namespace pumiceturn::gateway {
 
 /// What the parts of a gateway share. All of it belongs to the event thread.
-struct Shared
+struct SharedState
 {
   const Codec& codec_;
   fleet::RouteTable routes_;
@@ -25,8 +25,8 @@
   metrics::Registry metrics_;
   fleet::SuspectTable suspects_;
   fleet::AdmissionControl admission_;
-  batch::LedgerBook ledgers_;
-  fleet::RateLimits rateLimits_;
+  batch::LedgerCache ledgers_;
+  fleet::RateLimiter rateLimiter_;
 };
 
 /// @return a number that is uniform in [0, 1).
--- a/Libraries/LibGateway/StoreFollowing.cpp
+++ b/Libraries/LibGateway/StoreFollowing.cpp
@@ -189,9 +189,9 @@
 }
 
 void
-StoreFollowing::TakeReport(const std::string& aPeer,
-                           const StoreReport& aReport,
-                           base::Instant aNow)
+StoreFollowing::HandleReport(const std::string& aPeer,
+                             const StoreReport& aReport,
+                             base::Instant aNow)
 {
   NoteRunning();
   choice_.NotePeer(aPeer, aReport.state_, aNow);
--- a/Libraries/LibGateway/StoreFollowing.h
+++ b/Libraries/LibGateway/StoreFollowing.h
@@ -68,9 +68,9 @@
   [[nodiscard]] StoreReport Report() const;
   [[nodiscard]] std::size_t FollowedCount() const;
 
-  void TakeReport(const std::string& aPeer,
-                  const StoreReport& aReport,
-                  base::Instant aNow);
+  void HandleReport(const std::string& aPeer,
+                    const StoreReport& aReport,
+                    base::Instant aNow);
   void TakeNews(const std::string& aPeer, const StoreNews& aNews);
 
 private:
--- a/Tests/LibBatch/StartOrderTest.cpp
+++ b/Tests/LibBatch/StartOrderTest.cpp
@@ -150,7 +150,7 @@
       if (!candidates.empty()) {
         usual += (static_cast<double>(RunningCount()) - usual) * 0.02;
       }
-      conditions.places_ = usual;
+      conditions.slots_ = usual;
       for (const Item& item : items_) {
         conditions.runningWork_ +=
           item.isRunning_ ? UrgencyOf(item).remaining_ : base::Duration::zero();
--- a/Tests/LibBatch/TokenLedgerTest.cpp
+++ b/Tests/LibBatch/TokenLedgerTest.cpp
@@ -1,5 +1,5 @@
 #include "LibBatch/TokenLedger.h"
-#include "LibBatch/LedgerBook.h"
+#include "LibBatch/LedgerCache.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,19 +10,20 @@
 class LedgerFixture
 {
 protected:
-  LedgerNews Learn(const TokenLedger& aLedger, std::uint64_t aRevision)
+  LedgerUpdateOutcome Update(const TokenLedger& aLedger,
+                             std::uint64_t aRevision)
   {
-    return book_.Learn("route", EncodeLedger(aLedger), aRevision, now_);
+    return cache_.Update("route", EncodeLedger(aLedger), aRevision, now_);
   }
 
   [[nodiscard]] base::Duration RoomAfter(std::uint64_t aTokens) const
   {
-    return book_.RoomExpectedAfter("route", aTokens, kCap, now_, 0.0);
+    return cache_.RoomExpectedAfter("route", aTokens, kCap, now_, 0.0);
   }
 
   static constexpr std::uint64_t kCap = 1000;
 
-  LedgerBook book_;
+  LedgerCache cache_;
   TokenLedger ledger_;
   base::Instant now_{ base::Duration{ 1h } };
 };
@@ -56,19 +57,20 @@
     CHECK_FALSE(DecodeLedger(text));
   }
   ledger_.Set("a", 400);
-  Learn(ledger_, 5);
-  CHECK(book_.Learn("route", "{{", 6, now_) == LedgerNews::Unreadable);
-  CHECK(book_.Of("route").revision_ == 6);
-  CHECK(book_.Of("route").ledger_.Total() == 0);
+  Update(ledger_, 5);
+  CHECK(cache_.Update("route", "{{", 6, now_) ==
+        LedgerUpdateOutcome::Unreadable);
+  CHECK(cache_.Of("route").revision_ == 6);
+  CHECK(cache_.Of("route").ledger_.Total() == 0);
 }
 
 TEST_CASE_METHOD(LedgerFixture, "LedgerBook_OlderRevision_IsIgnored")
 {
   ledger_.Set("a", 400);
-  CHECK(Learn(ledger_, 5) == LedgerNews::Newer);
-  CHECK(Learn({}, 4) == LedgerNews::Old);
-  CHECK(Learn({}, 5) == LedgerNews::Old);
-  CHECK(book_.Of("route").ledger_.Total() == 400);
+  CHECK(Update(ledger_, 5) == LedgerUpdateOutcome::Newer);
+  CHECK(Update({}, 4) == LedgerUpdateOutcome::Old);
+  CHECK(Update({}, 5) == LedgerUpdateOutcome::Old);
+  CHECK(cache_.Of("route").ledger_.Total() == 400);
 }
 
 // A sender is told to come back at once, again and again, although the fleet
@@ -77,11 +79,11 @@
 {
   CHECK(RoomAfter(100) >= 300ms);
   ledger_.Set("a", 1000);
-  Learn(ledger_, 5);
+  Update(ledger_, 5);
   CHECK(RoomAfter(100) == 2s); // Nothing was freed yet: not known.
   ledger_.Set("a", 900);
   now_ += 1s;
-  Learn(ledger_, 6);
+  Update(ledger_, 6);
   // 100 tokens were freed in the window of 5 s.
   CHECK(RoomAfter(140) == 2s);
   CHECK(RoomAfter(1000) == 10s);
--- a/Tests/LibFleet/AdmissionControlTest.cpp
+++ b/Tests/LibFleet/AdmissionControlTest.cpp
@@ -19,10 +19,10 @@
     }
   }
 
-  Admission Judge(std::uint32_t aRunning,
+  Admission Check(std::uint32_t aRunning,
                   std::optional<base::Duration> aPatience = milliseconds(5000))
   {
-    return control_.Judge(
+    return control_.Check(
       { "llm", "route", aRunning, 8, milliseconds(300), aPatience }, kHalf);
   }
 
@@ -36,13 +36,13 @@
                  "AdmissionControl_QueueBeyondObjective_CallerComesBack")
 {
   LearnRunTime();
-  CHECK_FALSE(Judge(7).comeBackAfter_);
-  CHECK_FALSE(Judge(8).comeBackAfter_);
-  const Admission late = Judge(10);
+  CHECK_FALSE(Check(7).retryAfter_);
+  CHECK_FALSE(Check(8).retryAfter_);
+  const Admission late = Check(10);
   CHECK(late.expectedWait_ == milliseconds(300));
-  REQUIRE(late.comeBackAfter_);
-  CHECK(*late.comeBackAfter_ > milliseconds(900));
-  CHECK(*late.comeBackAfter_ <= milliseconds(1650));
+  REQUIRE(late.retryAfter_);
+  CHECK(*late.retryAfter_ > milliseconds(900));
+  CHECK(*late.retryAfter_ <= milliseconds(1650));
 }
 
 // A caller that was refused comes back, and is refused once more while the
@@ -51,10 +51,10 @@
                  "AdmissionControl_CallerCameBack_IsQueued")
 {
   LearnRunTime();
-  REQUIRE(Judge(12).comeBackAfter_);
-  CHECK_FALSE(Judge(12, milliseconds(3600)).comeBackAfter_);
+  REQUIRE(Check(12).retryAfter_);
+  CHECK_FALSE(Check(12, milliseconds(3600)).retryAfter_);
   control_.ForgetRoutes();
-  CHECK(Judge(12, milliseconds(3600)).comeBackAfter_);
+  CHECK(Check(12, milliseconds(3600)).retryAfter_);
 }
 
 // Just started, a host refuses requests that would have been served in time,
@@ -62,9 +62,9 @@
 TEST_CASE_METHOD(AdmissionControlFixture,
                  "AdmissionControl_RunTimeUnknown_AdmitsAll")
 {
-  CHECK_FALSE(Judge(30).comeBackAfter_);
+  CHECK_FALSE(Check(30).retryAfter_);
   control_.NoteRun("llm", milliseconds(800));
-  CHECK_FALSE(Judge(30).comeBackAfter_);
+  CHECK_FALSE(Check(30).retryAfter_);
 }
 
 TEST_CASE_METHOD(AdmissionControlFixture,
@@ -72,8 +72,8 @@
 {
   LearnRunTime();
   CHECK_FALSE(
-    control_.Judge({ "llm", "r", 30, 8, {}, milliseconds(5000) }, kHalf)
-      .comeBackAfter_);
+    control_.Check({ "llm", "r", 30, 8, {}, milliseconds(5000) }, kHalf)
+      .retryAfter_);
 }
 
 TEST_CASE_METHOD(AdmissionControlFixture,
@@ -83,7 +83,7 @@
   for (int run = 0; run < 100; ++run) {
     control_.NoteRun("llm", milliseconds(1600));
   }
-  CHECK(Judge(8).expectedWait_ > milliseconds(190));
+  CHECK(Check(8).expectedWait_ > milliseconds(190));
 }
 
 // A burst of requests is refused, and comes back at the same moment as another.
@@ -91,8 +91,8 @@
                  "AdmissionControl_ComeBack_IsSpreadWithinWhatCallersHeed")
 {
   const base::Duration patience = milliseconds(3000);
-  const auto soonest = AdmissionControl::ComeBackAfter(patience, 0.0);
-  const auto latest = AdmissionControl::ComeBackAfter(patience, 0.999);
+  const auto soonest = AdmissionControl::RetryAfter(patience, 0.0);
+  const auto latest = AdmissionControl::RetryAfter(patience, 0.999);
   CHECK(soonest >= milliseconds(500));
   CHECK(latest - soonest >= milliseconds(300));
   CHECK(latest <= milliseconds(1000));
--- a/Tests/LibFleet/CallerCheckTest.cpp
+++ b/Tests/LibFleet/CallerAuthenticationTest.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/CallerCheck.h"
+#include "LibFleet/CallerAuthentication.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,10 +7,10 @@
 using namespace std::chrono_literals;
 
 /// Two organisations with keys, and a copy of the declarations of some age.
-class CallerCheckFixture
+class CallerAuthenticationFixture
 {
 protected:
-  CallerCheckFixture()
+  CallerAuthenticationFixture()
   {
     organisations_.Install(
       std::vector<Organisation>{ { "archive", { Key("a1"), Key("a2") }, {} },
@@ -23,29 +23,29 @@
     return base::DigestToken(aText);
   }
 
-  [[nodiscard]] Caller Judge(const Credential& aCredential) const
+  [[nodiscard]] Caller Check(const Credential& aCredential) const
   {
-    return JudgeCaller(organisations_, aCredential, true, age_);
+    return AuthenticateCaller(organisations_, aCredential, true, age_);
   }
 
   [[nodiscard]] std::string NameFor(const Credential& aCredential) const
   {
-    const Caller caller = Judge(aCredential);
-    const auto* known = std::get_if<KnownCaller>(&caller);
+    const Caller caller = Check(aCredential);
+    const auto* known = std::get_if<AuthenticatedCaller>(&caller);
     return known == nullptr ? std::string() : known->organisation_->name_;
   }
 
   template<typename Kind>
   [[nodiscard]] bool IsJudged(const Credential& aCredential) const
   {
-    return std::holds_alternative<Kind>(Judge(aCredential));
+    return std::holds_alternative<Kind>(Check(aCredential));
   }
 
   OrganisationTable organisations_;
   DeclarationsAge age_;
 };
 
-TEST_CASE_METHOD(CallerCheckFixture, "CallerCheck_AnyKeyOfOne_NamesIt")
+TEST_CASE_METHOD(CallerAuthenticationFixture, "CallerCheck_AnyKeyOfOne_NamesIt")
 {
   CHECK(NameFor(Key("a1")) == "archive");
   CHECK(NameFor(Key("a2")) == "archive");
@@ -53,7 +53,8 @@
 }
 
 // A request ran although nobody had ever been given its key.
-TEST_CASE_METHOD(CallerCheckFixture, "CallerCheck_NoValidKey_IsUnauthorised")
+TEST_CASE_METHOD(CallerAuthenticationFixture,
+                 "CallerCheck_NoValidKey_IsUnauthorised")
 {
   CHECK(IsJudged<UnauthorisedCaller>(Key("a3")));
   CHECK(IsJudged<UnauthorisedCaller>(NoCredential{}));
@@ -62,46 +63,51 @@
 
 // A key that was taken away still ran requests at hosts that had not heard of
 // it: nothing tells such a host that its copy is old.
-TEST_CASE_METHOD(CallerCheckFixture, "CallerCheck_CopyIsOld_AdmitsNobody")
+TEST_CASE_METHOD(CallerAuthenticationFixture,
+                 "CallerCheck_CopyIsOld_AdmitsNobody")
 {
   age_.age_ = 4499ms;
-  CHECK(IsJudged<KnownCaller>(Key("a1")));
+  CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
   age_.age_ = 4500ms;
   CHECK(IsJudged<UnconfirmedCaller>(Key("a1")));
   age_.age_.reset();
   CHECK(IsJudged<UnconfirmedCaller>(Key("a1")));
 }
 
-TEST_CASE_METHOD(CallerCheckFixture, "CallerCheck_NoRevocationBound_AgeIsFine")
+TEST_CASE_METHOD(CallerAuthenticationFixture,
+                 "CallerCheck_NoRevocationBound_AgeIsFine")
 {
   age_ = { 1h, std::nullopt, 3s };
-  CHECK(IsJudged<KnownCaller>(Key("a1")));
+  CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
 }
 
 // A caller with a new key was told for good that it has none, by a host that
 // had not heard of the key.
-TEST_CASE_METHOD(CallerCheckFixture,
+TEST_CASE_METHOD(CallerAuthenticationFixture,
                  "CallerCheck_UnknownKeyAndOldCopy_IsNotDenied")
 {
   age_.age_ = 3s;
   CHECK(IsJudged<UnconfirmedCaller>(Key("a3")));
-  CHECK(IsJudged<KnownCaller>(Key("a1")));
+  CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
 }
 
-TEST_CASE_METHOD(CallerCheckFixture, "CallerCheck_OpenRoute_NeedsNoKey")
+TEST_CASE_METHOD(CallerAuthenticationFixture,
+                 "CallerCheck_OpenRoute_NeedsNoKey")
 {
   CHECK(std::holds_alternative<AnonymousCaller>(
-    JudgeCaller(organisations_, Key("a3"), false, age_)));
+    AuthenticateCaller(organisations_, Key("a3"), false, age_)));
 }
 
-TEST_CASE_METHOD(CallerCheckFixture, "CallerCheck_NoneDeclared_NeedsNoKey")
+TEST_CASE_METHOD(CallerAuthenticationFixture,
+                 "CallerCheck_NoneDeclared_NeedsNoKey")
 {
   organisations_.Install(std::nullopt);
   CHECK(IsJudged<AnonymousCaller>(NoCredential{}));
 }
 
 // Operators took the last organisation out, and anyone could call.
-TEST_CASE_METHOD(CallerCheckFixture, "CallerCheck_EmptyList_AdmitsNobody")
+TEST_CASE_METHOD(CallerAuthenticationFixture,
+                 "CallerCheck_EmptyList_AdmitsNobody")
 {
   organisations_.Install(std::vector<Organisation>{});
   CHECK(IsJudged<UnauthorisedCaller>(NoCredential{}));
--- a/Tests/LibFleet/RateLimitsTest.cpp
+++ b/Tests/LibFleet/RateLimiterTest.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/RateLimits.h"
+#include "LibFleet/RateLimiter.h"
 
 #include <catch2/catch.hpp>
 
@@ -27,10 +27,10 @@
   struct Host
   {
     std::string name_;
-    std::unique_ptr<RateLimits> limits_;
+    std::unique_ptr<RateLimiter> limits_;
     int side_ = 0; ///< Of a cut.
     bool isUp_ = true;
-    std::map<std::uint64_t, base::Instant> asked_; ///< By question.
+    std::map<std::uint64_t, base::Instant> asked_; ///< By query.
   };
 
   void Build(std::size_t aHosts, RateLimit aLimit)
@@ -39,7 +39,7 @@
     for (std::size_t index = 0; index < aHosts; ++index) {
       const std::string name = "host" + std::to_string(index);
       hosts_.push_back({ name,
-                         std::make_unique<RateLimits>(name, true, kTolerance),
+                         std::make_unique<RateLimiter>(name, true, kTolerance),
                          0,
                          true,
                          {} });
@@ -80,16 +80,16 @@
       return;
     }
     ++asked_;
-    Apply(host, host.limits_->Judge(organisation_, now_, random_));
+    Apply(host, host.limits_->Check(organisation_, now_, random_));
   }
 
   void Apply(Host& aHost, const RateDecision& aDecision)
   {
     if (std::holds_alternative<RateAdmitted>(aDecision)) {
       ran_.push_back(now_);
-    } else if (const auto* ask = std::get_if<RateAsk>(&aDecision)) {
-      aHost.asked_[ask->report_.question_] = now_;
-      Send(aHost, ask->keeper_, ask->report_);
+    } else if (const auto* query = std::get_if<RateQuery>(&aDecision)) {
+      aHost.asked_[query->report_.query_] = now_;
+      Send(aHost, query->owner_, query->report_);
     } else {
       ++refused_;
     }
@@ -105,7 +105,7 @@
         }
         asked = host.asked_.erase(asked);
         if (host.isUp_) {
-          Apply(host, host.limits_->JudgeAlone(organisation_, now_));
+          Apply(host, host.limits_->CheckLocally(organisation_, now_));
         }
       }
     }
@@ -118,15 +118,16 @@
         continue;
       }
       TellMembers(host);
-      for (const auto& [keeper, report] : host.limits_->TakeDueReports(now_)) {
-        Send(host, keeper, report);
+      for (const auto& [owner, report] :
+           host.limits_->CollectDueReports(now_)) {
+        Send(host, owner, report);
       }
     }
   }
 
   void TellMembers(Host& aHost)
   {
-    std::vector<RateMembers::Member> others;
+    std::vector<RateLimitMembership::Member> others;
     for (const Host& other : hosts_) {
       const bool isCut = other.side_ != aHost.side_ && now_ - cutAt_ > kSilence;
       const bool isRegistered = other.isUp_ || now_ - downAt_ < 3s;
@@ -148,14 +149,15 @@
   void RestartAll()
   {
     for (Host& host : hosts_) {
-      host.limits_ = std::make_unique<RateLimits>(host.name_, true, kTolerance);
+      host.limits_ =
+        std::make_unique<RateLimiter>(host.name_, true, kTolerance);
       host.asked_.clear();
       TellMembers(host);
     }
     messages_.clear();
   }
 
-  using Message = std::variant<RateReport, RateAnswer>;
+  using Message = std::variant<RateReport, RateResponse>;
 
   void Send(const Host& aFrom, const std::string& aTo, const Message& aMessage)
   {
@@ -202,16 +204,16 @@
       return;
     }
     if (const auto* report = std::get_if<RateReport>(&aMessage)) {
-      const auto answer =
-        aTo.limits_->TakeReport(aFrom.name_, *report, organisation_, now_);
-      if (answer) {
-        Send(aTo, aFrom.name_, *answer);
+      const auto response =
+        aTo.limits_->HandleReport(aFrom.name_, *report, organisation_, now_);
+      if (response) {
+        Send(aTo, aFrom.name_, *response);
       }
       return;
     }
-    const auto& answer = std::get<RateAnswer>(aMessage);
-    const auto decision = aTo.limits_->TakeAnswer(answer, now_);
-    if (decision && aTo.asked_.erase(answer.question_) > 0) {
+    const auto& response = std::get<RateResponse>(aMessage);
+    const auto decision = aTo.limits_->HandleResponse(response, now_);
+    if (decision && aTo.asked_.erase(response.query_) > 0) {
       Apply(aTo, *decision);
     }
   }
@@ -312,13 +314,13 @@
   CHECK(static_cast<double>(MostInWindow()) <= Bound());
 }
 
-// The keeper of an account is lost while its organisation is at its limit.
+// The owner of an account is lost while its organisation is at its limit.
 TEST_CASE_METHOD(RateFleetFixture, "RateLimits_KeeperIsLost_AnotherGoesOn")
 {
   Build(20, { 30, 30 });
   Play(5s, 130);
   for (Host& host : hosts_) {
-    if (host.limits_->KeptCount() > 0) {
+    if (host.limits_->AccountCount() > 0) {
       host.isUp_ = false;
       downAt_ = now_;
     }
@@ -357,7 +359,7 @@
 // A request that never ran must not cost its organisation another.
 TEST_CASE("RateLimits_CertainlyNotRun_GivesCreditBack")
 {
-  RateLimits limits("host", true, { 5s, 0.1, 20.0 });
+  RateLimiter limits("host", true, { 5s, 0.1, 20.0 });
   base::Instant now{ 24h };
   std::mt19937_64 random{ 1 };
   limits.SetMembers({}, now);
@@ -365,39 +367,39 @@
   const Organisation organisation{ "a", {}, { 1, 5 } };
   for (int request = 0; request < 50; ++request) {
     CHECK(std::holds_alternative<RateAdmitted>(
-      limits.Judge(organisation, now, random)));
-    limits.Return("a");
+      limits.Check(organisation, now, random)));
+    limits.Refund("a");
   }
 }
 
 TEST_CASE("RateLimits_NoLimit_IsNotCounted")
 {
-  RateLimits limits("host", true, {});
+  RateLimiter limits("host", true, {});
   std::mt19937_64 random{ 1 };
   const Organisation organisation{ "a", {}, {} };
   CHECK(std::holds_alternative<RateAdmitted>(
-    limits.Judge(organisation, base::Instant{ 24h }, random)));
-  CHECK(limits.TakeDueReports(base::Instant{ 24h }).empty());
-  CHECK(limits.KeptCount() == 0);
+    limits.Check(organisation, base::Instant{ 24h }, random)));
+  CHECK(limits.CollectDueReports(base::Instant{ 24h }).empty());
+  CHECK(limits.AccountCount() == 0);
 }
 
 // The time that is told with a refusal is when there may be credit.
 TEST_CASE("RateLimits_Refused_TellsWhenToComeBack")
 {
-  RateLimits limits("host", true, {});
+  RateLimiter limits("host", true, {});
   base::Instant now{ 24h };
   std::mt19937_64 random{ 1 };
   limits.SetMembers({}, now);
   now += 1h;
   const Organisation organisation{ "a", {}, { 2, 1 } };
   CHECK(std::holds_alternative<RateAdmitted>(
-    limits.Judge(organisation, now, random)));
-  const RateDecision refused = limits.Judge(organisation, now, random);
+    limits.Check(organisation, now, random)));
+  const RateDecision refused = limits.Check(organisation, now, random);
   REQUIRE(std::holds_alternative<RateRefused>(refused));
-  CHECK(std::get<RateRefused>(refused).comeBackAfter_ == 500ms);
+  CHECK(std::get<RateRefused>(refused).retryAfter_ == 500ms);
   now += 500ms;
   CHECK(std::holds_alternative<RateAdmitted>(
-    limits.Judge(organisation, now, random)));
+    limits.Check(organisation, now, random)));
 }
 
 } // namespace pumiceturn::fleet
--- a/Tests/Platform/RateCodecTest.cpp
+++ b/Tests/Platform/RateCodecTest.cpp
@@ -20,7 +20,7 @@
     return { "archive", 77, 12, 3, 9 };
   }
 
-  [[nodiscard]] static fleet::RateAnswer Answer()
+  [[nodiscard]] static fleet::RateResponse Response()
   {
     return { "archive", 77, 9, true, 2s, 37ms, 410ms };
   }
@@ -42,17 +42,17 @@
 {
   CHECK(DecodeRateReport(json::from_cbor(
           json::to_cbor(EncodeRateReport(Report())))) == Report());
-  CHECK(DecodeRateAnswer(json::from_cbor(
-          json::to_cbor(EncodeRateAnswer(Answer())))) == Answer());
+  CHECK(DecodeRateResponse(json::from_cbor(
+          json::to_cbor(EncodeRateResponse(Response())))) == Response());
 }
 
 // A stranger's answer shut an organisation out for years.
 TEST_CASE_METHOD(RateCodecFixture, "RateCodec_TimeIsNone_IsRefused")
 {
-  json row = EncodeRateAnswer(Answer());
+  json row = EncodeRateResponse(Response());
   for (const json& time : { json(-1), json(10001), json(1e300), json("1") }) {
     row["no_credit"] = time;
-    CHECK_THROWS_AS(DecodeRateAnswer(row), json::exception);
+    CHECK_THROWS_AS(DecodeRateResponse(row), json::exception);
   }
 }
 
@@ -63,8 +63,8 @@
     try {
       (void)DecodeRateReport(
         json::from_cbor(Spoil(EncodeRateReport(Report()))));
-      (void)DecodeRateAnswer(
-        json::from_cbor(Spoil(EncodeRateAnswer(Answer()))));
+      (void)DecodeRateResponse(
+        json::from_cbor(Spoil(EncodeRateResponse(Response()))));
     } catch (const json::exception&) {
       continue;
     }
--- a/Tests/Platform/ResultKeeperTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/ResultKeeper.h"
+#include "LibGateway/ResultWriter.h"
 #include "Tests/LibMetadata/FakeStore.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 /// Jobs of two items each that this host runs, and a store whose answers the
 /// test gives.
-class ResultKeeperFixture
+class ResultWriterFixture
 {
 protected:
   void Begin(const std::string& aJob)
@@ -18,14 +18,14 @@
     batch::BatchJobState state;
     state.itemCount_ = 2;
     jobs_.Apply(keys_.StateOf(aJob), batch::EncodeState(state), 5);
-    keeper_.Begin(*jobs_.Find(aJob));
+    writer_.Begin(*jobs_.Find(aJob));
   }
 
   void Finish(const std::string& aJob,
               int aItem,
               base::Duration aDueAfter = 10s)
   {
-    keeper_.Add(
+    writer_.Add(
       aJob,
       { aJob + std::to_string(aItem), batch::ItemState::Completed, "output" },
       now_ + aDueAfter,
@@ -35,7 +35,7 @@
   void Pass(base::Duration aTime)
   {
     now_ += aTime;
-    keeper_.Tick(now_);
+    writer_.Tick(now_);
   }
 
   void Answer(const metadata::TransactionReply& aReply)
@@ -57,14 +57,14 @@
                              } };
   metadata::FakeStore store_;
   std::vector<std::string> told_;
-  ResultKeeper keeper_{ store_, jobs_, [this](const std::string& aJob) {
+  ResultWriter writer_{ store_, jobs_, [this](const std::string& aJob) {
                          told_.push_back(aJob);
                        } };
 };
 
 // Load: results of several jobs within a short while. Each was a call, most of
 // all calls to the store.
-TEST_CASE_METHOD(ResultKeeperFixture, "ResultKeeper_SeveralLots_AreOneCall")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultKeeper_SeveralLots_AreOneCall")
 {
   Begin("a");
   Begin("b");
@@ -86,7 +86,7 @@
 }
 
 // A report was late, as its last line had waited for others.
-TEST_CASE_METHOD(ResultKeeperFixture, "ResultKeeper_DueSoon_DoesNotWait")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultKeeper_DueSoon_DoesNotWait")
 {
   Begin("a");
   Finish("a", 0, 1s);
@@ -95,7 +95,7 @@
 }
 
 // One job's sender had ended it, and the others' results were not stored.
-TEST_CASE_METHOD(ResultKeeperFixture,
+TEST_CASE_METHOD(ResultWriterFixture,
                  "ResultKeeper_OneLotConflicts_OthersAreStoredAlone")
 {
   Begin("a");
@@ -115,7 +115,7 @@
 
 // A call without an answer was carried out; made again with more results, it
 // gave one position two contents.
-TEST_CASE_METHOD(ResultKeeperFixture,
+TEST_CASE_METHOD(ResultWriterFixture,
                  "ResultKeeper_AnswerIsLost_SamePageGoesAgain")
 {
   Begin("a");
@@ -123,7 +123,7 @@
   Pass(500ms);
   const metadata::Transaction first = store_.commits_.front().first;
   Answer({ StoreStatus::Unknown, 0, {} });
-  CHECK(keeper_.IsStoring("a"));
+  CHECK(writer_.IsStoring("a"));
   Finish("a", 1);
   now_ = base::MonotonicNow() + 1s;
   Pass(0ms);
@@ -137,21 +137,21 @@
     { first.writes_.front().key_, first.writes_.front().value_, 7 });
   Answer(isThere);
   CHECK(StoredCount("a") == 1);
-  CHECK_FALSE(keeper_.IsStoring("a"));
+  CHECK_FALSE(writer_.IsStoring("a"));
 }
 
 // A host that leaves hands over what it has gathered, and doesn't lose it.
-TEST_CASE_METHOD(ResultKeeperFixture, "ResultKeeper_HandedOver_IsInThatCall")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultKeeper_HandedOver_IsInThatCall")
 {
   Begin("a");
   Finish("a", 0);
   metadata::Transaction transaction;
-  CHECK_FALSE(keeper_.AddTo(transaction, *jobs_.Find("a")));
+  CHECK_FALSE(writer_.AddTo(transaction, *jobs_.Find("a")));
   CHECK(transaction.writes_.size() == 1);
   Begin("b");
   Finish("b", 0);
   Finish("b", 1);
-  CHECK(keeper_.AddTo(transaction, *jobs_.Find("b")));
+  CHECK(writer_.AddTo(transaction, *jobs_.Find("b")));
 }
 
 } // namespace pumiceturn::gateway
