--- a/Benchmarks/Gateway/Main.cpp
+++ b/Benchmarks/Gateway/Main.cpp
@@ -106,15 +106,15 @@
 {
 public:
   explicit GatewayThread(const asio::ip::tcp::endpoint& aStore)
-    : paths_(context_, aStore, adapter::MakeStoreProtocol(aStore))
-    , store_(paths_, aStore)
+    : transport_(context_, aStore, adapter::MakeStoreProtocol(aStore))
+    , store_(transport_, aStore)
     , gateway_(context_,
                MakeSettings(),
                adapter::MakeStoreLayout(),
                requests_,
                entries_,
                store_,
-               paths_)
+               transport_)
   {
     if (!gateway_.Start()) {
       throw std::runtime_error("the gateway's address is taken");
@@ -151,7 +151,7 @@
   asio::io_context context_;
   adapter::RequestCodec requests_;
   adapter::StoreEntries entries_;
-  StorePaths paths_;
+  StoreTransport transport_;
   adapter::StoreCalls store_;
   Gateway gateway_;
   std::thread thread_;
--- a/Libraries/LibFleet/CountNews.cpp
+++ b/Libraries/LibFleet/CountPublisher.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/CountNews.h"
+#include "LibFleet/CountPublisher.h"
 
 #include <algorithm>
 #include <utility>
@@ -24,14 +24,14 @@
 } // namespace
 
 base::Duration
-CountNews::Interval(std::size_t aPeers)
+CountPublisher::Interval(std::size_t aPeers)
 {
   return std::clamp<base::Duration>(
     kIntervalOfEachPeer * aPeers, kShortestInterval, kWholeInterval);
 }
 
 std::optional<CountUpdate>
-CountNews::Next(std::span<const PeerCount> aCounts, base::Instant aNow)
+CountPublisher::Next(std::span<const PeerCount> aCounts, base::Instant aNow)
 {
   std::map<std::string, PeerCount> current;
   for (const PeerCount& count : aCounts) {
--- a/Libraries/LibFleet/CountNews.h
+++ b/Libraries/LibFleet/CountPublisher.h
@@ -24,7 +24,7 @@
 /// told at once, as two hosts that don't know of each other's last request
 /// choose the same free place; all counts now and then, as datagrams get lost.
 /// Takes the time as an argument, does no I/O, is not thread-safe.
-class CountNews
+class CountPublisher
 {
 public:
   /// @return how long a host waits between two looks, so that each host hears
--- a/Libraries/LibFleet/EndpointTable.cpp
+++ b/Libraries/LibFleet/EndpointTable.cpp
@@ -93,16 +93,16 @@
 
 void
 EndpointTable::Remove(std::string_view aId,
-                      std::optional<base::Instant> aStoreReturnedAt,
+                      std::optional<base::Instant> aStoreRecoveredAt,
                       base::Instant aNow)
 {
   const auto found = endpoints_.find(std::string(aId));
   if (found == endpoints_.end()) {
     return;
   }
-  if (aStoreReturnedAt && !found->second.record_.isDraining_ &&
-      aNow - *aStoreReturnedAt < limits_.vanishedGrace_) {
-    found->second.vanishedUntil_ = *aStoreReturnedAt + limits_.vanishedGrace_;
+  if (aStoreRecoveredAt && !found->second.record_.isDraining_ &&
+      aNow - *aStoreRecoveredAt < limits_.vanishedGrace_) {
+    found->second.vanishedUntil_ = *aStoreRecoveredAt + limits_.vanishedGrace_;
     return;
   }
   endpoints_.erase(found);
@@ -350,9 +350,9 @@
 }
 
 void
-EndpointTable::NoteHeard(const EndpointIncarnation& aEndpoint,
-                         base::Instant aRunStartedAt,
-                         base::Instant aNow)
+EndpointTable::RecordActivity(const EndpointIncarnation& aEndpoint,
+                              base::Instant aRunStartedAt,
+                              base::Instant aNow)
 {
   if (Endpoint* endpoint = Find(aEndpoint)) {
     endpoint->heardAt_ = aNow;
@@ -394,9 +394,9 @@
 }
 
 void
-EndpointTable::TakePeerCounts(const std::string& aPeer,
-                              std::span<const PeerCount> aCounts,
-                              base::Instant aNow)
+EndpointTable::SetPeerCounts(const std::string& aPeer,
+                             std::span<const PeerCount> aCounts,
+                             base::Instant aNow)
 {
   std::unordered_set<std::string>& known = endpointsOfPeers_[aPeer];
   for (const std::string& id : known) {
@@ -405,13 +405,13 @@
     }
   }
   known.clear();
-  TakePeerChanges(aPeer, aCounts, aNow);
+  UpdatePeerCounts(aPeer, aCounts, aNow);
 }
 
 void
-EndpointTable::TakePeerChanges(const std::string& aPeer,
-                               std::span<const PeerCount> aCounts,
-                               base::Instant aNow)
+EndpointTable::UpdatePeerCounts(const std::string& aPeer,
+                                std::span<const PeerCount> aCounts,
+                                base::Instant aNow)
 {
   for (const PeerCount& count : aCounts) {
     if (Endpoint* endpoint = Find({ count.endpoint_, count.bornMs_ })) {
--- a/Libraries/LibFleet/EndpointTable.h
+++ b/Libraries/LibFleet/EndpointTable.h
@@ -137,9 +137,9 @@
   void Withhold(std::string_view aId);
 
   /// The registration of an endpoint vanished.
-  /// @param aStoreReturnedAt When the store last came back after an outage.
+  /// @param aStoreRecoveredAt When the store last came back after an outage.
   void Remove(std::string_view aId,
-              std::optional<base::Instant> aStoreReturnedAt,
+              std::optional<base::Instant> aStoreRecoveredAt,
               base::Instant aNow);
 
   /// Drops endpoints whose grace has passed.
@@ -162,9 +162,9 @@
 
   /// Bytes of a run came from the endpoint.
   /// @param aRunStartedAt When the run began.
-  void NoteHeard(const EndpointIncarnation& aEndpoint,
-                 base::Instant aRunStartedAt,
-                 base::Instant aNow);
+  void RecordActivity(const EndpointIncarnation& aEndpoint,
+                      base::Instant aRunStartedAt,
+                      base::Instant aNow);
 
   /// Another process answered at the endpoint's address. Its registration may
   /// be in the store for seconds yet, and a late heartbeat may bring it back,
@@ -181,14 +181,14 @@
                                 base::Instant aNow) const;
 
   /// Takes over what a peer says of its runs; what it doesn't name is zero.
-  void TakePeerCounts(const std::string& aPeer,
-                      std::span<const PeerCount> aCounts,
-                      base::Instant aNow);
+  void SetPeerCounts(const std::string& aPeer,
+                     std::span<const PeerCount> aCounts,
+                     base::Instant aNow);
 
   /// Takes over what a peer says has changed; what it doesn't name stays.
-  void TakePeerChanges(const std::string& aPeer,
-                       std::span<const PeerCount> aCounts,
-                       base::Instant aNow);
+  void UpdatePeerCounts(const std::string& aPeer,
+                        std::span<const PeerCount> aCounts,
+                        base::Instant aNow);
 
   /// @return own runs and failures at each endpoint that has any, for peers.
   [[nodiscard]] std::vector<PeerCount> OwnCounts(base::Instant aNow) const;
--- a/Libraries/LibFleet/PeerHearing.cpp
+++ b/Libraries/LibFleet/PeerReachability.cpp
@@ -1,39 +1,41 @@
-#include "LibFleet/PeerHearing.h"
+#include "LibFleet/PeerReachability.h"
 
 #include <algorithm>
 
 namespace pumiceturn::fleet {
 
 void
-PeerHearing::Add(const std::string& aPeer)
+PeerReachability::Add(const std::string& aPeer)
 {
   peers_.try_emplace(aPeer);
 }
 
 void
-PeerHearing::Remove(const std::string& aPeer)
+PeerReachability::Remove(const std::string& aPeer)
 {
   peers_.erase(aPeer);
 }
 
 bool
-PeerHearing::IsHeard(const std::string& aPeer, base::Instant aNow) const
+PeerReachability::IsReachable(const std::string& aPeer,
+                              base::Instant aNow) const
 {
   const auto peer = peers_.find(aPeer);
-  return peer != peers_.end() && aNow - peer->second.heardAt_ <= kSilence;
+  return peer != peers_.end() &&
+         aNow - peer->second.heardAt_ <= kSilenceTimeout;
 }
 
 std::size_t
-PeerHearing::HeardCount(base::Instant aNow) const
+PeerReachability::ReachableCount(base::Instant aNow) const
 {
   return static_cast<std::size_t>(std::count_if(
     peers_.begin(), peers_.end(), [this, aNow](const auto& aEntry) {
-      return IsHeard(aEntry.first, aNow);
+      return IsReachable(aEntry.first, aNow);
     }));
 }
 
 void
-PeerHearing::NoteHeard(const std::string& aPeer, base::Instant aNow)
+PeerReachability::RecordActivity(const std::string& aPeer, base::Instant aNow)
 {
   if (const auto peer = peers_.find(aPeer); peer != peers_.end()) {
     peer->second.heardAt_ = aNow;
@@ -41,9 +43,9 @@
 }
 
 void
-PeerHearing::NotePassedOn(const std::string& aPeer,
-                          const std::string& aRelay,
-                          base::Instant aNow)
+PeerReachability::RecordRelayed(const std::string& aPeer,
+                                const std::string& aRelay,
+                                base::Instant aNow)
 {
   if (const auto peer = peers_.find(aPeer); peer != peers_.end()) {
     peer->second.relay_ = aRelay;
@@ -52,27 +54,28 @@
 }
 
 void
-PeerHearing::NoteAsked(const std::string& aAsker,
-                       const std::string& aPeer,
-                       base::Instant aNow)
+PeerReachability::RecordRelayRequest(const std::string& aAsker,
+                                     const std::string& aPeer,
+                                     base::Instant aNow)
 {
   std::erase_if(askers_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second > kSilence;
+    return aNow - aEntry.second > kSilenceTimeout;
   });
   const std::pair key(aPeer, aAsker);
-  if (askers_.size() < kMostPassedOn || askers_.contains(key)) {
+  if (askers_.size() < kMaxRelayed || askers_.contains(key)) {
     askers_[key] = aNow;
   }
 }
 
 std::vector<std::string>
-PeerHearing::Askers(const std::string& aPeer, base::Instant aNow) const
+PeerReachability::RelayRequesters(const std::string& aPeer,
+                                  base::Instant aNow) const
 {
   std::vector<std::string> askers;
   for (auto entry = askers_.lower_bound({ aPeer, {} });
        entry != askers_.end() && entry->first.first == aPeer;
        ++entry) {
-    if (aNow - entry->second <= kSilence) {
+    if (aNow - entry->second <= kSilenceTimeout) {
       askers.push_back(entry->first.second);
     }
   }
@@ -80,24 +83,25 @@
 }
 
 std::optional<std::string>
-PeerHearing::RelayTo(const std::string& aPeer, base::Instant aNow) const
+PeerReachability::RelayTo(const std::string& aPeer, base::Instant aNow) const
 {
   const auto peer = peers_.find(aPeer);
-  if (peer == peers_.end() || IsHeard(aPeer, aNow) ||
-      aNow - peer->second.passedOnAt_ > kSilence ||
-      !IsHeard(peer->second.relay_, aNow)) {
+  if (peer == peers_.end() || IsReachable(aPeer, aNow) ||
+      aNow - peer->second.passedOnAt_ > kSilenceTimeout ||
+      !IsReachable(peer->second.relay_, aNow)) {
     return std::nullopt;
   }
   return peer->second.relay_;
 }
 
-std::vector<RelayQuestion>
-PeerHearing::Questions(base::Instant aNow, std::mt19937_64& aRandom) const
+std::vector<RelayRequest>
+PeerReachability::RelayRequests(base::Instant aNow,
+                                std::mt19937_64& aRandom) const
 {
   std::vector<std::string> heard;
   std::vector<std::string> silent;
   for (const auto& [name, peer] : peers_) {
-    (IsHeard(name, aNow) ? heard : silent).push_back(name);
+    (IsReachable(name, aNow) ? heard : silent).push_back(name);
   }
   if (heard.empty()) {
     return {};
@@ -110,7 +114,7 @@
   for (const std::string& name : silent) {
     byRelay[RelayTo(name, aNow).value_or(drawn)].push_back(name);
   }
-  std::vector<RelayQuestion> questions;
+  std::vector<RelayRequest> questions;
   questions.reserve(byRelay.size());
   for (auto& [relay, names] : byRelay) {
     questions.push_back({ relay, std::move(names) });
--- a/Libraries/LibFleet/PeerHearing.h
+++ b/Libraries/LibFleet/PeerReachability.h
@@ -12,7 +12,7 @@
 namespace pumiceturn::fleet {
 
 /// Peers that another peer is asked to pass on.
-struct RelayQuestion
+struct RelayRequest
 {
   std::string relay_;
   std::vector<std::string> peers_;
@@ -23,47 +23,50 @@
 /// would take each other's runs for none: batch is started in places that
 /// online work has, and a request to let it give way is lost. Takes time and
 /// random numbers as arguments, does no I/O, is not thread-safe.
-class PeerHearing
+class PeerReachability
 {
 public:
   /// Silence after which a peer is asked for elsewhere: three of its messages
   /// with all counts are missing.
-  static constexpr base::Duration kSilence{ std::chrono::milliseconds{ 300 } };
+  static constexpr base::Duration kSilenceTimeout{ std::chrono::milliseconds{
+    300 } };
 
   /// Messages of peers that a host passes on, as pairs of a peer and a host
   /// that asked: bounds what a split of a large fleet costs.
-  static constexpr std::size_t kMostPassedOn = 64;
+  static constexpr std::size_t kMaxRelayed = 64;
 
   /// A peer is known. It counts as silent until its first message.
   void Add(const std::string& aPeer);
   void Remove(const std::string& aPeer);
 
   /// A message came from the peer itself.
-  void NoteHeard(const std::string& aPeer, base::Instant aNow);
+  void RecordActivity(const std::string& aPeer, base::Instant aNow);
 
   /// A message of a peer came through another one.
-  void NotePassedOn(const std::string& aPeer,
-                    const std::string& aRelay,
-                    base::Instant aNow);
+  void RecordRelayed(const std::string& aPeer,
+                     const std::string& aRelay,
+                     base::Instant aNow);
 
-  /// Another host wants to hear what a peer says, for as long as kSilence.
-  void NoteAsked(const std::string& aAsker,
-                 const std::string& aPeer,
-                 base::Instant aNow);
+  /// Another host wants to hear what a peer says, for as long as
+  /// kSilenceTimeout.
+  void RecordRelayRequest(const std::string& aAsker,
+                          const std::string& aPeer,
+                          base::Instant aNow);
 
   /// @return the hosts that want to hear what a peer says.
-  [[nodiscard]] std::vector<std::string> Askers(const std::string& aPeer,
-                                                base::Instant aNow) const;
+  [[nodiscard]] std::vector<std::string> RelayRequesters(
+    const std::string& aPeer,
+    base::Instant aNow) const;
 
   /// @return whether the peer's own messages arrive.
-  [[nodiscard]] bool IsHeard(const std::string& aPeer,
-                             base::Instant aNow) const;
+  [[nodiscard]] bool IsReachable(const std::string& aPeer,
+                                 base::Instant aNow) const;
 
   /// @return how many peers are heard.
-  [[nodiscard]] std::size_t HeardCount(base::Instant aNow) const;
+  [[nodiscard]] std::size_t ReachableCount(base::Instant aNow) const;
 
   /// @return what is to be asked now, and whom.
-  [[nodiscard]] std::vector<RelayQuestion> Questions(
+  [[nodiscard]] std::vector<RelayRequest> RelayRequests(
     base::Instant aNow,
     std::mt19937_64& aRandom) const;
 
--- a/Libraries/LibFleet/RateLimitMembership.cpp
+++ b/Libraries/LibFleet/RateLimitMembership.cpp
@@ -14,7 +14,7 @@
   std::size_t registered = admitting;
   for (const Member& member : aOthers) {
     registered += member.admits_ ? 1 : 0;
-    if (member.isHeard_) {
+    if (member.isReachable_) {
       heard.emplace_back(!member.admits_, member.host_);
       admitting += member.admits_ ? 1 : 0;
     }
@@ -25,11 +25,11 @@
     since_ = aNow;
   }
   while (!registered_.empty() && (registered_.back().count_ <= registered ||
-                                  aNow - registered_.back().at_ > kMemory)) {
+                                  aNow - registered_.back().at_ > kRetention)) {
     registered_.pop_back();
   }
   registered_.push_back({ aNow, registered });
-  while (aNow - registered_.front().at_ > kMemory) {
+  while (aNow - registered_.front().at_ > kRetention) {
     registered_.pop_front();
   }
   count_ = std::max<std::size_t>(registered_.front().count_, 1);
--- a/Libraries/LibFleet/RateLimitMembership.h
+++ b/Libraries/LibFleet/RateLimitMembership.h
@@ -23,7 +23,7 @@
   struct Member
   {
     std::string host_;
-    bool isHeard_ = false;
+    bool isReachable_ = false;
     /// It lets requests run. The others only keep accounts, and before these:
     /// they have more of a processor, and start anew more seldom.
     bool admits_ = true;
@@ -31,7 +31,7 @@
 
   /// How long a host that is no longer registered is still counted: it may be
   /// cut off and go on.
-  static constexpr base::Duration kMemory{ std::chrono::seconds{ 5 } };
+  static constexpr base::Duration kRetention{ std::chrono::seconds{ 5 } };
 
   RateLimitMembership(std::string aOwnName, bool aAdmits)
     : ownName_(std::move(aOwnName))
--- a/Libraries/LibFleet/SuspectTable.cpp
+++ b/Libraries/LibFleet/SuspectTable.cpp
@@ -51,7 +51,7 @@
   std::size_t first = 0;
   std::size_t retries = 0;
   for (const SuspectRun& run : found->second.runs_) {
-    if (aNow - run.brokeAt_ > kMemory ||
+    if (aNow - run.brokeAt_ > kRetention ||
         aHasLivedOn(run.endpoint_, run.brokeAt_)) {
       continue;
     }
@@ -70,7 +70,7 @@
   std::vector<SuspectRun> runs;
   for (const auto& [id, content] : contents_) {
     for (const SuspectRun& run : content.runs_) {
-      if (aNow - run.brokeAt_ <= kMemory) {
+      if (aNow - run.brokeAt_ <= kRetention) {
         runs.push_back(run);
       }
     }
@@ -84,10 +84,10 @@
   for (auto entry = contents_.begin(); entry != contents_.end();) {
     Content& content = entry->second;
     std::erase_if(content.runs_, [aNow](const SuspectRun& aRun) {
-      return aNow - aRun.brokeAt_ > kMemory;
+      return aNow - aRun.brokeAt_ > kRetention;
     });
     const bool isOver =
-      content.runs_.empty() && aNow - content.answeredAt_ > kMemory;
+      content.runs_.empty() && aNow - content.answeredAt_ > kRetention;
     entry = isOver ? contents_.erase(entry) : std::next(entry);
   }
 }
--- a/Libraries/LibFleet/SuspectTable.h
+++ b/Libraries/LibFleet/SuspectTable.h
@@ -35,7 +35,7 @@
   static constexpr std::size_t kCrashesToRefuse = 3;
 
   /// How long a crash is remembered.
-  static constexpr base::Duration kMemory{ std::chrono::seconds{ 60 } };
+  static constexpr base::Duration kRetention{ std::chrono::seconds{ 60 } };
 
   /// Contents that are remembered; far more than crash at a time.
   static constexpr std::size_t kMostContents = 512;
--- a/Libraries/LibGateway/AccessControl.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -32,12 +32,12 @@
 
 AccessControl::AccessControl(boost::asio::any_io_executor aExecutor,
                              SharedState& aShared,
-                             const StoreFollowing& aFollowing,
-                             PeerExchange& aPeers,
+                             const StoreMirrors& aMirrors,
+                             PeerMessenger& aPeers,
                              Bounds aBounds)
   : executor_(std::move(aExecutor))
   , shared_(aShared)
-  , following_(aFollowing)
+  , mirrors_(aMirrors)
   , peers_(aPeers)
   , bounds_(aBounds)
 {
@@ -54,7 +54,7 @@
 AccessControl::Age() const
 {
   fleet::DeclarationsAge age;
-  age.age_ = following_.AgeOf(StorePrefix::Operators);
+  age.age_ = mirrors_.AgeOf(StorePrefix::Operators);
   if (bounds_.revocation_) {
     age.revocationBound_ = std::chrono::duration_cast<base::Duration>(
       *bounds_.revocation_ * (1.0 - kRevocationMargin));
@@ -279,7 +279,7 @@
   std::vector<fleet::RateLimitMembership::Member> members;
   for (const batch::PeerAddress& peer : aPeers) {
     members.push_back(
-      { peer.host_, peers_.IsHeard(peer.host_), !peer.isWorker_ });
+      { peer.host_, peers_.IsReachable(peer.host_), !peer.isWorker_ });
   }
   shared_.rateLimiter_.SetMembers(members, aNow);
   for (const auto& [owner, report] :
--- a/Libraries/LibGateway/AccessControl.h
+++ b/Libraries/LibGateway/AccessControl.h
@@ -4,9 +4,9 @@
 #include "LibBatch/HostSet.h"
 #include "LibFleet/CallerAuthentication.h"
 #include "LibFleet/RateLimiter.h"
-#include "LibGateway/PeerExchange.h"
+#include "LibGateway/PeerMessenger.h"
 #include "LibGateway/SharedState.h"
-#include "LibGateway/StoreFollowing.h"
+#include "LibGateway/StoreMirrors.h"
 #include "LibHttpStream/ServerConnection.h"
 
 #include <boost/asio/any_io_executor.hpp>
@@ -41,8 +41,8 @@
 
   AccessControl(boost::asio::any_io_executor aExecutor,
                 SharedState& aShared,
-                const StoreFollowing& aFollowing,
-                PeerExchange& aPeers,
+                const StoreMirrors& aMirrors,
+                PeerMessenger& aPeers,
                 Bounds aBounds);
 
   /// Tells who calls on a route.
@@ -99,8 +99,8 @@
 
   boost::asio::any_io_executor executor_;
   SharedState& shared_;
-  const StoreFollowing& following_;
-  PeerExchange& peers_;
+  const StoreMirrors& mirrors_;
+  PeerMessenger& peers_;
   Bounds bounds_;
   std::unordered_map<std::uint64_t, std::shared_ptr<PendingQuery>> queries_;
   base::Lifetime lifetime_;
--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -61,7 +61,7 @@
                                  const batch::HostSet& aHosts,
                                  const metadata::StoreHealth& aHealth,
                                  std::string aOwnName,
-                                 PeerCallers& aCallers)
+                                 PeerClients& aClients)
   : shared_(aShared)
   , store_(aStore)
   , jobs_(aJobs)
@@ -69,7 +69,7 @@
   , hosts_(aHosts)
   , health_(aHealth)
   , ownName_(std::move(aOwnName))
-  , callers_(aCallers)
+  , clients_(aClients)
 {
 }
 
@@ -94,7 +94,7 @@
 }
 
 void
-BatchJobHandler::HandlePassedOn(
+BatchJobHandler::HandleForwarded(
   const std::shared_ptr<httpstream::Exchange>& aExchange,
   const BatchJobCall& aCall)
 {
@@ -184,7 +184,7 @@
               }
               const auto address = hosts_.AddressOf(owner);
               if (address && owner != ownName_) {
-                PassOn(aExchange, aJob, *address, aCall);
+                Forward(aExchange, aJob, *address, aCall);
               } else {
                 ReadFromStore(aExchange, aJob, aCall);
               }
@@ -192,12 +192,12 @@
 }
 
 void
-BatchJobHandler::PassOn(const ExchangePtr& aExchange,
-                        const std::string& aJob,
-                        const std::string& aAddress,
-                        const BatchJobCall& aCall)
+BatchJobHandler::Forward(const ExchangePtr& aExchange,
+                         const std::string& aJob,
+                         const std::string& aAddress,
+                         const BatchJobCall& aCall)
 {
-  httpstream::HttpCaller* caller = callers_.Find(aAddress);
+  httpstream::HttpClient* caller = clients_.Find(aAddress);
   if (caller == nullptr) {
     ReadFromStore(aExchange, aJob, aCall);
     return;
@@ -332,22 +332,22 @@
   store_.Commit(
     MakeStateChange(jobs_.Keys(), aJob, state),
     [this, aExchange, id = aJob.id_, key, state, aTriesLeft](
-      const metadata::TransactionReply& aReply) {
+      const metadata::TransactionResponse& aResponse) {
       using metadata::StoreStatus;
-      if (aReply.status_ == StoreStatus::Ok) {
-        jobs_.Apply(key, batch::EncodeState(state), aReply.revision_);
+      if (aResponse.status_ == StoreStatus::Ok) {
+        jobs_.Apply(key, batch::EncodeState(state), aResponse.revision_);
         onStateRead_(id);
         aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
         return;
       }
-      for (const metadata::StoreItem& item : aReply.current_) {
+      for (const metadata::StoreItem& item : aResponse.current_) {
         if (item.key_ == key && item.revision_ != 0) {
           jobs_.Apply(key, item.value_, item.revision_);
         }
       }
       const batch::BatchJob* job = jobs_.Find(id);
-      const bool mayRetry = aReply.status_ == StoreStatus::Conflict ||
-                            aReply.status_ == StoreStatus::Unknown;
+      const bool mayRetry = aResponse.status_ == StoreStatus::Conflict ||
+                            aResponse.status_ == StoreStatus::Unknown;
       if (job != nullptr && mayRetry && aTriesLeft > 0) {
         End(aExchange, *job, aTriesLeft - 1);
         return;
--- a/Libraries/LibGateway/BatchJobHandler.h
+++ b/Libraries/LibGateway/BatchJobHandler.h
@@ -3,7 +3,7 @@
 #include "LibBatch/BatchJobTable.h"
 #include "LibBatch/HostSet.h"
 #include "LibGateway/BatchJobLoader.h"
-#include "LibGateway/PeerCallers.h"
+#include "LibGateway/PeerClients.h"
 #include "LibGateway/SharedState.h"
 #include "LibHttpStream/ServerConnection.h"
 #include "LibMetadata/StoreClient.h"
@@ -32,7 +32,7 @@
                   const batch::HostSet& aHosts,
                   const metadata::StoreHealth& aHealth,
                   std::string aOwnName,
-                  PeerCallers& aCallers);
+                  PeerClients& aClients);
 
   /// Answers a call of a caller. What belongs to another organisation is not
   /// there for it.
@@ -41,8 +41,8 @@
               const CallerName& aCaller);
 
   /// Answers a call that another host passes on, from memory alone.
-  void HandlePassedOn(const std::shared_ptr<httpstream::Exchange>& aExchange,
-                      const BatchJobCall& aCall);
+  void HandleForwarded(const std::shared_ptr<httpstream::Exchange>& aExchange,
+                       const BatchJobCall& aCall);
 
   /// A job's keys have changed: readers that wait for results may go on.
   void OnJobChanged(const std::string& aJob);
@@ -86,10 +86,10 @@
             const std::string& aJob,
             const BatchJobCall& aCall,
             const CallerName& aCaller);
-  void PassOn(const ExchangePtr& aExchange,
-              const std::string& aJob,
-              const std::string& aAddress,
-              const BatchJobCall& aCall);
+  void Forward(const ExchangePtr& aExchange,
+               const std::string& aJob,
+               const std::string& aAddress,
+               const BatchJobCall& aCall);
   void ReadFromStore(const ExchangePtr& aExchange,
                      const std::string& aJob,
                      const BatchJobCall& aCall);
@@ -121,7 +121,7 @@
   const batch::HostSet& hosts_;
   const metadata::StoreHealth& health_;
   std::string ownName_;
-  PeerCallers& callers_; ///< To the hosts that run jobs.
+  PeerClients& clients_; ///< To the hosts that run jobs.
   std::function<void(const std::string&)> onStateRead_;
   std::unordered_map<std::string, std::vector<Reader>> readers_;
 };
--- a/Libraries/LibGateway/BatchJobLoader.cpp
+++ b/Libraries/LibGateway/BatchJobLoader.cpp
@@ -30,21 +30,22 @@
                          const std::string& aAfter,
                          Done aDone)
 {
-  store_.Range(
-    aPrefix,
-    aAfter,
-    [this, aPrefix, done = std::move(aDone)](metadata::RangeReply aReply) {
-      for (const metadata::StoreItem& item : aReply.items_) {
-        jobs_.Apply(item.key_, item.value_, item.revision_);
-      }
-      const bool hasMore = aReply.status_ == StoreStatus::Ok &&
-                           aReply.isTruncated_ && !aReply.items_.empty();
-      if (hasMore) {
-        ReadPage(aPrefix, aReply.items_.back().key_, done);
-        return;
-      }
-      done(aReply.status_);
-    });
+  store_.Range(aPrefix,
+               aAfter,
+               [this, aPrefix, done = std::move(aDone)](
+                 metadata::RangeResponse aResponse) {
+                 for (const metadata::StoreItem& item : aResponse.items_) {
+                   jobs_.Apply(item.key_, item.value_, item.revision_);
+                 }
+                 const bool hasMore = aResponse.status_ == StoreStatus::Ok &&
+                                      aResponse.isTruncated_ &&
+                                      !aResponse.items_.empty();
+                 if (hasMore) {
+                   ReadPage(aPrefix, aResponse.items_.back().key_, done);
+                   return;
+                 }
+                 done(aResponse.status_);
+               });
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/BatchJobRetention.cpp
+++ b/Libraries/LibGateway/BatchJobRetention.cpp
@@ -68,25 +68,31 @@
 {
   ++underWay_;
   store_.Range(
-    jobs_.Keys().DataOf(aJob), {}, [this, aJob](metadata::RangeReply aReply) {
-      if (aReply.status_ != metadata::StoreStatus::Ok) {
+    jobs_.Keys().DataOf(aJob),
+    {},
+    [this, aJob](metadata::RangeResponse aResponse) {
+      if (aResponse.status_ != metadata::StoreStatus::Ok) {
         --underWay_;
         return;
       }
-      const std::size_t count = std::min(aReply.items_.size(), kMostRemovals);
+      const std::size_t count =
+        std::min(aResponse.items_.size(), kMostRemovals);
       metadata::Transaction transaction;
       for (std::size_t index = 0; index < count; ++index) {
-        transaction.removals_.push_back(std::move(aReply.items_[index].key_));
+        transaction.removals_.push_back(
+          std::move(aResponse.items_[index].key_));
       }
       // The state goes last: as long as it is there, a later look goes on.
-      const bool isLast = count == aReply.items_.size() && !aReply.isTruncated_;
+      const bool isLast =
+        count == aResponse.items_.size() && !aResponse.isTruncated_;
       if (isLast) {
         transaction.removals_.push_back(jobs_.Keys().StateOf(aJob));
       }
       base::Log(kBatchJobRemoved,
                 { { "lot", aJob }, { "keys", count }, { "last", isLast } });
-      store_.Commit(transaction,
-                    [this](const metadata::TransactionReply&) { --underWay_; });
+      store_.Commit(transaction, [this](const metadata::TransactionResponse&) {
+        --underWay_;
+      });
     });
 }
 
--- a/Libraries/LibGateway/BatchJobSpool.cpp
+++ b/Libraries/LibGateway/BatchJobSpool.cpp
@@ -270,15 +270,15 @@
   }
   store_.Commit(creation,
                 [this, id = aEntry.job_.id_, ledger](
-                  const metadata::TransactionReply& aReply) {
-                  OnStored(id, ledger, aReply);
+                  const metadata::TransactionResponse& aResponse) {
+                  OnStored(id, ledger, aResponse);
                 });
 }
 
 void
 BatchJobSpool::OnStored(const std::string& aJob,
                         const std::string& aLedger,
-                        const metadata::TransactionReply& aReply)
+                        const metadata::TransactionResponse& aResponse)
 {
   using metadata::StoreStatus;
   const auto found = spooled_.find(aJob);
@@ -286,17 +286,17 @@
     return;
   }
   const bool hasLedger = !aLedger.empty();
-  const bool isConflict = aReply.status_ == StoreStatus::Conflict;
+  const bool isConflict = aResponse.status_ == StoreStatus::Conflict;
   // Another host, or an earlier try, has stored it.
   const bool isThere =
     isConflict &&
-    (!hasLedger || ContainsKey(aReply, jobs_.Keys().StateOf(aJob)));
-  if (aReply.status_ == StoreStatus::Ok || isThere) {
+    (!hasLedger || ContainsKey(aResponse, jobs_.Keys().StateOf(aJob)));
+  if (aResponse.status_ == StoreStatus::Ok || isThere) {
     Drop(aJob, "stored");
     return;
   }
   if (isConflict) {
-    UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aReply);
+    UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aResponse);
     found->second.tryAt_ = base::MonotonicNow();
     return;
   }
--- a/Libraries/LibGateway/BatchJobSpool.h
+++ b/Libraries/LibGateway/BatchJobSpool.h
@@ -103,7 +103,7 @@
   ///   configuration may have changed its route's cap since; empty: none was.
   void OnStored(const std::string& aJob,
                 const std::string& aLedger,
-                const metadata::TransactionReply& aReply);
+                const metadata::TransactionResponse& aResponse);
   void Drop(const std::string& aJob, std::string_view aReason);
   [[nodiscard]] std::size_t Bytes() const;
 
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -28,11 +28,12 @@
 /// The store's first revision belongs to a key that is older than any route.
 constexpr std::uint64_t kNeverALedgersRevision = 1;
 
-/// @return a job's state, if the reply to a refused transaction shows one.
+/// @return a job's state, if the response to a refused transaction shows one.
 std::optional<batch::BatchJobState>
-FindState(const metadata::TransactionReply& aReply, const std::string& aKey)
+FindState(const metadata::TransactionResponse& aResponse,
+          const std::string& aKey)
 {
-  for (const metadata::StoreItem& item : aReply.current_) {
+  for (const metadata::StoreItem& item : aResponse.current_) {
     if (item.key_ == aKey && item.revision_ != 0 && !item.removed_) {
       return batch::DecodeState(item.value_).value_or(batch::BatchJobState{});
     }
@@ -79,7 +80,7 @@
   const batch::HostSet& aHosts,
   std::string aOwnName,
   boost::asio::any_io_executor aExecutor,
-  PeerCallers& aCallers,
+  PeerClients& aClients,
   std::size_t aCopies)
   : shared_(aShared)
   , store_(aStore)
@@ -87,7 +88,7 @@
   , hosts_(aHosts)
   , ownName_(std::move(aOwnName))
   , executor_(std::move(aExecutor))
-  , spoolClient_(aCallers, aCopies)
+  , spoolClient_(aClients, aCopies)
 {
 }
 
@@ -146,10 +147,11 @@
 BatchSubmissionHandler::Commit(const SubmissionPtr& aSubmission)
 {
   aSubmission->isCommitting_ = true;
-  store_.Commit(MakeTransaction(*aSubmission),
-                [this, aSubmission](const metadata::TransactionReply& aReply) {
-                  OnCommitted(aSubmission, aReply);
-                });
+  store_.Commit(
+    MakeTransaction(*aSubmission),
+    [this, aSubmission](const metadata::TransactionResponse& aResponse) {
+      OnCommitted(aSubmission, aResponse);
+    });
 }
 
 bool
@@ -187,12 +189,13 @@
 }
 
 void
-BatchSubmissionHandler::OnCommitted(const SubmissionPtr& aSubmission,
-                                    const metadata::TransactionReply& aReply)
+BatchSubmissionHandler::OnCommitted(
+  const SubmissionPtr& aSubmission,
+  const metadata::TransactionResponse& aResponse)
 {
   using metadata::StoreStatus;
   Submission& submission = *aSubmission;
-  const StoreStatus status = aReply.status_;
+  const StoreStatus status = aResponse.status_;
   submission.isCommitting_ = false;
   if (status == StoreStatus::Ok) {
     if (submission.cap_ > 0) {
@@ -201,14 +204,14 @@
       ledger.Set(submission.job_.id_, submission.tokens_);
       shared_.ledgers_.Update(submission.ledger_,
                               batch::EncodeLedger(ledger),
-                              aReply.revision_,
+                              aResponse.revision_,
                               base::MonotonicNow());
     }
     Accept(submission, "store");
     return;
   }
   if (status == StoreStatus::Conflict) {
-    OnConflict(aSubmission, aReply);
+    OnConflict(aSubmission, aResponse);
     return;
   }
   submission.mayBeStored_ |= status == StoreStatus::Unknown;
@@ -224,14 +227,15 @@
 }
 
 void
-BatchSubmissionHandler::OnConflict(const SubmissionPtr& aSubmission,
-                                   const metadata::TransactionReply& aReply)
+BatchSubmissionHandler::OnConflict(
+  const SubmissionPtr& aSubmission,
+  const metadata::TransactionResponse& aResponse)
 {
   Submission& submission = *aSubmission;
   // The job is there already, by this call's earlier try or by another host: it
   // is accepted once either way.
   const auto existing =
-    FindState(aReply, jobs_.Keys().StateOf(submission.job_.id_));
+    FindState(aResponse, jobs_.Keys().StateOf(submission.job_.id_));
   if (existing) {
     AcceptExisting(submission, *existing);
     return;
@@ -240,7 +244,7 @@
     Accept(submission, "store before");
     return;
   }
-  UpdateCachedLedger(shared_, jobs_.Keys(), submission.ledger_, aReply);
+  UpdateCachedLedger(shared_, jobs_.Keys(), submission.ledger_, aResponse);
   if (submission.isAnswered_) {
     return;
   }
--- a/Libraries/LibGateway/BatchSubmissionHandler.h
+++ b/Libraries/LibGateway/BatchSubmissionHandler.h
@@ -30,7 +30,7 @@
                          const batch::HostSet& aHosts,
                          std::string aOwnName,
                          boost::asio::any_io_executor aExecutor,
-                         PeerCallers& aCallers,
+                         PeerClients& aClients,
                          std::size_t aCopies);
 
   /// @param aRoute  By which the job came.
@@ -52,9 +52,9 @@
     const Submission& aSubmission) const;
   [[nodiscard]] bool Fits(const Submission& aSubmission) const;
   void OnCommitted(const SubmissionPtr& aSubmission,
-                   const metadata::TransactionReply& aReply);
+                   const metadata::TransactionResponse& aResponse);
   void OnConflict(const SubmissionPtr& aSubmission,
-                  const metadata::TransactionReply& aReply);
+                  const metadata::TransactionResponse& aResponse);
   void RefuseOverCap(Submission& aSubmission);
   void SpoolLater(const SubmissionPtr& aSubmission);
   void Spool(const SubmissionPtr& aSubmission);
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -318,7 +318,7 @@
   // The mirror brings the new state, and with it the job's work; a claim that
   // lost against another host's has no effect.
   store_.Commit(MakeStateChange(jobs_.Keys(), *job, state),
-                [](const metadata::TransactionReply&) {});
+                [](const metadata::TransactionResponse&) {});
 }
 
 std::vector<batch::StartCandidate>
@@ -590,9 +590,9 @@
         0 });
     ++*left;
     base::Log(kBatchJobReleased, { { "lot", id }, { "reason", "leaving" } });
-    store_.Commit(transaction, [finishOne](const metadata::TransactionReply&) {
-      finishOne();
-    });
+    store_.Commit(
+      transaction,
+      [finishOne](const metadata::TransactionResponse&) { finishOne(); });
   }
   finishOne();
 }
--- a/Libraries/LibGateway/EndpointRun.cpp
+++ b/Libraries/LibGateway/EndpointRun.cpp
@@ -93,7 +93,7 @@
 void
 EndpointRun::OnHead(const httpstream::ResponseHead& aHead)
 {
-  shared_.endpoints_.NoteHeard(
+  shared_.endpoints_.RecordActivity(
     endpoint_.Incarnation(), startedAt_, base::MonotonicNow());
   const AnswerNotes notes = shared_.codec_.ReadAnswer(aHead);
   if (!notes.answeredBy_.empty() && notes.answeredBy_ != endpoint_.id_) {
@@ -112,7 +112,7 @@
 void
 EndpointRun::OnBody(std::string_view aBytes)
 {
-  shared_.endpoints_.NoteHeard(
+  shared_.endpoints_.RecordActivity(
     endpoint_.Incarnation(), startedAt_, base::MonotonicNow());
   if (observer_ != nullptr) {
     observer_->OnBody(aBytes);
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -61,7 +61,7 @@
 {
   return { aOwnName,
            aSettings.peerAddress_,
-           aSettings.passOnAddress_,
+           aSettings.forwardAddress_,
            aSettings.batchPreference_ };
 }
 
@@ -73,13 +73,13 @@
                  const Codec& aCodec,
                  const StoreCodec& aStoreCodec,
                  metadata::StoreClient& aStore,
-                 StorePaths& aStorePaths)
+                 StoreTransport& aStoreTransport)
   : context_(aContext)
   , settings_(std::move(aSettings))
   , layout_(std::move(aLayout))
   , storeCodec_(aStoreCodec)
   , store_(aStore)
-  , storePaths_(aStorePaths)
+  , storeTransport_(aStoreTransport)
   , shared_{ aCodec,
              {},
              fleet::EndpointTable(settings_.failureDomain_, {}),
@@ -93,20 +93,20 @@
                                 !settings_.callerAddress_.empty(),
                                 settings_.rateTolerance_) }
   , jobs_(layout_.jobs_, MakeDecoder(aCodec))
-  , following_(aContext,
-               aStore,
-               health_,
-               settings_.host_,
-               settings_.batchPreference_ == batch::BatchPreference::Worker,
-               FollowedPrefixes(),
-               shared_.random_)
+  , mirrors_(aContext,
+             aStore,
+             health_,
+             settings_.host_,
+             settings_.batchPreference_ == batch::BatchPreference::Worker,
+             FollowedPrefixes(),
+             shared_.random_)
   , lease_(aContext,
            aStore,
            health_,
            { layout_.hostPrefix_ + settings_.host_,
              EncodeHostRecord(MakeHostRecord(OwnName(), settings_)) })
   , loader_(aStore, jobs_)
-  , peerCallers_(aContext.get_executor())
+  , peerClients_(aContext.get_executor())
   , desk_(shared_,
           aStore,
           jobs_,
@@ -114,14 +114,14 @@
           hosts_,
           health_,
           OwnName(),
-          peerCallers_)
+          peerClients_)
   , intake_(shared_,
             aStore,
             jobs_,
             hosts_,
             OwnName(),
             aContext.get_executor(),
-            peerCallers_,
+            peerClients_,
             settings_.jobCopies_)
   , worker_(aContext, shared_, aStore, jobs_, loader_, hosts_, OwnName())
   , ledgerWriter_(shared_, aStore, jobs_, hosts_, OwnName())
@@ -129,12 +129,12 @@
   , peers_(aContext,
            shared_,
            settings_.host_,
-           following_,
+           mirrors_,
            [this](const std::string& aEndpoint) { worker_.Preempt(aEndpoint); })
   , accessControl_(
       aContext.get_executor(),
       shared_,
-      following_,
+      mirrors_,
       peers_,
       { settings_.revocationBound_, settings_.configurationBound_ })
   , preemptBatch_(
@@ -145,8 +145,8 @@
   , metricsListener_(
       aContext,
       [this](const auto& aExchange) { OnStatusRequest(*aExchange); })
-  , passedOn_(aContext,
-              [this](const auto& aExchange) { OnPassedOn(aExchange); })
+  , forwarded_(aContext,
+               [this](const auto& aExchange) { OnForwarded(aExchange); })
   , tickTimer_(aContext)
   , stopTimer_(aContext)
 {
@@ -166,11 +166,11 @@
   AddGauges();
   httpstream::ServerLimits peerLimits;
   peerLimits.maxBodyBytes_ = kLongestPeerBody;
-  passedOn_.SetLimits(peerLimits);
-  storePaths_.SetIsHeard(
-    [this](const std::string& aHost) { return peers_.IsHeard(aHost); });
-  following_.SetOnNews(
-    [this](const StoreNews& aNews) { peers_.SendStoreNews(aNews); });
+  forwarded_.SetLimits(peerLimits);
+  storeTransport_.SetIsReachable(
+    [this](const std::string& aHost) { return peers_.IsReachable(aHost); });
+  mirrors_.SetOnDelta(
+    [this](const StoreDelta& aDelta) { peers_.SendStoreDelta(aDelta); });
   desk_.SetOnStateRead([this](const std::string& aJob) { OnJobChanged(aJob); });
   worker_.SetOnResults([this](const std::string& aJob) { OnJobChanged(aJob); });
 }
@@ -182,7 +182,7 @@
     "pumiceturn_store_prefixes_followed",
     "Prefixes of the store that this host follows for its peers.",
     {},
-    [this] { return following_.FollowedCount(); });
+    [this] { return mirrors_.FollowedCount(); });
   shared_.metrics_.AddGauge("pumiceturn_endpoint_connections_made_total",
                             "Connections opened to endpoints.",
                             {},
@@ -208,7 +208,7 @@
   shared_.metrics_.AddGauge("pumiceturn_peers_heard",
                             "Other hosts whose own messages arrive here.",
                             {},
-                            [this] { return peers_.HeardCount(); });
+                            [this] { return peers_.ReachableCount(); });
   shared_.metrics_.AddGauge("pumiceturn_configuration_version",
                             "Version in force.",
                             {},
@@ -245,7 +245,7 @@
   if (!Listen(callers_, settings_.callerAddress_) ||
       !Listen(status_, settings_.statusAddress_) ||
       !Listen(metricsListener_, settings_.metricsAddress_) ||
-      !Listen(passedOn_, settings_.passOnAddress_)) {
+      !Listen(forwarded_, settings_.forwardAddress_)) {
     return false;
   }
   if (const auto address = ParseAddress(settings_.peerAddress_)) {
@@ -263,7 +263,7 @@
   if (spool_) {
     spool_->Start();
   }
-  following_.Start();
+  mirrors_.Start();
   lease_.Start();
   TickLater();
   return true;
@@ -273,7 +273,7 @@
 Gateway::IsReady() const
 {
   return !stopping_ && shared_.routes_.Version() > 0 &&
-         following_.IsComplete(StorePrefix::Endpoints) &&
+         mirrors_.IsComplete(StorePrefix::Endpoints) &&
          !shared_.endpoints_.IsEmpty() && accessControl_.IsConfirmed();
 }
 
@@ -349,16 +349,16 @@
 }
 
 void
-Gateway::OnPassedOn(const std::shared_ptr<httpstream::Exchange>& aExchange)
+Gateway::OnForwarded(const std::shared_ptr<httpstream::Exchange>& aExchange)
 {
   if (const auto call =
         shared_.codec_.ReadBatchJobCall(aExchange->GetRequest())) {
-    desk_.HandlePassedOn(aExchange, *call);
+    desk_.HandleForwarded(aExchange, *call);
     return;
   }
   const std::string_view target = httpstream::TargetOf(aExchange->GetRequest());
   if (!target.starts_with(BatchJobSpool::kTargetPrefix)) {
-    storePaths_.CallForPeer(aExchange);
+    storeTransport_.CallForPeer(aExchange);
   } else if (spool_) {
     spool_->Spool(aExchange);
   } else {
@@ -419,8 +419,8 @@
     return;
   }
   store_.Commit(storeCodec_.MakeRetirementDone(settings_.host_),
-                [this](const metadata::TransactionReply& aReply) {
-                  if (aReply.status_ == metadata::StoreStatus::Ok) {
+                [this](const metadata::TransactionResponse& aResponse) {
+                  if (aResponse.status_ == metadata::StoreStatus::Ok) {
                     return;
                   }
                   ReportRetiredLater();
@@ -459,7 +459,8 @@
   const base::Instant now = base::MonotonicNow();
   accessControl_.Tick(hosts_.PeersBut(OwnName()), now);
   NoteReadiness();
-  following_.Tick(!stopping_ && !retiring_ && !storePaths_.IsOwnLost(), now);
+  mirrors_.Tick(!stopping_ && !retiring_ && !storeTransport_.IsDirectPathLost(),
+                now);
   for (const std::string& id : shared_.endpoints_.Expire(now)) {
     shared_.pool_.Forget(id);
     base::Log(kEndpointChanged, { { "endpoint", id }, { "state", "expired" } });
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -8,11 +8,11 @@
 #include "LibGateway/BatchSubmissionHandler.h"
 #include "LibGateway/BatchWorker.h"
 #include "LibGateway/OnlineRelay.h"
-#include "LibGateway/PeerCallers.h"
-#include "LibGateway/PeerExchange.h"
+#include "LibGateway/PeerClients.h"
+#include "LibGateway/PeerMessenger.h"
 #include "LibGateway/SharedState.h"
-#include "LibGateway/StoreFollowing.h"
-#include "LibGateway/StorePaths.h"
+#include "LibGateway/StoreMirrors.h"
+#include "LibGateway/StoreTransport.h"
 #include "LibHttpStream/Listener.h"
 #include "LibMetadata/HostLease.h"
 
@@ -38,7 +38,7 @@
   std::string statusAddress_;  ///< IP:PORT for readiness; empty: none.
   std::string metricsAddress_; ///< IP:PORT; empty: none.
   std::string peerAddress_;    ///< IP:PORT for datagrams of peers.
-  std::string passOnAddress_;  ///< IP:PORT for calls that peers pass on.
+  std::string forwardAddress_; ///< IP:PORT for calls that peers pass on.
   /// From the request to stop until the process is killed.
   base::Duration grace_{ std::chrono::seconds{ 8 } };
   /// Part of a route's cap on waiting tokens by which it may be exceeded.
@@ -113,7 +113,7 @@
           const Codec& aCodec,
           const StoreCodec& aStoreCodec,
           metadata::StoreClient& aStore,
-          StorePaths& aStorePaths);
+          StoreTransport& aStoreTransport);
 
   /// Opens the addresses and begins to follow the store.
   /// @return false if an address can't be used.
@@ -127,9 +127,9 @@
   void OnRequest(const std::shared_ptr<httpstream::Exchange>& aExchange);
   void OnBatchJobCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
                       const BatchJobCall& aCall);
-  void OnPassedOn(const std::shared_ptr<httpstream::Exchange>& aExchange);
+  void OnForwarded(const std::shared_ptr<httpstream::Exchange>& aExchange);
   void OnStatusRequest(httpstream::Exchange& aExchange);
-  [[nodiscard]] std::vector<StoreFollowing::Followed> FollowedPrefixes();
+  [[nodiscard]] std::vector<StoreMirrors::Followed> FollowedPrefixes();
   void OnOperatorKey(const metadata::StoreItem& aItem);
 
   /// @return whether the registration says anything that wasn't known.
@@ -158,28 +158,28 @@
   StoreLayout layout_;
   const StoreCodec& storeCodec_;
   metadata::StoreClient& store_;
-  StorePaths& storePaths_;
+  StoreTransport& storeTransport_;
   SharedState shared_;
   batch::BatchJobTable jobs_;
   batch::HostSet hosts_;
   metadata::StoreHealth health_;
-  StoreFollowing following_;
+  StoreMirrors mirrors_;
   metadata::HostLease lease_;
   BatchJobLoader loader_;
-  PeerCallers peerCallers_; ///< For calls on jobs.
+  PeerClients peerClients_; ///< For calls on jobs.
   BatchJobHandler desk_;
   BatchSubmissionHandler intake_;
   std::optional<BatchJobSpool> spool_; ///< Where this host has a data folder.
   BatchWorker worker_;
   LedgerWriter ledgerWriter_;
   BatchJobRetention retention_;
-  PeerExchange peers_;
+  PeerMessenger peers_;
   AccessControl accessControl_;
   OnlineRelay::PreemptBatch preemptBatch_;
   httpstream::Listener callers_;
   httpstream::Listener status_;
   httpstream::Listener metricsListener_;
-  httpstream::Listener passedOn_;
+  httpstream::Listener forwarded_;
   boost::asio::steady_timer tickTimer_;
   boost::asio::steady_timer stopTimer_;
   std::function<void()> stopped_;
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -46,13 +46,13 @@
 Follow(const std::string& aPrefix,
        base::Duration aLongestWatch,
        base::Duration aPause,
-       base::Duration aTrust)
+       base::Duration aFreshFor)
 {
   metadata::PrefixMirror::Options options;
   options.prefix_ = aPrefix;
-  options.longestWatch_ = aLongestWatch;
+  options.maxWatch_ = aLongestWatch;
   options.pause_ = aPause;
-  options.trust_ = aTrust;
+  options.freshFor_ = aFreshFor;
   return options;
 }
 
@@ -69,7 +69,7 @@
 
 } // namespace
 
-std::vector<StoreFollowing::Followed>
+std::vector<StoreMirrors::Followed>
 Gateway::FollowedPrefixes()
 {
   metadata::PrefixMirror::Options operators =
@@ -150,7 +150,7 @@
   const base::Instant now = base::MonotonicNow();
   const std::string id = aItem.key_.substr(layout_.endpointPrefix_.size());
   if (aItem.removed_) {
-    shared_.endpoints_.Remove(id, health_.ReturnedAt(now), now);
+    shared_.endpoints_.Remove(id, health_.RecoveredAt(now), now);
     shared_.pool_.Forget(id);
     base::Log(kEndpointChanged,
               { { "endpoint", id },
@@ -240,13 +240,13 @@
 Gateway::OnHostsChanged()
 {
   std::vector<batch::PeerAddress> others = hosts_.PeersBut(OwnName());
-  peerCallers_.Keep(others);
-  storePaths_.SetPeers(std::move(others));
+  peerClients_.Keep(others);
+  storeTransport_.SetPeers(std::move(others));
   const bool mayRunJobs = hosts_.IsPreferred(settings_.batchPreference_);
-  following_.SetTrust(StorePrefix::BatchJobs,
-                      mayRunJobs
-                        ? ShareOf(settings_.settleBound_, kJobTrustShare)
-                        : base::Duration(kJobTrustOfOthers));
+  mirrors_.SetFreshness(StorePrefix::BatchJobs,
+                        mayRunJobs
+                          ? ShareOf(settings_.settleBound_, kJobTrustShare)
+                          : base::Duration(kJobTrustOfOthers));
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LedgerChange.cpp
+++ b/Libraries/LibGateway/LedgerChange.cpp
@@ -10,10 +10,10 @@
 UpdateCachedLedger(SharedState& aShared,
                    const batch::BatchJobKeySpace& aKeys,
                    const std::string& aLedger,
-                   const metadata::TransactionReply& aReply)
+                   const metadata::TransactionResponse& aResponse)
 {
   const std::string key = aKeys.LedgerOf(aLedger);
-  for (const metadata::StoreItem& item : aReply.current_) {
+  for (const metadata::StoreItem& item : aResponse.current_) {
     if (item.key_ != key || item.revision_ == 0) {
       continue;
     }
@@ -27,12 +27,15 @@
 }
 
 bool
-ContainsKey(const metadata::TransactionReply& aReply, const std::string& aKey)
+ContainsKey(const metadata::TransactionResponse& aResponse,
+            const std::string& aKey)
 {
-  return std::any_of(
-    aReply.current_.begin(), aReply.current_.end(), [&aKey](const auto& aItem) {
-      return aItem.key_ == aKey && aItem.revision_ != 0 && !aItem.removed_;
-    });
+  return std::any_of(aResponse.current_.begin(),
+                     aResponse.current_.end(),
+                     [&aKey](const auto& aItem) {
+                       return aItem.key_ == aKey && aItem.revision_ != 0 &&
+                              !aItem.removed_;
+                     });
 }
 
 void
--- a/Libraries/LibGateway/LedgerChange.h
+++ b/Libraries/LibGateway/LedgerChange.h
@@ -14,11 +14,13 @@
 UpdateCachedLedger(SharedState& aShared,
                    const batch::BatchJobKeySpace& aKeys,
                    const std::string& aLedger,
-                   const metadata::TransactionReply& aReply);
+                   const metadata::TransactionResponse& aResponse);
 
-/// @return whether the reply to a refused transaction shows that a key exists.
+/// @return whether the response to a refused transaction shows that a key
+/// exists.
 bool
-ContainsKey(const metadata::TransactionReply& aReply, const std::string& aKey);
+ContainsKey(const metadata::TransactionResponse& aResponse,
+            const std::string& aKey);
 
 /// Adds a job's row to its ledger, in the transaction that creates the
 /// job, under the condition that the ledger is as known here.
--- a/Libraries/LibGateway/LedgerWriter.cpp
+++ b/Libraries/LibGateway/LedgerWriter.cpp
@@ -84,7 +84,7 @@
                      base::Instant aNow)
 {
   LedgerUpdate& update = updates_[aLedger];
-  NoteOwn(update, aLedger, aOwn);
+  RecordOwn(update, aLedger, aOwn);
   if (!update.running_.empty() || update.usedAt_ == base::Instant{}) {
     update.usedAt_ = aNow;
   }
@@ -104,9 +104,9 @@
 }
 
 void
-LedgerWriter::NoteOwn(LedgerUpdate& aUpdate,
-                      const std::string& aLedger,
-                      const std::vector<WaitingBatchJob>& aOwn)
+LedgerWriter::RecordOwn(LedgerUpdate& aUpdate,
+                        const std::string& aLedger,
+                        const std::vector<WaitingBatchJob>& aOwn)
 {
   std::set<std::string> running;
   std::uint64_t tokens = 0;
@@ -180,22 +180,22 @@
   store_.Commit(
     transaction,
     [this, aLedger, value, closed = updates_[aLedger].closed_](
-      const metadata::TransactionReply& aReply) {
+      const metadata::TransactionResponse& aResponse) {
       using metadata::StoreStatus;
       LedgerUpdate& update = updates_[aLedger];
       update.isUnderWay_ = false;
       const base::Instant now = base::MonotonicNow();
-      if (aReply.status_ == StoreStatus::Ok) {
+      if (aResponse.status_ == StoreStatus::Ok) {
         update.committedAt_ = now;
         update.mostSince_ = 0;
         std::erase_if(update.closed_, [&closed](const std::string& aJob) {
           return closed.contains(aJob);
         });
-        shared_.ledgers_.Update(aLedger, value, aReply.revision_, now);
+        shared_.ledgers_.Update(aLedger, value, aResponse.revision_, now);
         return;
       }
-      if (aReply.status_ == StoreStatus::Conflict) {
-        UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aReply);
+      if (aResponse.status_ == StoreStatus::Conflict) {
+        UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aResponse);
         // With the present one, at the next look.
         update.nextAt_ = now;
       }
--- a/Libraries/LibGateway/LedgerWriter.h
+++ b/Libraries/LibGateway/LedgerWriter.h
@@ -56,7 +56,7 @@
   void Update(const std::string& aLedger,
               const std::vector<WaitingBatchJob>& aOwn,
               base::Instant aNow);
-  static void NoteOwn(LedgerUpdate& aUpdate,
+  static void RecordOwn(LedgerUpdate& aUpdate,
                       const std::string& aLedger,
                       const std::vector<WaitingBatchJob>& aOwn);
   [[nodiscard]] batch::TokenLedger Corrected(
--- a/Libraries/LibGateway/PeerExchange.cpp
+++ b/Libraries/LibGateway/PeerMessenger.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/PeerExchange.h"
+#include "LibGateway/PeerMessenger.h"
 
 #include "LibGateway/EndpointAddress.h"
 #include "LibGateway/RateCodec.h"
@@ -22,22 +22,22 @@
 
 } // namespace
 
-PeerExchange::PeerExchange(asio::io_context& aContext,
-                           SharedState& aShared,
-                           std::string aOwnName,
-                           StoreFollowing& aFollowing,
-                           YieldHandler aOnYield)
+PeerMessenger::PeerMessenger(asio::io_context& aContext,
+                             SharedState& aShared,
+                             std::string aOwnName,
+                             StoreMirrors& aMirrors,
+                             YieldHandler aOnYield)
   : socket_(aContext)
   , timer_(aContext)
   , shared_(aShared)
   , ownName_(std::move(aOwnName))
-  , following_(aFollowing)
+  , mirrors_(aMirrors)
   , onYield_(std::move(aOnYield))
 {
 }
 
 boost::system::error_code
-PeerExchange::Open(const asio::ip::udp::endpoint& aEndpoint)
+PeerMessenger::Open(const asio::ip::udp::endpoint& aEndpoint)
 {
   boost::system::error_code error;
   socket_.open(aEndpoint.protocol(), error);
@@ -54,17 +54,17 @@
 }
 
 void
-PeerExchange::SetPeer(const std::string& aName, const std::string& aAddress)
+PeerMessenger::SetPeer(const std::string& aName, const std::string& aAddress)
 {
   const auto address = ParseAddress(aAddress);
   if (aName != ownName_ && address) {
     peers_[aName] = { { address->address(), address->port() }, true };
-    hearing_.Add(aName);
+    reachability_.Add(aName);
   }
 }
 
 void
-PeerExchange::RemovePeer(const std::string& aName)
+PeerMessenger::RemovePeer(const std::string& aName)
 {
   if (const auto peer = peers_.find(aName); peer != peers_.end()) {
     peer->second.isRegistered_ = false;
@@ -72,22 +72,22 @@
 }
 
 void
-PeerExchange::DropSilentPeers(base::Instant aNow)
+PeerMessenger::DropSilentPeers(base::Instant aNow)
 {
   std::erase_if(peers_, [this, aNow](const auto& aEntry) {
-    const bool isGone =
-      !aEntry.second.isRegistered_ && !hearing_.IsHeard(aEntry.first, aNow);
+    const bool isGone = !aEntry.second.isRegistered_ &&
+                        !reachability_.IsReachable(aEntry.first, aNow);
     if (isGone) {
-      hearing_.Remove(aEntry.first);
+      reachability_.Remove(aEntry.first);
     }
     return isGone;
   });
 }
 
 void
-PeerExchange::SendLater()
+PeerMessenger::SendLater()
 {
-  timer_.expires_after(fleet::CountNews::Interval(peers_.size()));
+  timer_.expires_after(fleet::CountPublisher::Interval(peers_.size()));
   timer_.async_wait(
     lifetime_.Guard([this](const boost::system::error_code& aError) {
       if (!aError) {
@@ -98,13 +98,14 @@
 }
 
 void
-PeerExchange::Send()
+PeerMessenger::Send()
 {
   if (peers_.empty()) {
     return;
   }
   const base::Instant now = base::MonotonicNow();
-  const auto update = news_.Next(shared_.endpoints_.OwnCounts(now), now);
+  const auto update =
+    countPublisher_.Next(shared_.endpoints_.OwnCounts(now), now);
   if (!update) {
     return;
   }
@@ -120,7 +121,7 @@
   if (update->isWhole_) {
     content["runs"] = std::move(rows);
     content["suspects"] = SuspectRows();
-    content["store"] = EncodeStoreReport(following_.Report());
+    content["store"] = EncodeStoreReport(mirrors_.Report());
   } else {
     content["changed"] = std::move(rows);
   }
@@ -135,8 +136,8 @@
 }
 
 void
-PeerExchange::SendTo(const asio::ip::udp::endpoint& aAddress,
-                     std::span<const std::uint8_t> aMessage)
+PeerMessenger::SendTo(const asio::ip::udp::endpoint& aAddress,
+                      std::span<const std::uint8_t> aMessage)
 {
   boost::system::error_code ignored;
   // A datagram that can't be sent now is replaced by the next.
@@ -145,7 +146,7 @@
 }
 
 void
-PeerExchange::SendTo(const std::string& aPeer, const json& aContent)
+PeerMessenger::SendTo(const std::string& aPeer, const json& aContent)
 {
   if (const auto peer = peers_.find(aPeer); peer != peers_.end()) {
     SendTo(peer->second.address_, json::to_cbor(aContent));
@@ -153,19 +154,19 @@
 }
 
 void
-PeerExchange::AskForSilentPeers(base::Instant aNow)
+PeerMessenger::AskForSilentPeers(base::Instant aNow)
 {
-  for (const fleet::RelayQuestion& question :
-       hearing_.Questions(aNow, shared_.random_)) {
+  for (const fleet::RelayRequest& question :
+       reachability_.RelayRequests(aNow, shared_.random_)) {
     SendTo(question.relay_,
            { { "host", ownName_ }, { "silent", question.peers_ } });
   }
 }
 
 void
-PeerExchange::SendStoreNews(const StoreNews& aNews)
+PeerMessenger::SendStoreDelta(const StoreDelta& aDelta)
 {
-  const auto row = EncodeStoreNews(aNews);
+  const auto row = EncodeStoreDelta(aDelta);
   if (!row) {
     return;
   }
@@ -177,16 +178,16 @@
 }
 
 void
-PeerExchange::SendRateReport(const std::string& aPeer,
-                             const fleet::RateReport& aReport)
+PeerMessenger::SendRateReport(const std::string& aPeer,
+                              const fleet::RateReport& aReport)
 {
   SendTo(aPeer,
          { { "host", ownName_ }, { "rate", EncodeRateReport(aReport) } });
 }
 
 void
-PeerExchange::SendRateResponse(const std::string& aPeer,
-                               const fleet::RateResponse& aResponse)
+PeerMessenger::SendRateResponse(const std::string& aPeer,
+                                const fleet::RateResponse& aResponse)
 {
   SendTo(
     aPeer,
@@ -194,7 +195,7 @@
 }
 
 void
-PeerExchange::TakeRateMessage(const std::string& aHost, const json& aMessage)
+PeerMessenger::HandleRateMessage(const std::string& aHost, const json& aMessage)
 {
   if (!IsFromPeer(aHost)) {
     return;
@@ -207,34 +208,34 @@
 }
 
 bool
-PeerExchange::IsFromPeer(const std::string& aHost) const
+PeerMessenger::IsFromPeer(const std::string& aHost) const
 {
   const auto peer = peers_.find(aHost);
   return peer != peers_.end() && peer->second.address_ == sender_;
 }
 
 void
-PeerExchange::TakeStoreReport(const std::string& aHost,
-                              const json& aMessage,
-                              base::Instant aNow)
+PeerMessenger::HandleStoreReport(const std::string& aHost,
+                                 const json& aMessage,
+                                 base::Instant aNow)
 {
   // A host with an earlier version sends none.
   const auto report = aMessage.find("store");
   if (report != aMessage.end() && IsFromPeer(aHost)) {
-    following_.HandleReport(aHost, DecodeStoreReport(*report), aNow);
+    mirrors_.HandleReport(aHost, DecodeStoreReport(*report), aNow);
   }
 }
 
 void
-PeerExchange::TakeStoreNews(const std::string& aHost, const json& aNews)
+PeerMessenger::HandleStoreDelta(const std::string& aHost, const json& aDelta)
 {
   if (IsFromPeer(aHost)) {
-    following_.TakeNews(aHost, DecodeStoreNews(aNews));
+    mirrors_.ApplyDelta(aHost, DecodeStoreDelta(aDelta));
   }
 }
 
 json
-PeerExchange::SuspectRows() const
+PeerMessenger::SuspectRows() const
 {
   json rows = json::array();
   const base::Instant now = base::MonotonicNow();
@@ -252,7 +253,7 @@
 }
 
 void
-PeerExchange::TakeSuspects(const json& aRows)
+PeerMessenger::HandleSuspects(const json& aRows)
 {
   const base::Instant now = base::MonotonicNow();
   for (const json& row : aRows) {
@@ -265,11 +266,12 @@
 }
 
 void
-PeerExchange::AskToYield(const std::string& aPeer, const std::string& aEndpoint)
+PeerMessenger::AskToYield(const std::string& aPeer,
+                          const std::string& aEndpoint)
 {
   // Lost, it costs no more than the peer's next look.
   json content = { { "host", ownName_ }, { "yield", aEndpoint } };
-  const auto relay = hearing_.RelayTo(aPeer, base::MonotonicNow());
+  const auto relay = reachability_.RelayTo(aPeer, base::MonotonicNow());
   if (relay) {
     content["to"] = aPeer;
   }
@@ -277,7 +279,7 @@
 }
 
 void
-PeerExchange::Receive()
+PeerMessenger::Receive()
 {
   socket_.async_receive_from(
     asio::buffer(buffer_),
@@ -295,7 +297,7 @@
 }
 
 std::vector<fleet::PeerCount>
-PeerExchange::ReadCounts(const json& aRows)
+PeerMessenger::ReadCounts(const json& aRows)
 {
   std::vector<fleet::PeerCount> counts;
   for (const json& row : aRows) {
@@ -309,31 +311,32 @@
 }
 
 void
-PeerExchange::Take(std::string_view aMessage)
+PeerMessenger::Take(std::string_view aMessage)
 {
   try {
     const json message = json::from_cbor(aMessage.begin(), aMessage.end());
     const base::Instant now = base::MonotonicNow();
     const std::string host = message.at("host").get<std::string>();
-    hearing_.NoteHeard(host, now);
+    reachability_.RecordActivity(host, now);
     if (const auto inner = message.find("passed_on"); inner != message.end()) {
       const std::string origin = inner->at("host").get<std::string>();
-      hearing_.NotePassedOn(origin, host, now);
-      TakeCounts(origin, *inner, now);
+      reachability_.RecordRelayed(origin, host, now);
+      HandleCounts(origin, *inner, now);
     } else if (message.contains("yield")) {
-      TakeYield(message);
-    } else if (const auto news = message.find("news"); news != message.end()) {
-      TakeStoreNews(host, *news);
+      HandlePreemption(message);
+    } else if (const auto delta = message.find("news");
+               delta != message.end()) {
+      HandleStoreDelta(host, *delta);
     } else if (message.contains("rate") || message.contains("rate_answer")) {
-      TakeRateMessage(host, message);
+      HandleRateMessage(host, message);
     } else if (message.contains("silent")) {
       for (const json& peer : message.at("silent")) {
-        hearing_.NoteAsked(host, peer.get<std::string>(), now);
+        reachability_.RecordRelayRequest(host, peer.get<std::string>(), now);
       }
     } else {
-      TakeCounts(host, message, now);
-      TakeStoreReport(host, message, now);
-      PassOn(host, message, now);
+      HandleCounts(host, message, now);
+      HandleStoreReport(host, message, now);
+      Forward(host, message, now);
     }
   } catch (const json::exception&) {
     // Not one of ours: anyone can send to a port.
@@ -345,24 +348,24 @@
 }
 
 void
-PeerExchange::TakeCounts(const std::string& aHost,
-                         const json& aMessage,
-                         base::Instant aNow)
+PeerMessenger::HandleCounts(const std::string& aHost,
+                            const json& aMessage,
+                            base::Instant aNow)
 {
   if (const auto rows = aMessage.find("changed"); rows != aMessage.end()) {
-    shared_.endpoints_.TakePeerChanges(aHost, ReadCounts(*rows), aNow);
+    shared_.endpoints_.UpdatePeerCounts(aHost, ReadCounts(*rows), aNow);
     return;
   }
-  shared_.endpoints_.TakePeerCounts(
+  shared_.endpoints_.SetPeerCounts(
     aHost, ReadCounts(aMessage.at("runs")), aNow);
   // A host with an earlier version sends none.
   if (const auto rows = aMessage.find("suspects"); rows != aMessage.end()) {
-    TakeSuspects(*rows);
+    HandleSuspects(*rows);
   }
 }
 
 void
-PeerExchange::TakeYield(const json& aMessage)
+PeerMessenger::HandlePreemption(const json& aMessage)
 {
   const std::string to = aMessage.value("to", ownName_);
   if (to == ownName_) {
@@ -373,11 +376,11 @@
 }
 
 void
-PeerExchange::PassOn(const std::string& aHost,
-                     const json& aMessage,
-                     base::Instant aNow)
+PeerMessenger::Forward(const std::string& aHost,
+                       const json& aMessage,
+                       base::Instant aNow)
 {
-  for (const std::string& asker : hearing_.Askers(aHost, aNow)) {
+  for (const std::string& asker : reachability_.RelayRequesters(aHost, aNow)) {
     SendTo(asker, { { "host", ownName_ }, { "passed_on", aMessage } });
   }
 }
--- a/Libraries/LibGateway/PeerExchange.h
+++ b/Libraries/LibGateway/PeerMessenger.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "LibBase/Lifetime.h"
-#include "LibFleet/CountNews.h"
-#include "LibFleet/PeerHearing.h"
+#include "LibFleet/CountPublisher.h"
+#include "LibFleet/PeerReachability.h"
 #include "LibFleet/RateMessages.h"
 #include "LibGateway/SharedState.h"
-#include "LibGateway/StoreFollowing.h"
+#include "LibGateway/StoreMirrors.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
@@ -29,7 +29,7 @@
 /// What hosts tell each other of the store travels with them.
 /// What a peer says that isn't heard itself is passed on by another. Belongs to
 /// the event thread.
-class PeerExchange
+class PeerMessenger
 {
 public:
   /// Called when a peer's online request takes the place of a batch run here.
@@ -39,11 +39,11 @@
     std::function<void(const std::string& aHost, const fleet::RateReport&)>;
   using RateResponseHandler = std::function<void(const fleet::RateResponse&)>;
 
-  PeerExchange(boost::asio::io_context& aContext,
-               SharedState& aShared,
-               std::string aOwnName,
-               StoreFollowing& aFollowing,
-               YieldHandler aOnYield);
+  PeerMessenger(boost::asio::io_context& aContext,
+                SharedState& aShared,
+                std::string aOwnName,
+                StoreMirrors& aMirrors,
+                YieldHandler aOnYield);
 
   [[nodiscard]] boost::system::error_code Open(
     const boost::asio::ip::udp::endpoint& aEndpoint);
@@ -56,18 +56,18 @@
   void RemovePeer(const std::string& aName);
 
   /// @return whether a peer's own messages arrive here.
-  [[nodiscard]] bool IsHeard(const std::string& aPeer) const
+  [[nodiscard]] bool IsReachable(const std::string& aPeer) const
   {
-    return hearing_.IsHeard(aPeer, base::MonotonicNow());
+    return reachability_.IsReachable(aPeer, base::MonotonicNow());
   }
 
-  [[nodiscard]] std::size_t HeardCount() const
+  [[nodiscard]] std::size_t ReachableCount() const
   {
-    return hearing_.HeardCount(base::MonotonicNow());
+    return reachability_.ReachableCount(base::MonotonicNow());
   }
 
   /// Tells all peers what this host read from the store for them.
-  void SendStoreNews(const StoreNews& aNews);
+  void SendStoreDelta(const StoreDelta& aDelta);
 
   /// Asks a peer to let one of its batch runs at an endpoint give way, at once:
   /// waiting for its next look would cost the online request up to 200 ms.
@@ -99,40 +99,40 @@
   void AskForSilentPeers(base::Instant aNow);
   void Receive();
   void Take(std::string_view aMessage);
-  void TakeCounts(const std::string& aHost,
-                  const nlohmann::json& aMessage,
-                  base::Instant aNow);
-  void TakeYield(const nlohmann::json& aMessage);
-  void TakeStoreReport(const std::string& aHost,
-                       const nlohmann::json& aMessage,
-                       base::Instant aNow);
-  void TakeStoreNews(const std::string& aHost, const nlohmann::json& aNews);
-  void TakeRateMessage(const std::string& aHost,
-                       const nlohmann::json& aMessage);
+  void HandleCounts(const std::string& aHost,
+                    const nlohmann::json& aMessage,
+                    base::Instant aNow);
+  void HandlePreemption(const nlohmann::json& aMessage);
+  void HandleStoreReport(const std::string& aHost,
+                         const nlohmann::json& aMessage,
+                         base::Instant aNow);
+  void HandleStoreDelta(const std::string& aHost, const nlohmann::json& aDelta);
+  void HandleRateMessage(const std::string& aHost,
+                         const nlohmann::json& aMessage);
 
   /// @return whether a datagram came from where that host is registered. What
   ///         is taken for the store's word must not be a stranger's.
   [[nodiscard]] bool IsFromPeer(const std::string& aHost) const;
 
   /// Passes a peer's message on to the hosts that don't hear it themselves.
-  void PassOn(const std::string& aHost,
-              const nlohmann::json& aMessage,
-              base::Instant aNow);
+  void Forward(const std::string& aHost,
+               const nlohmann::json& aMessage,
+               base::Instant aNow);
   [[nodiscard]] static std::vector<fleet::PeerCount> ReadCounts(
     const nlohmann::json& aRows);
-  void TakeSuspects(const nlohmann::json& aRows);
+  void HandleSuspects(const nlohmann::json& aRows);
   [[nodiscard]] nlohmann::json SuspectRows() const;
 
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer timer_;
   SharedState& shared_;
   std::string ownName_;
-  StoreFollowing& following_;
+  StoreMirrors& mirrors_;
   YieldHandler onYield_;
   RateReportHandler onRateReport_;
   RateResponseHandler onRateResponse_;
-  fleet::CountNews news_;
-  fleet::PeerHearing hearing_;
+  fleet::CountPublisher countPublisher_;
+  fleet::PeerReachability reachability_;
   struct Peer
   {
     boost::asio::ip::udp::endpoint address_;
--- a/Libraries/LibGateway/ProgressWriter.cpp
+++ b/Libraries/LibGateway/ProgressWriter.cpp
@@ -108,11 +108,11 @@
   isUnderWay_ = true;
   store_.Commit(transaction,
                 [this, sent = std::move(sent), aNow](
-                  const metadata::TransactionReply& aReply) {
+                  const metadata::TransactionResponse& aResponse) {
                   isUnderWay_ = false;
                   // After a failure the next call has newer progress; after a
                   // conflict the mirror tells which job is another's now.
-                  if (aReply.status_ != metadata::StoreStatus::Ok) {
+                  if (aResponse.status_ != metadata::StoreStatus::Ok) {
                     return;
                   }
                   for (const BatchJobProgress& job : sent) {
--- a/Libraries/LibGateway/ResultWriter.cpp
+++ b/Libraries/LibGateway/ResultWriter.cpp
@@ -97,7 +97,7 @@
     return;
   }
   for (auto& [job, entry] : entries_) {
-    // What may be stored already goes alone, so that the reply tells of it.
+    // What may be stored already goes alone, so that the response tells of it.
     if (MayStore(entry, aNow) && !entry.storing_.empty()) {
       StoreAlone(job, entry);
     }
@@ -124,10 +124,11 @@
     }
   }
   if (!writes.empty()) {
-    store_.Commit(transaction,
-                  [this, writes](const metadata::TransactionReply& aReply) {
-                    OnReplyTogether(writes, aReply);
-                  });
+    store_.Commit(
+      transaction,
+      [this, writes](const metadata::TransactionResponse& aResponse) {
+        OnResponseTogether(writes, aResponse);
+      });
   }
   return writes.size();
 }
@@ -142,8 +143,8 @@
   metadata::Transaction transaction;
   const PageWrite write = AddPage(transaction, *job, aEntry);
   store_.Commit(transaction,
-                [this, write](const metadata::TransactionReply& aReply) {
-                  OnReply(write, aReply);
+                [this, write](const metadata::TransactionResponse& aResponse) {
+                  OnResponse(write, aResponse);
                 });
 }
 
@@ -181,14 +182,14 @@
 }
 
 void
-ResultWriter::OnReplyTogether(const std::vector<PageWrite>& aWrites,
-                              const metadata::TransactionReply& aReply)
+ResultWriter::OnResponseTogether(const std::vector<PageWrite>& aWrites,
+                                 const metadata::TransactionResponse& aResponse)
 {
   const bool isConflict =
-    aReply.status_ == metadata::StoreStatus::Conflict && aWrites.size() > 1;
+    aResponse.status_ == metadata::StoreStatus::Conflict && aWrites.size() > 1;
   for (const PageWrite& write : aWrites) {
     if (!isConflict) {
-      OnReply(write, aReply);
+      OnResponse(write, aResponse);
       continue;
     }
     // One job's conflict kept all from being stored: each goes alone now.
@@ -201,8 +202,8 @@
 }
 
 void
-ResultWriter::OnReply(const PageWrite& aWrite,
-                      const metadata::TransactionReply& aReply)
+ResultWriter::OnResponse(const PageWrite& aWrite,
+                         const metadata::TransactionResponse& aResponse)
 {
   using metadata::StoreStatus;
   const auto found = entries_.find(aWrite.job_);
@@ -211,32 +212,32 @@
   }
   Entry& entry = found->second;
   entry.callUnderWay_ = false;
-  if (aReply.status_ == StoreStatus::Ok) {
-    NoteStored(entry, aWrite, aReply.revision_);
+  if (aResponse.status_ == StoreStatus::Ok) {
+    NoteStored(entry, aWrite, aResponse.revision_);
     return;
   }
   // After a conflict the page may be there by an earlier try of this call,
   // whose answer was lost.
   std::uint64_t stateRevision = 0;
   bool isThere = false;
-  for (const metadata::StoreItem& item : aReply.current_) {
+  for (const metadata::StoreItem& item : aResponse.current_) {
     isThere = isThere || (item.key_ == aWrite.pageKey_ &&
                           item.value_ == batch::EncodeResults(entry.storing_));
     if (item.key_ == aWrite.stateKey_) {
       stateRevision = item.revision_;
     }
   }
-  if (aReply.status_ == StoreStatus::Conflict && isThere) {
+  if (aResponse.status_ == StoreStatus::Conflict && isThere) {
     NoteStored(entry, aWrite, stateRevision);
     return;
   }
   base::Log(kResultsNotStored,
             { { "lot", aWrite.job_ },
               { "position", entry.nextPosition_ },
-              { "status", static_cast<int>(aReply.status_) } });
+              { "status", static_cast<int>(aResponse.status_) } });
   // After a conflict another host owns the job, or its sender has ended it: the
   // mirror will say which. Until then nothing more is stored.
-  const bool isConflict = aReply.status_ == StoreStatus::Conflict;
+  const bool isConflict = aResponse.status_ == StoreStatus::Conflict;
   entry.retryAt_ =
     base::MonotonicNow() +
     (isConflict ? base::Duration(kConflictPause) : base::Duration(kRetryPause));
--- a/Libraries/LibGateway/ResultWriter.h
+++ b/Libraries/LibGateway/ResultWriter.h
@@ -80,10 +80,10 @@
   [[nodiscard]] PageWrite AddPage(metadata::Transaction& aTransaction,
                                   const batch::BatchJob& aJob,
                                   Entry& aEntry);
-  void OnReplyTogether(const std::vector<PageWrite>& aWrites,
-                       const metadata::TransactionReply& aReply);
-  void OnReply(const PageWrite& aWrite,
-               const metadata::TransactionReply& aReply);
+  void OnResponseTogether(const std::vector<PageWrite>& aWrites,
+                          const metadata::TransactionResponse& aResponse);
+  void OnResponse(const PageWrite& aWrite,
+                  const metadata::TransactionResponse& aResponse);
   void NoteStored(Entry& aEntry,
                   const PageWrite& aWrite,
                   std::uint64_t aStateRevision);
--- a/Libraries/LibGateway/SpoolClient.cpp
+++ b/Libraries/LibGateway/SpoolClient.cpp
@@ -39,10 +39,10 @@
                    std::span<const batch::PeerAddress> aPeers,
                    Done aDone)
 {
-  std::vector<httpstream::HttpCaller*> workers;
+  std::vector<httpstream::HttpClient*> workers;
   for (const batch::PeerAddress& peer : aPeers) {
     if (auto* caller =
-          peer.isWorker_ ? callers_.Find(peer.address_) : nullptr) {
+          peer.isWorker_ ? clients_.Find(peer.address_) : nullptr) {
       workers.push_back(caller);
     }
   }
@@ -59,7 +59,7 @@
   request.body() = batch::EncodeSpooledJob(aJob);
   request.prepare_payload();
   tally->open_ = workers.size();
-  for (httpstream::HttpCaller* caller : workers) {
+  for (httpstream::HttpClient* caller : workers) {
     caller->Call(
       request,
       kTimeout,
--- a/Libraries/LibGateway/SpoolClient.h
+++ b/Libraries/LibGateway/SpoolClient.h
@@ -2,7 +2,7 @@
 
 #include "LibBatch/HostSet.h"
 #include "LibBatch/SpooledJob.h"
-#include "LibGateway/PeerCallers.h"
+#include "LibGateway/PeerClients.h"
 
 #include <cstddef>
 #include <functional>
@@ -25,8 +25,8 @@
   using Done = std::function<void(SpoolOutcome)>;
 
   /// @param aCopies How many hosts must keep a job.
-  SpoolClient(PeerCallers& aCallers, std::size_t aCopies)
-    : callers_(aCallers)
+  SpoolClient(PeerClients& aClients, std::size_t aCopies)
+    : clients_(aClients)
     , copies_(aCopies)
   {
   }
@@ -38,7 +38,7 @@
              Done aDone);
 
 private:
-  PeerCallers& callers_;
+  PeerClients& clients_;
   std::size_t copies_;
 };
 
--- a/Libraries/LibGateway/StoreFollowing.cpp
+++ b/Libraries/LibGateway/StoreMirrors.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/StoreFollowing.h"
+#include "LibGateway/StoreMirrors.h"
 
 #include "LibGateway/Events.h"
 
@@ -34,13 +34,13 @@
 
 } // namespace
 
-StoreFollowing::StoreFollowing(boost::asio::io_context& aContext,
-                               metadata::StoreClient& aClient,
-                               metadata::StoreHealth& aHealth,
-                               const std::string& aOwnName,
-                               bool aIsPreferred,
-                               std::vector<Followed> aFollowed,
-                               std::mt19937_64& aRandom)
+StoreMirrors::StoreMirrors(boost::asio::io_context& aContext,
+                           metadata::StoreClient& aClient,
+                           metadata::StoreHealth& aHealth,
+                           const std::string& aOwnName,
+                           bool aIsPreferred,
+                           std::vector<Followed> aFollowed,
+                           std::mt19937_64& aRandom)
   : health_(aHealth)
   , random_(aRandom)
   , choice_(aOwnName)
@@ -49,7 +49,7 @@
   , trustShare_(DrawTrustShare(aRandom))
 {
   for (Followed& followed : aFollowed) {
-    followed.options_.trust_ = OwnShareOf(followed.options_.trust_);
+    followed.options_.freshFor_ = OwnShareOf(followed.options_.freshFor_);
     Copy copy{ followed.prefix_,
                followed.options_.prefix_,
                std::make_unique<metadata::PrefixMirror>(
@@ -63,18 +63,18 @@
 }
 
 void
-StoreFollowing::SetOnNews(const NewsHandler& aHandler)
+StoreMirrors::SetOnDelta(const DeltaHandler& aHandler)
 {
   for (Copy& copy : copies_) {
-    copy.mirror_->SetOnNews(
-      [aHandler, prefix = copy.prefix_](const metadata::MirrorNews& aNews) {
-        aHandler({ prefix, aNews });
+    copy.mirror_->SetOnDelta(
+      [aHandler, prefix = copy.prefix_](const metadata::MirrorDelta& aDelta) {
+        aHandler({ prefix, aDelta });
       });
   }
 }
 
 void
-StoreFollowing::Start()
+StoreMirrors::Start()
 {
   for (Copy& copy : copies_) {
     copy.mirror_->Start();
@@ -82,13 +82,13 @@
 }
 
 base::Duration
-StoreFollowing::OwnShareOf(base::Duration aTrust) const
+StoreMirrors::OwnShareOf(base::Duration aFreshFor) const
 {
-  return std::chrono::duration_cast<base::Duration>(aTrust * trustShare_);
+  return std::chrono::duration_cast<base::Duration>(aFreshFor * trustShare_);
 }
 
 base::Duration
-StoreFollowing::DrawCatchUp()
+StoreMirrors::DrawCatchUp()
 {
   std::uniform_int_distribution<base::Duration::rep> draw(
     0, base::Duration(kCatchUpSpread).count());
@@ -96,7 +96,7 @@
 }
 
 bool
-StoreFollowing::HasSettled(base::Instant aNow)
+StoreMirrors::HasSettled(base::Instant aNow)
 {
   const bool isComplete =
     std::all_of(copies_.begin(), copies_.end(), [](const Copy& aCopy) {
@@ -110,7 +110,7 @@
 }
 
 void
-StoreFollowing::Tick(bool aReachesStore, base::Instant aNow)
+StoreMirrors::Tick(bool aReachesStore, base::Instant aNow)
 {
   NoteRunning();
   own_.mayFollow_ = aReachesStore && !health_.IsLost() && HasSettled(aNow);
@@ -129,7 +129,7 @@
 }
 
 void
-StoreFollowing::NoteRunning()
+StoreMirrors::NoteRunning()
 {
   const base::BootInstant now = base::BootNow();
   const auto ranAt = std::exchange(ranAt_, now);
@@ -138,12 +138,12 @@
   }
   base::Log(kDidNotRun, { { "ms", base::ToMs(now - *ranAt) } });
   for (Copy& copy : copies_) {
-    copy.mirror_->Distrust();
+    copy.mirror_->MarkStale();
   }
 }
 
 metadata::PrefixMirror&
-StoreFollowing::Find(StorePrefix aPrefix) const
+StoreMirrors::Find(StorePrefix aPrefix) const
 {
   return *std::find_if(
             copies_.begin(),
@@ -153,19 +153,19 @@
 }
 
 bool
-StoreFollowing::IsComplete(StorePrefix aPrefix) const
+StoreMirrors::IsComplete(StorePrefix aPrefix) const
 {
   return Find(aPrefix).IsComplete();
 }
 
 void
-StoreFollowing::SetTrust(StorePrefix aPrefix, base::Duration aTrust)
+StoreMirrors::SetFreshness(StorePrefix aPrefix, base::Duration aFreshFor)
 {
-  Find(aPrefix).SetTrust(OwnShareOf(aTrust));
+  Find(aPrefix).SetFreshness(OwnShareOf(aFreshFor));
 }
 
 StoreReport
-StoreFollowing::Report() const
+StoreMirrors::Report() const
 {
   StoreReport report;
   report.state_ = own_;
@@ -180,7 +180,7 @@
 }
 
 std::size_t
-StoreFollowing::FollowedCount() const
+StoreMirrors::FollowedCount() const
 {
   return static_cast<std::size_t>(
     std::count_if(copies_.begin(), copies_.end(), [](const Copy& aCopy) {
@@ -189,31 +189,31 @@
 }
 
 void
-StoreFollowing::HandleReport(const std::string& aPeer,
-                             const StoreReport& aReport,
-                             base::Instant aNow)
+StoreMirrors::HandleReport(const std::string& aPeer,
+                           const StoreReport& aReport,
+                           base::Instant aNow)
 {
   NoteRunning();
-  choice_.NotePeer(aPeer, aReport.state_, aNow);
-  clocks_.NoteMessage(
+  choice_.RecordPeer(aPeer, aReport.state_, aNow);
+  clocks_.RecordMessage(
     aPeer, aReport.incarnation_, aReport.sentAt_, base::BootNow());
   for (const StoreReport::View& view : aReport.views_) {
-    Find(view.prefix_).TakeView(ToLocal(aPeer, view.view_), DrawCatchUp());
+    Find(view.prefix_).ApplyView(ToLocal(aPeer, view.view_), DrawCatchUp());
   }
 }
 
 void
-StoreFollowing::TakeNews(const std::string& aPeer, const StoreNews& aNews)
+StoreMirrors::ApplyDelta(const std::string& aPeer, const StoreDelta& aDelta)
 {
   NoteRunning();
-  metadata::MirrorNews news = aNews.news_;
-  news.view_ = ToLocal(aPeer, news.view_);
-  Find(aNews.prefix_).TakeNews(news, DrawCatchUp());
+  metadata::MirrorDelta delta = aDelta.delta_;
+  delta.view_ = ToLocal(aPeer, delta.view_);
+  Find(aDelta.prefix_).ApplyDelta(delta, DrawCatchUp());
 }
 
 metadata::MirrorView
-StoreFollowing::ToLocal(const std::string& aPeer,
-                        const metadata::MirrorView& aView) const
+StoreMirrors::ToLocal(const std::string& aPeer,
+                      const metadata::MirrorView& aView) const
 {
   metadata::MirrorView view = aView;
   view.completeAsOf_ =
@@ -222,7 +222,7 @@
 }
 
 std::optional<base::Duration>
-StoreFollowing::AgeOf(StorePrefix aPrefix) const
+StoreMirrors::AgeOf(StorePrefix aPrefix) const
 {
   const auto completeAsOf = Find(aPrefix).CompleteAsOf();
   return completeAsOf ? std::optional(base::BootNow() - *completeAsOf)
--- a/Libraries/LibGateway/StoreFollowing.h
+++ b/Libraries/LibGateway/StoreMirrors.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibGateway/StoreReport.h"
-#include "LibMetadata/FollowerChoice.h"
+#include "LibMetadata/FollowerSelector.h"
 #include "LibMetadata/PeerClocks.h"
 #include "LibMetadata/PrefixMirror.h"
 
@@ -22,7 +22,7 @@
 /// the store grow with what happens instead of with the number of hosts; the
 /// others ask the store when nobody has confirmed their copy for a while.
 /// Belongs to the event thread.
-class StoreFollowing
+class StoreMirrors
 {
 public:
   struct Followed
@@ -33,19 +33,19 @@
   };
 
   /// Called with what this host is to pass on to its peers.
-  using NewsHandler = std::function<void(const StoreNews&)>;
+  using DeltaHandler = std::function<void(const StoreDelta&)>;
 
   /// @param aIsPreferred This host has more processor time to spare than
   ///                     others.
-  StoreFollowing(boost::asio::io_context& aContext,
-                 metadata::StoreClient& aClient,
-                 metadata::StoreHealth& aHealth,
-                 const std::string& aOwnName,
-                 bool aIsPreferred,
-                 std::vector<Followed> aFollowed,
-                 std::mt19937_64& aRandom);
+  StoreMirrors(boost::asio::io_context& aContext,
+               metadata::StoreClient& aClient,
+               metadata::StoreHealth& aHealth,
+               const std::string& aOwnName,
+               bool aIsPreferred,
+               std::vector<Followed> aFollowed,
+               std::mt19937_64& aRandom);
 
-  void SetOnNews(const NewsHandler& aHandler);
+  void SetOnDelta(const DeltaHandler& aHandler);
 
   void Start();
 
@@ -59,7 +59,7 @@
   void NoteRunning();
 
   [[nodiscard]] bool IsComplete(StorePrefix aPrefix) const;
-  void SetTrust(StorePrefix aPrefix, base::Duration aTrust);
+  void SetFreshness(StorePrefix aPrefix, base::Duration aFreshFor);
 
   /// @return time since this host's copy is known to have been complete;
   ///         nothing before its first reading.
@@ -71,7 +71,7 @@
   void HandleReport(const std::string& aPeer,
                     const StoreReport& aReport,
                     base::Instant aNow);
-  void TakeNews(const std::string& aPeer, const StoreNews& aNews);
+  void ApplyDelta(const std::string& aPeer, const StoreDelta& aDelta);
 
 private:
   struct Copy
@@ -91,11 +91,11 @@
   [[nodiscard]] metadata::MirrorView ToLocal(
     const std::string& aPeer,
     const metadata::MirrorView& aView) const;
-  [[nodiscard]] base::Duration OwnShareOf(base::Duration aTrust) const;
+  [[nodiscard]] base::Duration OwnShareOf(base::Duration aFreshFor) const;
 
   metadata::StoreHealth& health_;
   std::mt19937_64& random_;
-  metadata::FollowerChoice choice_;
+  metadata::FollowerSelector choice_;
   metadata::FollowerState own_;
   metadata::PeerClocks clocks_;
   std::uint64_t incarnation_;
--- a/Libraries/LibGateway/StoreReport.cpp
+++ b/Libraries/LibGateway/StoreReport.cpp
@@ -14,7 +14,7 @@
 
 /// Content of one datagram: more would be split on the way, and each host's
 /// link carries a copy for every peer.
-constexpr std::size_t kMostNewsBytes = 8192;
+constexpr std::size_t kMaxDeltaBytes = 8192;
 
 /// A stranger's number that is no age would make an old copy look fresh.
 constexpr std::int64_t kLongestAgeMs = 3600000;
@@ -128,34 +128,34 @@
 }
 
 std::optional<json>
-EncodeStoreNews(const StoreNews& aNews)
+EncodeStoreDelta(const StoreDelta& aDelta)
 {
   std::size_t bytes = 0;
   json items = json::array();
-  for (const metadata::StoreItem& item : aNews.news_.items_) {
+  for (const metadata::StoreItem& item : aDelta.delta_.items_) {
     bytes += item.key_.size() + item.value_.size();
-    if (bytes > kMostNewsBytes) {
+    if (bytes > kMaxDeltaBytes) {
       return std::nullopt;
     }
     items.push_back(EncodeItem(item));
   }
-  return json{ { "prefix", static_cast<std::uint8_t>(aNews.prefix_) },
-               { "previous", aNews.news_.previousChange_ },
-               { "view", EncodeView(aNews.news_.view_) },
+  return json{ { "prefix", static_cast<std::uint8_t>(aDelta.prefix_) },
+               { "previous", aDelta.delta_.previousChange_ },
+               { "view", EncodeView(aDelta.delta_.view_) },
                { "items", std::move(items) } };
 }
 
-StoreNews
-DecodeStoreNews(const json& aRow)
+StoreDelta
+DecodeStoreDelta(const json& aRow)
 {
-  StoreNews news;
-  news.prefix_ = DecodePrefix(aRow.at("prefix"));
-  news.news_.previousChange_ = aRow.at("previous").get<std::uint64_t>();
-  news.news_.view_ = DecodeView(aRow.at("view"));
+  StoreDelta delta;
+  delta.prefix_ = DecodePrefix(aRow.at("prefix"));
+  delta.delta_.previousChange_ = aRow.at("previous").get<std::uint64_t>();
+  delta.delta_.view_ = DecodeView(aRow.at("view"));
   for (const json& item : aRow.at("items")) {
-    news.news_.items_.push_back(DecodeItem(item));
+    delta.delta_.items_.push_back(DecodeItem(item));
   }
-  return news;
+  return delta;
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/StoreReport.h
+++ b/Libraries/LibGateway/StoreReport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "LibMetadata/FollowerChoice.h"
-#include "LibMetadata/MirrorNews.h"
+#include "LibMetadata/FollowerSelector.h"
+#include "LibMetadata/MirrorDelta.h"
 
 #include <nlohmann/json_fwd.hpp>
 
@@ -44,10 +44,10 @@
 };
 
 /// Changes that a follower passes on; moments are on its clock.
-struct StoreNews
+struct StoreDelta
 {
   StorePrefix prefix_ = StorePrefix::Operators;
-  metadata::MirrorNews news_;
+  metadata::MirrorDelta delta_;
 };
 
 [[nodiscard]] nlohmann::json
@@ -60,10 +60,10 @@
 /// @return nothing where the changes are too many for a datagram: peers then
 ///         see that they lack something, and ask the store.
 [[nodiscard]] std::optional<nlohmann::json>
-EncodeStoreNews(const StoreNews& aNews);
+EncodeStoreDelta(const StoreDelta& aDelta);
 
-/// @throws nlohmann::json::exception where it is no news.
-[[nodiscard]] StoreNews
-DecodeStoreNews(const nlohmann::json& aRow);
+/// @throws nlohmann::json::exception where it is no delta.
+[[nodiscard]] StoreDelta
+DecodeStoreDelta(const nlohmann::json& aRow);
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/StorePaths.cpp
+++ b/Libraries/LibGateway/StoreTransport.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/StorePaths.h"
+#include "LibGateway/StoreTransport.h"
 
 #include "LibBase/Numbers.h"
 #include "LibHttpStream/Status.h"
@@ -48,38 +48,38 @@
 
 } // namespace
 
-StorePaths::StorePaths(boost::asio::io_context& aContext,
-                       const boost::asio::ip::tcp::endpoint& aStore,
-                       Protocol aProtocol)
+StoreTransport::StoreTransport(boost::asio::io_context& aContext,
+                               const boost::asio::ip::tcp::endpoint& aStore,
+                               Protocol aProtocol)
   : context_(aContext)
   , own_(aContext.get_executor(), aStore)
   , protocol_(std::move(aProtocol))
-  , callers_(aContext.get_executor())
+  , clients_(aContext.get_executor())
   , nextPeer_(std::random_device{}())
   , probeTimer_(aContext)
 {
 }
 
 void
-StorePaths::Call(const httpstream::Request& aRequest,
-                 base::Duration aTimeout,
-                 Done aDone)
+StoreTransport::Call(const httpstream::Request& aRequest,
+                     base::Duration aTimeout,
+                     Done aDone)
 {
   auto pending = std::make_shared<Pending>(
     Pending{ aRequest, aTimeout, std::move(aDone), 0 });
-  if (path_.IsOwnLost()) {
+  if (path_.IsDirectPathLost()) {
     AskPeer(pending);
   } else {
-    CallOnOwnWay(pending);
+    CallDirectly(pending);
   }
 }
 
 void
-StorePaths::CallOnOwnWay(const PendingPtr& aPending)
+StoreTransport::CallDirectly(const PendingPtr& aPending)
 {
   own_.Call(
     aPending->request_, aPending->timeout_, [this, aPending](Result aResult) {
-      NoteOwn(aResult);
+      RecordDirect(aResult);
       if (protocol_.classify_(aResult) == PathOutcome::Refused) {
         AskPeer(aPending);
         return;
@@ -89,25 +89,25 @@
 }
 
 void
-StorePaths::NoteOwn(const Result& aResult)
+StoreTransport::RecordDirect(const Result& aResult)
 {
-  if (path_.NoteOwn(protocol_.classify_(aResult))) {
+  if (path_.RecordDirect(protocol_.classify_(aResult))) {
     Probe();
   }
 }
 
 void
-StorePaths::Probe()
+StoreTransport::Probe()
 {
   own_.Call(protocol_.probe_, kProbeTimeout, [this](const Result& aResult) {
-    if (path_.NoteProbe(protocol_.classify_(aResult))) {
+    if (path_.RecordProbe(protocol_.classify_(aResult))) {
       ProbeLater();
     }
   });
 }
 
 void
-StorePaths::ProbeLater()
+StoreTransport::ProbeLater()
 {
   probeTimer_.expires_after(kProbePause);
   probeTimer_.async_wait([this](const boost::system::error_code& aError) {
@@ -118,35 +118,35 @@
 }
 
 void
-StorePaths::SetPeers(std::vector<batch::PeerAddress> aPeers)
+StoreTransport::SetPeers(std::vector<batch::PeerAddress> aPeers)
 {
-  callers_.Keep(aPeers);
+  clients_.Keep(aPeers);
   peers_ = std::move(aPeers);
 }
 
-httpstream::HttpCaller*
-StorePaths::NextPeer()
+httpstream::HttpClient*
+StoreTransport::NextPeer()
 {
   if (peers_.empty()) {
     return nullptr;
   }
   for (std::size_t step = 0; step < peers_.size(); ++step) {
     const auto& peer = peers_[(nextPeer_ + step) % peers_.size()];
-    if (isHeard_(peer.host_)) {
+    if (isReachable_(peer.host_)) {
       nextPeer_ += step;
-      return callers_.Find(peer.address_);
+      return clients_.Find(peer.address_);
     }
   }
-  return callers_.Find(peers_[nextPeer_ % peers_.size()].address_);
+  return clients_.Find(peers_[nextPeer_ % peers_.size()].address_);
 }
 
 void
-StorePaths::AskPeer(const PendingPtr& aPending)
+StoreTransport::AskPeer(const PendingPtr& aPending)
 {
   const bool mayAsk =
     aPending->peersAsked_ < metadata::StorePath::kPeersAsked &&
     path_.MayAskPeer(base::MonotonicNow());
-  httpstream::HttpCaller* peer = mayAsk ? NextPeer() : nullptr;
+  httpstream::HttpClient* peer = mayAsk ? NextPeer() : nullptr;
   if (peer == nullptr) {
     EndLater(aPending);
     return;
@@ -165,10 +165,10 @@
 }
 
 void
-StorePaths::OnPeerAnswered(const PendingPtr& aPending, Result aResult)
+StoreTransport::OnPeerAnswered(const PendingPtr& aPending, Result aResult)
 {
   const PathOutcome outcome = protocol_.classify_(aResult);
-  path_.NotePeer(outcome, base::MonotonicNow());
+  path_.RecordPeer(outcome, base::MonotonicNow());
   if (outcome == PathOutcome::Served) {
     aPending->done_(std::move(aResult));
     return;
@@ -182,18 +182,19 @@
 }
 
 void
-StorePaths::EndLater(const PendingPtr& aPending)
+StoreTransport::EndLater(const PendingPtr& aPending)
 {
   boost::asio::post(context_, [aPending] { aPending->done_(Result{}); });
 }
 
 void
-StorePaths::CallForPeer(const std::shared_ptr<httpstream::Exchange>& aExchange)
+StoreTransport::CallForPeer(
+  const std::shared_ptr<httpstream::Exchange>& aExchange)
 {
   const httpstream::Request& request = aExchange->GetRequest();
   const base::Duration timeout = ReadTimeout(request);
   const std::string_view target = httpstream::TargetOf(request);
-  if (path_.IsOwnLost() || !target.starts_with(kTargetPrefix)) {
+  if (path_.IsDirectPathLost() || !target.starts_with(kTargetPrefix)) {
     aExchange->Answer(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
@@ -202,7 +203,7 @@
     WithTarget(request, target.substr(kTargetPrefix.size()));
   call.erase(kTimeoutField);
   own_.Call(call, timeout, [this, aExchange](Result aResult) {
-    NoteOwn(aResult);
+    RecordDirect(aResult);
     if (aResult.end_ == httpstream::CallEnd::NotConnected) {
       aExchange->Answer(
         httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
--- a/Libraries/LibGateway/StorePaths.h
+++ b/Libraries/LibGateway/StoreTransport.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "LibGateway/PeerCallers.h"
-#include "LibHttpStream/HttpCaller.h"
-#include "LibHttpStream/ServerConnection.h"
 #include "LibBatch/HostSet.h"
+#include "LibGateway/PeerClients.h"
+#include "LibHttpStream/HttpClient.h"
+#include "LibHttpStream/ServerConnection.h"
 #include "LibMetadata/StorePath.h"
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +20,7 @@
 /// Carries calls to the store: on this host's own way or, while that is lost,
 /// through a peer, which makes the call on its own way only. Belongs to the
 /// event thread and lives as long as its event loop runs.
-class StorePaths
+class StoreTransport
 {
 public:
   using Result = httpstream::CallResult;
@@ -37,9 +37,9 @@
   /// Begins the target of a call that a peer passes on.
   static constexpr std::string_view kTargetPrefix = "/store";
 
-  StorePaths(boost::asio::io_context& aContext,
-             const boost::asio::ip::tcp::endpoint& aStore,
-             Protocol aProtocol);
+  StoreTransport(boost::asio::io_context& aContext,
+                 const boost::asio::ip::tcp::endpoint& aStore,
+                 Protocol aProtocol);
 
   /// Makes a call. Where no way is open it ends at once as not connected.
   /// @param aTimeout For connecting, the first byte, and each further one.
@@ -48,15 +48,21 @@
             Done aDone);
 
   /// Tells whether this host hears a peer itself.
-  using IsHeard = std::function<bool(const std::string& aHost)>;
+  using IsReachable = std::function<bool(const std::string& aHost)>;
 
   /// Names the hosts that may be asked. Those that are heard are asked first: a
   /// call to a host that is cut off from this one hangs until its timeout.
   void SetPeers(std::vector<batch::PeerAddress> aPeers);
-  void SetIsHeard(IsHeard aIsHeard) { isHeard_ = std::move(aIsHeard); }
+  void SetIsReachable(IsReachable aIsHeard)
+  {
+    isReachable_ = std::move(aIsHeard);
+  }
 
   /// @return whether calls go through peers now.
-  [[nodiscard]] bool IsOwnLost() const { return path_.IsOwnLost(); }
+  [[nodiscard]] bool IsDirectPathLost() const
+  {
+    return path_.IsDirectPathLost();
+  }
 
   /// Makes a peer's call on this host's own way and answers it.
   void CallForPeer(const std::shared_ptr<httpstream::Exchange>& aExchange);
@@ -71,24 +77,24 @@
   };
   using PendingPtr = std::shared_ptr<Pending>;
 
-  void CallOnOwnWay(const PendingPtr& aPending);
+  void CallDirectly(const PendingPtr& aPending);
   void AskPeer(const PendingPtr& aPending);
 
   /// @return the peer to ask next, or nullptr where none is known.
-  [[nodiscard]] httpstream::HttpCaller* NextPeer();
+  [[nodiscard]] httpstream::HttpClient* NextPeer();
   void OnPeerAnswered(const PendingPtr& aPending, Result aResult);
-  void NoteOwn(const Result& aResult);
+  void RecordDirect(const Result& aResult);
   void Probe();
   void ProbeLater();
   void EndLater(const PendingPtr& aPending);
 
   boost::asio::io_context& context_;
-  httpstream::HttpCaller own_;
+  httpstream::HttpClient own_;
   Protocol protocol_;
   metadata::StorePath path_;
-  PeerCallers callers_;
+  PeerClients clients_;
   std::vector<batch::PeerAddress> peers_;
-  IsHeard isHeard_ = [](const std::string&) { return true; };
+  IsReachable isReachable_ = [](const std::string&) { return true; };
   std::size_t nextPeer_ = 0;
   boost::asio::steady_timer probeTimer_;
 };
--- a/Libraries/LibHttpStream/HttpCaller.cpp
+++ b/Libraries/LibHttpStream/HttpClient.cpp
@@ -1,4 +1,4 @@
-#include "LibHttpStream/HttpCaller.h"
+#include "LibHttpStream/HttpClient.h"
 
 #include <algorithm>
 #include <memory>
@@ -57,7 +57,7 @@
 } // namespace
 
 void
-HttpCaller::Call(const Request& aRequest,
+HttpClient::Call(const Request& aRequest,
                  base::Duration aTimeout,
                  std::function<void(CallResult)> aDone)
 {
--- a/Libraries/LibHttpStream/HttpCaller.h
+++ b/Libraries/LibHttpStream/HttpClient.h
@@ -19,10 +19,10 @@
 
 /// Makes calls whose answers are read whole, over kept connections to one
 /// server. Belongs to the event thread.
-class HttpCaller
+class HttpClient
 {
 public:
-  HttpCaller(boost::asio::any_io_executor aExecutor,
+  HttpClient(boost::asio::any_io_executor aExecutor,
              boost::asio::ip::tcp::endpoint aServer)
     : pool_(std::make_shared<ConnectionPool>(std::move(aExecutor)))
     , server_(std::move(aServer))
--- a/Libraries/LibMetadata/FollowerChoice.cpp
+++ b/Libraries/LibMetadata/FollowerSelector.cpp
@@ -1,4 +1,4 @@
-#include "LibMetadata/FollowerChoice.h"
+#include "LibMetadata/FollowerSelector.h"
 
 #include "LibBase/Ids.h"
 
@@ -19,21 +19,21 @@
 
 } // namespace
 
-FollowerChoice::FollowerChoice(std::string aOwnName)
+FollowerSelector::FollowerSelector(std::string aOwnName)
   : ownName_(std::move(aOwnName))
 {
 }
 
 void
-FollowerChoice::NotePeer(const std::string& aPeer,
-                         FollowerState aState,
-                         base::Instant aNow)
+FollowerSelector::RecordPeer(const std::string& aPeer,
+                             FollowerState aState,
+                             base::Instant aNow)
 {
   peers_[aPeer] = { aState, aNow };
 }
 
 void
-FollowerChoice::DropSilentPeers(base::Instant aNow)
+FollowerSelector::DropSilentPeers(base::Instant aNow)
 {
   std::erase_if(peers_, [aNow](const auto& aEntry) {
     return aNow - aEntry.second.heardAt_ > kSilence;
@@ -41,16 +41,16 @@
 }
 
 bool
-FollowerChoice::IsAlone(base::Instant aNow)
+FollowerSelector::IsAlone(base::Instant aNow)
 {
   DropSilentPeers(aNow);
   return peers_.empty();
 }
 
 bool
-FollowerChoice::IsFollower(std::string_view aPrefix,
-                           FollowerState aOwn,
-                           base::Instant aNow)
+FollowerSelector::IsFollower(std::string_view aPrefix,
+                             FollowerState aOwn,
+                             base::Instant aNow)
 {
   DropSilentPeers(aNow);
   if (!aOwn.mayFollow_) {
--- a/Libraries/LibMetadata/FollowerChoice.h
+++ b/Libraries/LibMetadata/FollowerSelector.h
@@ -20,19 +20,19 @@
 /// don't hear each other may both follow, which costs some calls, and where
 /// none does, each host asks the store itself once its copy is no longer
 /// confirmed. Decides only; not thread-safe.
-class FollowerChoice
+class FollowerSelector
 {
 public:
   /// Silence after which a host is no longer counted on: several of its reports
   /// are missing.
   static constexpr base::Duration kSilence{ std::chrono::milliseconds{ 700 } };
 
-  explicit FollowerChoice(std::string aOwnName);
+  explicit FollowerSelector(std::string aOwnName);
 
   /// A report of a peer arrived from the peer itself.
-  void NotePeer(const std::string& aPeer,
-                FollowerState aState,
-                base::Instant aNow);
+  void RecordPeer(const std::string& aPeer,
+                  FollowerState aState,
+                  base::Instant aNow);
 
   /// @return whether no peer is heard.
   [[nodiscard]] bool IsAlone(base::Instant aNow);
--- a/Libraries/LibMetadata/HostLease.cpp
+++ b/Libraries/LibMetadata/HostLease.cpp
@@ -37,29 +37,29 @@
 }
 
 void
-HostLease::NoteCall(StoreStatus aStatus, base::Instant aMadeAt)
+HostLease::RecordCall(StoreStatus aStatus, base::Instant aMadeAt)
 {
   const bool isAnswered =
     aStatus == StoreStatus::Ok || aStatus == StoreStatus::NotFound;
   // A call that failed by its timeout tells of an outage that began when the
   // call was made, at the latest.
-  health_.NoteCall(isAnswered, isAnswered ? base::MonotonicNow() : aMadeAt);
+  health_.RecordCall(isAnswered, isAnswered ? base::MonotonicNow() : aMadeAt);
 }
 
 void
 HostLease::Grant()
 {
   const base::Instant madeAt = base::MonotonicNow();
-  const auto onReply = [this, madeAt](LeaseReply aReply) {
-    NoteCall(aReply.status_, madeAt);
+  const auto onReply = [this, madeAt](LeaseResponse aResponse) {
+    RecordCall(aResponse.status_, madeAt);
     if (ended_) {
       return;
     }
-    if (aReply.status_ != StoreStatus::Ok) {
+    if (aResponse.status_ != StoreStatus::Ok) {
       After(kRetryPause, &HostLease::Grant);
       return;
     }
-    lease_ = aReply.lease_;
+    lease_ = aResponse.lease_;
     Register();
   };
   client_.GrantLease(options_.lifetime_, lifetime_.Guard(onReply));
@@ -70,15 +70,15 @@
 {
   Transaction transaction;
   transaction.writes_.push_back({ options_.key_, options_.value_, lease_ });
-  const auto onReply = [this](const TransactionReply& aReply) {
+  const auto onReply = [this](const TransactionResponse& aResponse) {
     if (ended_) {
       return;
     }
-    if (aReply.status_ == StoreStatus::NotFound) {
+    if (aResponse.status_ == StoreStatus::NotFound) {
       Grant();
       return;
     }
-    if (aReply.status_ != StoreStatus::Ok) {
+    if (aResponse.status_ != StoreStatus::Ok) {
       After(kRetryPause, &HostLease::Register);
       return;
     }
@@ -93,18 +93,18 @@
 HostLease::Renew()
 {
   const base::Instant madeAt = base::MonotonicNow();
-  const auto onReply = [this, madeAt](LeaseReply aReply) {
-    NoteCall(aReply.status_, madeAt);
+  const auto onReply = [this, madeAt](LeaseResponse aResponse) {
+    RecordCall(aResponse.status_, madeAt);
     if (ended_) {
       return;
     }
-    if (aReply.status_ == StoreStatus::NotFound) {
+    if (aResponse.status_ == StoreStatus::NotFound) {
       registered_ = false;
       base::Log(kLeaseLost, { { "lease", lease_ } });
       Grant();
       return;
     }
-    const bool isOk = aReply.status_ == StoreStatus::Ok;
+    const bool isOk = aResponse.status_ == StoreStatus::Ok;
     if (isOk && !registered_) {
       Register();
       return;
@@ -135,7 +135,8 @@
     aDone();
     return;
   }
-  client_.EndLease(lease_, [done = std::move(aDone)](LeaseReply) { done(); });
+  client_.EndLease(lease_,
+                   [done = std::move(aDone)](LeaseResponse) { done(); });
 }
 
 } // namespace pumiceturn::metadata
--- a/Libraries/LibMetadata/HostLease.h
+++ b/Libraries/LibMetadata/HostLease.h
@@ -46,7 +46,7 @@
   void Register();
   void Renew();
   void After(base::Duration aPause, void (HostLease::*aStep)());
-  void NoteCall(StoreStatus aStatus, base::Instant aMadeAt);
+  void RecordCall(StoreStatus aStatus, base::Instant aMadeAt);
 
   StoreClient& client_;
   StoreHealth& health_;
--- a/Libraries/LibMetadata/MirrorNews.h
+++ b/Libraries/LibMetadata/MirrorDelta.h
@@ -24,7 +24,7 @@
 };
 
 /// Changes of a prefix, as one host passes them on to its peers.
-struct MirrorNews
+struct MirrorDelta
 {
   /// The change before the first of these. A copy that does not reach it has
   /// missed something.
--- a/Libraries/LibMetadata/PeerClocks.cpp
+++ b/Libraries/LibMetadata/PeerClocks.cpp
@@ -5,10 +5,10 @@
 namespace pumiceturn::metadata {
 
 void
-PeerClocks::NoteMessage(const std::string& aPeer,
-                        std::uint64_t aIncarnation,
-                        base::BootInstant aSentAt,
-                        base::BootInstant aNow)
+PeerClocks::RecordMessage(const std::string& aPeer,
+                          std::uint64_t aIncarnation,
+                          base::BootInstant aSentAt,
+                          base::BootInstant aNow)
 {
   const base::Duration difference = aNow - aSentAt;
   Peer& peer = peers_[aPeer];
@@ -27,7 +27,7 @@
 PeerClocks::ToLocal(const std::string& aPeer, base::BootInstant aMoment) const
 {
   const auto found = peers_.find(aPeer);
-  if (found == peers_.end() || found->second.messages_ < kLeastMessages) {
+  if (found == peers_.end() || found->second.messages_ < kMinMessages) {
     return std::nullopt;
   }
   const Peer& peer = found->second;
--- a/Libraries/LibMetadata/PeerClocks.h
+++ b/Libraries/LibMetadata/PeerClocks.h
@@ -19,7 +19,7 @@
 public:
   /// Messages that must have come before a difference is relied on: the first
   /// ones may all have waited.
-  static constexpr std::uint32_t kLeastMessages = 5;
+  static constexpr std::uint32_t kMinMessages = 5;
 
   /// How long a difference is kept at least. Clocks of two machines drift by
   /// less than a millisecond meanwhile.
@@ -28,10 +28,10 @@
   /// A message came from a peer itself.
   /// @param aIncarnation New at each start of the peer's process.
   /// @param aSentAt      On the peer's clock.
-  void NoteMessage(const std::string& aPeer,
-                   std::uint64_t aIncarnation,
-                   base::BootInstant aSentAt,
-                   base::BootInstant aNow);
+  void RecordMessage(const std::string& aPeer,
+                     std::uint64_t aIncarnation,
+                     base::BootInstant aSentAt,
+                     base::BootInstant aNow);
 
   /// @return a moment on this host's clock that is not after the one meant by
   ///         more than the fastest message took; nothing where too few messages
--- a/Libraries/LibMetadata/PrefixMirror.cpp
+++ b/Libraries/LibMetadata/PrefixMirror.cpp
@@ -50,16 +50,16 @@
     readBegan_ = base::BootNow();
   }
   client_.Range(
-    options_.prefix_, aAfter, lifetime_.Guard([this](RangeReply aReply) {
-      OnPage(std::move(aReply));
+    options_.prefix_, aAfter, lifetime_.Guard([this](RangeResponse aResponse) {
+      OnPage(std::move(aResponse));
     }));
 }
 
 void
-PrefixMirror::OnPage(RangeReply aReply)
+PrefixMirror::OnPage(RangeResponse aResponse)
 {
-  const bool isOk = aReply.status_ == StoreStatus::Ok;
-  health_.NoteCall(isOk, base::MonotonicNow());
+  const bool isOk = aResponse.status_ == StoreStatus::Ok;
+  health_.RecordCall(isOk, base::MonotonicNow());
   if (!isOk) {
     After(options_.retryPause_, &PrefixMirror::Restart);
     return;
@@ -67,12 +67,12 @@
   // Pages are not a snapshot: following from the first page's revision brings
   // again whatever changed while the later ones were read.
   if (!readRevision_) {
-    readRevision_ = aReply.storeRevision_;
+    readRevision_ = aResponse.storeRevision_;
   }
-  for (StoreItem& item : aReply.items_) {
+  for (StoreItem& item : aResponse.items_) {
     pages_.push_back(std::move(item));
   }
-  if (aReply.isTruncated_ && !pages_.empty()) {
+  if (aResponse.isTruncated_ && !pages_.empty()) {
     ReadPage(pages_.back().key_);
     return;
   }
@@ -100,7 +100,7 @@
       changes.push_back(std::move(item));
     }
   }
-  tracker_.NoteRead(*readRevision_, readBegan_, base::BootNow());
+  tracker_.RecordRead(*readRevision_, readBegan_, base::BootNow());
   base::Log(kMirrorRead,
             { { "prefix", options_.prefix_ },
               { "keys", count },
@@ -130,7 +130,7 @@
   }
   const bool matters = onChange_(aItem);
   if (matters) {
-    tracker_.NoteChange(aItem.revision_);
+    tracker_.RecordChange(aItem.revision_);
   }
   return matters;
 }
@@ -140,7 +140,7 @@
                      std::vector<StoreItem> aChanges)
 {
   if (follows_ && !aChanges.empty()) {
-    onNews_({ aPreviousChange, View(), std::move(aChanges) });
+    onDelta_({ aPreviousChange, View(), std::move(aChanges) });
   }
 }
 
@@ -168,8 +168,8 @@
 {
   const base::BootInstant now = base::BootNow();
   if (!follows_ && !isCatchingUp_ &&
-      tracker_.IsConfirmed(options_.trust_, now)) {
-    WaitFor(tracker_.ConfirmedUntil(options_.trust_) - now);
+      tracker_.IsConfirmed(options_.freshFor_, now)) {
+    WaitFor(tracker_.ConfirmedUntil(options_.freshFor_) - now);
     return;
   }
   Watch();
@@ -186,23 +186,24 @@
 }
 
 void
-PrefixMirror::TakeView(const MirrorView& aView, base::Duration aCatchUpAfter)
+PrefixMirror::ApplyView(const MirrorView& aView, base::Duration aCatchUpAfter)
 {
   if (phase_ == Phase::Reading) {
     return;
   }
-  if (tracker_.TakeView(aView, base::BootNow()) == ReportOutcome::Gap) {
+  if (tracker_.ApplyView(aView, base::BootNow()) == ReportOutcome::Gap) {
     CatchUp(aCatchUpAfter);
   }
 }
 
 void
-PrefixMirror::TakeNews(const MirrorNews& aNews, base::Duration aCatchUpAfter)
+PrefixMirror::ApplyDelta(const MirrorDelta& aDelta,
+                         base::Duration aCatchUpAfter)
 {
   if (phase_ == Phase::Reading) {
     return;
   }
-  const ReportOutcome outcome = tracker_.Judge(aNews);
+  const ReportOutcome outcome = tracker_.Judge(aDelta);
   if (outcome == ReportOutcome::Gap) {
     CatchUp(aCatchUpAfter);
   }
@@ -210,18 +211,18 @@
     return;
   }
   const std::uint64_t followed = tracker_.Followed();
-  for (const StoreItem& item : aNews.items_) {
+  for (const StoreItem& item : aDelta.items_) {
     if (item.revision_ > followed) {
       (void)Apply(item);
     }
   }
-  tracker_.NoteNews(aNews.view_, base::BootNow());
+  tracker_.RecordDelta(aDelta.view_, base::BootNow());
 }
 
 void
-PrefixMirror::Distrust()
+PrefixMirror::MarkStale()
 {
-  tracker_.Distrust(base::BootNow());
+  tracker_.MarkStale(base::BootNow());
   if (phase_ == Phase::Waiting) {
     WaitFor(base::Duration::zero());
   }
@@ -240,21 +241,23 @@
   }
   isCatchingUp_ = false;
   const base::BootInstant askedAt = base::BootNow();
-  client_.Watch(options_.prefix_,
-                tracker_.Followed(),
-                follows_ ? options_.longestWatch_ : base::Duration(kNoWait),
-                lifetime_.Guard([this, askedAt](const WatchReply& aReply) {
-                  OnWatch(aReply, askedAt);
-                }));
+  client_.Watch(
+    options_.prefix_,
+    tracker_.Followed(),
+    follows_ ? options_.maxWatch_ : base::Duration(kNoWait),
+    lifetime_.Guard([this, askedAt](const WatchResponse& aResponse) {
+      OnWatch(aResponse, askedAt);
+    }));
 }
 
 void
-PrefixMirror::OnWatch(const WatchReply& aReply, base::BootInstant aAskedAt)
+PrefixMirror::OnWatch(const WatchResponse& aResponse,
+                      base::BootInstant aAskedAt)
 {
-  const bool isAnswered = aReply.status_ == StoreStatus::Ok ||
-                          aReply.status_ == StoreStatus::HistoryLost;
-  health_.NoteCall(isAnswered, base::MonotonicNow());
-  if (aReply.status_ == StoreStatus::HistoryLost) {
+  const bool isAnswered = aResponse.status_ == StoreStatus::Ok ||
+                          aResponse.status_ == StoreStatus::HistoryLost;
+  health_.RecordCall(isAnswered, base::MonotonicNow());
+  if (aResponse.status_ == StoreStatus::HistoryLost) {
     Restart();
     return;
   }
@@ -266,14 +269,14 @@
   const std::uint64_t followed = tracker_.Followed();
   const std::uint64_t previousChange = View().lastChange_;
   std::vector<StoreItem> changes;
-  for (const StoreItem& item : aReply.events_) {
+  for (const StoreItem& item : aResponse.events_) {
     if (item.revision_ > followed && Apply(item)) {
       changes.push_back(item);
     }
   }
-  tracker_.NoteAnswer(aReply.storeRevision_, aAskedAt, base::BootNow());
+  tracker_.NoteAnswer(aResponse.storeRevision_, aAskedAt, base::BootNow());
   PassOn(previousChange, std::move(changes));
-  if (follows_ && !aReply.events_.empty()) {
+  if (follows_ && !aResponse.events_.empty()) {
     WaitFor(options_.pause_);
   } else {
     Continue();
--- a/Libraries/LibMetadata/PrefixMirror.h
+++ b/Libraries/LibMetadata/PrefixMirror.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Lifetime.h"
-#include "LibMetadata/MirrorNews.h"
+#include "LibMetadata/MirrorDelta.h"
 #include "LibMetadata/StoreClient.h"
 #include "LibMetadata/StoreHealth.h"
 #include "LibMetadata/ViewTracker.h"
@@ -22,9 +22,9 @@
 /// follows the changes, and reads anew where the store has dropped the history.
 ///
 /// Each call to the store is counted and charged, so that few hosts follow it
-/// by watches and pass what changed on to the others (SetFollows, TakeNews,
-/// TakeView). A host whose copy nobody has confirmed for a while asks the store
-/// itself. Belongs to the event thread.
+/// by watches and pass what changed on to the others (SetFollows, ApplyDelta,
+/// ApplyView). A host whose copy nobody has confirmed for a while asks the
+/// store itself. Belongs to the event thread.
 class PrefixMirror
 {
 public:
@@ -32,7 +32,7 @@
   {
     std::string prefix_;
     /// A follower's.
-    base::Duration longestWatch_{ std::chrono::seconds{ 1 } };
+    base::Duration maxWatch_{ std::chrono::seconds{ 1 } };
     /// Pause after a follower's watch that brought changes: one watch brings
     /// the changes of a whole interval.
     base::Duration pause_{ std::chrono::milliseconds{ 250 } };
@@ -40,7 +40,7 @@
     base::Duration retryPause_{ std::chrono::milliseconds{ 250 } };
     /// How long a copy that the store confirmed, to this host or to a follower,
     /// is relied on without asking.
-    base::Duration trust_{ std::chrono::seconds{ 1 } };
+    base::Duration freshFor_{ std::chrono::seconds{ 1 } };
   };
 
   /// Called for each key that appears, changes, or is removed.
@@ -49,7 +49,7 @@
   using ChangeHandler = std::function<bool(const StoreItem&)>;
 
   /// Called with changes that the store told a follower.
-  using NewsHandler = std::function<void(const MirrorNews&)>;
+  using DeltaHandler = std::function<void(const MirrorDelta&)>;
 
   PrefixMirror(boost::asio::io_context& aContext,
                StoreClient& aClient,
@@ -57,7 +57,7 @@
                Options aOptions,
                ChangeHandler aOnChange);
 
-  void SetOnNews(NewsHandler aHandler) { onNews_ = std::move(aHandler); }
+  void SetOnDelta(DeltaHandler aHandler) { onDelta_ = std::move(aHandler); }
 
   void Start() { ReadPage({}); }
 
@@ -66,19 +66,22 @@
   [[nodiscard]] bool Follows() const { return follows_; }
 
   /// Sets how long a confirmed copy is relied on.
-  void SetTrust(base::Duration aTrust) { options_.trust_ = aTrust; }
+  void SetFreshness(base::Duration aFreshFor)
+  {
+    options_.freshFor_ = aFreshFor;
+  }
 
   /// Takes in how far a follower's copy has got.
   /// @param aCatchUpAfter When to ask the store, if the copy lacks something:
   ///                      spread, as all hosts learn of it at once.
-  void TakeView(const MirrorView& aView, base::Duration aCatchUpAfter);
+  void ApplyView(const MirrorView& aView, base::Duration aCatchUpAfter);
 
   /// Takes in what a follower passes on.
-  void TakeNews(const MirrorNews& aNews, base::Duration aCatchUpAfter);
+  void ApplyDelta(const MirrorDelta& aDelta, base::Duration aCatchUpAfter);
 
   /// This host did not run for a while: asks the store before it relies on what
   /// peers say.
-  void Distrust();
+  void MarkStale();
 
   /// @return whether the prefix has been read once.
   [[nodiscard]] bool IsComplete() const { return complete_; }
@@ -104,10 +107,10 @@
   };
 
   void ReadPage(const std::string& aAfter);
-  void OnPage(RangeReply aReply);
+  void OnPage(RangeResponse aResponse);
   void FinishReading();
   void Watch();
-  void OnWatch(const WatchReply& aReply, base::BootInstant aAskedAt);
+  void OnWatch(const WatchResponse& aResponse, base::BootInstant aAskedAt);
 
   /// Makes the next call if it is due, otherwise waits on.
   void Continue();
@@ -124,7 +127,7 @@
   StoreHealth& health_;
   Options options_;
   ChangeHandler onChange_;
-  NewsHandler onNews_ = [](const MirrorNews&) {};
+  DeltaHandler onDelta_ = [](const MirrorDelta&) {};
   boost::asio::steady_timer timer_;
   ViewTracker tracker_;
   std::unordered_map<std::string, std::uint64_t> revisions_;
--- a/Libraries/LibMetadata/StoreClient.h
+++ b/Libraries/LibMetadata/StoreClient.h
@@ -29,7 +29,7 @@
   bool removed_ = false;       ///< In a watch's events only.
 };
 
-struct RangeReply
+struct RangeResponse
 {
   StoreStatus status_ = StoreStatus::Unknown;
   std::vector<StoreItem> items_;
@@ -37,7 +37,7 @@
   std::uint64_t storeRevision_ = 0;
 };
 
-struct WatchReply
+struct WatchResponse
 {
   StoreStatus status_ = StoreStatus::Unknown;
   std::vector<StoreItem> events_;
@@ -63,14 +63,14 @@
   std::vector<std::string> removals_;
 };
 
-struct TransactionReply
+struct TransactionResponse
 {
   StoreStatus status_ = StoreStatus::Unknown;
   std::uint64_t revision_ = 0;
   std::vector<StoreItem> current_; ///< After Conflict: the expected keys.
 };
 
-struct LeaseReply
+struct LeaseResponse
 {
   StoreStatus status_ = StoreStatus::Unknown;
   std::uint64_t lease_ = 0;
@@ -81,31 +81,31 @@
 class StoreClient
 {
 public:
-  template<typename Reply>
-  using Callback = std::function<void(Reply)>;
+  template<typename Response>
+  using Callback = std::function<void(Response)>;
 
   virtual ~StoreClient() = default;
 
   /// Reads one page of a prefix, of the keys that follow aAfter.
   virtual void Range(const std::string& aPrefix,
                      const std::string& aAfter,
-                     Callback<RangeReply> aCallback) = 0;
+                     Callback<RangeResponse> aCallback) = 0;
 
   /// Waits until something under the prefix changes after a revision.
   virtual void Watch(const std::string& aPrefix,
                      std::uint64_t aAfterRevision,
                      base::Duration aLongestWait,
-                     Callback<WatchReply> aCallback) = 0;
+                     Callback<WatchResponse> aCallback) = 0;
 
   virtual void Commit(const Transaction& aTransaction,
-                      Callback<TransactionReply> aCallback) = 0;
+                      Callback<TransactionResponse> aCallback) = 0;
 
   virtual void GrantLease(base::Duration aLifetime,
-                          Callback<LeaseReply> aCallback) = 0;
+                          Callback<LeaseResponse> aCallback) = 0;
   virtual void RenewLease(std::uint64_t aLease,
-                          Callback<LeaseReply> aCallback) = 0;
+                          Callback<LeaseResponse> aCallback) = 0;
   virtual void EndLease(std::uint64_t aLease,
-                        Callback<LeaseReply> aCallback) = 0;
+                        Callback<LeaseResponse> aCallback) = 0;
 };
 
 } // namespace pumiceturn::metadata
--- a/Libraries/LibMetadata/StoreHealth.cpp
+++ b/Libraries/LibMetadata/StoreHealth.cpp
@@ -5,7 +5,7 @@
 namespace pumiceturn::metadata {
 
 void
-StoreHealth::NoteCall(bool aIsAnswered, base::Instant aNow)
+StoreHealth::RecordCall(bool aIsAnswered, base::Instant aNow)
 {
   if (!aIsAnswered && !lost_) {
     lost_ = true;
@@ -14,7 +14,7 @@
   } else if (aIsAnswered && lost_) {
     lost_ = false;
     answeredSince_ = aNow;
-    if (aNow - lostAt_ >= kLeastOutage) {
+    if (aNow - lostAt_ >= kMinOutage) {
       returnedAt_ = aNow;
     }
     base::Log(kStoreRegained);
@@ -22,9 +22,9 @@
 }
 
 std::optional<base::Instant>
-StoreHealth::ReturnedAt(base::Instant aNow) const
+StoreHealth::RecoveredAt(base::Instant aNow) const
 {
-  const bool isOutage = lost_ && aNow - lostAt_ >= kLeastOutage;
+  const bool isOutage = lost_ && aNow - lostAt_ >= kMinOutage;
   return isOutage ? std::optional(aNow) : returnedAt_;
 }
 
--- a/Libraries/LibMetadata/StoreHealth.h
+++ b/Libraries/LibMetadata/StoreHealth.h
@@ -11,7 +11,7 @@
 {
 public:
   /// Records the end of a call, and logs when the store is lost or regained.
-  void NoteCall(bool aIsAnswered, base::Instant aNow);
+  void RecordCall(bool aIsAnswered, base::Instant aNow);
 
   [[nodiscard]] bool IsLost() const { return lost_; }
 
@@ -20,12 +20,12 @@
   /// using endpoints that have left. The call after a failed one is answered
   /// within half a second, and outages in which registrations lapse last longer
   /// than two of the endpoints' heartbeats (2.4 s).
-  static constexpr base::Duration kLeastOutage{ std::chrono::milliseconds{
+  static constexpr base::Duration kMinOutage{ std::chrono::milliseconds{
     1000 } };
 
   /// @return when the store last answered again after an outage; now, during
   /// one.
-  [[nodiscard]] std::optional<base::Instant> ReturnedAt(
+  [[nodiscard]] std::optional<base::Instant> RecoveredAt(
     base::Instant aNow) const;
 
   /// @return whether the store didn't answer at some moment of the last while.
--- a/Libraries/LibMetadata/StorePath.cpp
+++ b/Libraries/LibMetadata/StorePath.cpp
@@ -5,7 +5,7 @@
 namespace pumiceturn::metadata {
 
 bool
-StorePath::NoteOwn(PathOutcome aOutcome)
+StorePath::RecordDirect(PathOutcome aOutcome)
 {
   if (aOutcome == PathOutcome::Served || state_ != State::Open) {
     return false;
@@ -15,7 +15,7 @@
 }
 
 bool
-StorePath::NoteProbe(PathOutcome aOutcome)
+StorePath::RecordProbe(PathOutcome aOutcome)
 {
   const bool wasLost = state_ == State::Lost;
   const bool isServed = aOutcome == PathOutcome::Served;
@@ -29,7 +29,7 @@
 }
 
 void
-StorePath::NotePeer(PathOutcome aOutcome, base::Instant aNow)
+StorePath::RecordPeer(PathOutcome aOutcome, base::Instant aNow)
 {
   if (aOutcome == PathOutcome::Served) {
     peersFailed_ = 0;
--- a/Libraries/LibMetadata/StorePath.h
+++ b/Libraries/LibMetadata/StorePath.h
@@ -32,17 +32,17 @@
 
   /// Records how a call on the own way ended.
   /// @return whether a probe is to be sent now.
-  [[nodiscard]] bool NoteOwn(PathOutcome aOutcome);
+  [[nodiscard]] bool RecordDirect(PathOutcome aOutcome);
 
   /// Records how a probe ended.
   /// @return whether another one is to be sent after a pause.
-  [[nodiscard]] bool NoteProbe(PathOutcome aOutcome);
+  [[nodiscard]] bool RecordProbe(PathOutcome aOutcome);
 
   /// Records whether a peer reached the store.
-  void NotePeer(PathOutcome aOutcome, base::Instant aNow);
+  void RecordPeer(PathOutcome aOutcome, base::Instant aNow);
 
   /// @return whether calls on the own way are pointless for now.
-  [[nodiscard]] bool IsOwnLost() const { return state_ == State::Lost; }
+  [[nodiscard]] bool IsDirectPathLost() const { return state_ == State::Lost; }
 
   [[nodiscard]] bool MayAskPeer(base::Instant aNow) const
   {
--- a/Libraries/LibMetadata/ViewTracker.cpp
+++ b/Libraries/LibMetadata/ViewTracker.cpp
@@ -11,9 +11,9 @@
 }
 
 void
-ViewTracker::NoteRead(std::uint64_t aRevision,
-                      base::BootInstant aAskedAt,
-                      base::BootInstant aNow)
+ViewTracker::RecordRead(std::uint64_t aRevision,
+                        base::BootInstant aAskedAt,
+                        base::BootInstant aNow)
 {
   NoteComplete(aAskedAt);
   // Which part of a first read is news to others isn't known: to a copy that is
@@ -24,11 +24,11 @@
   followed_ = std::max(followed_, aRevision);
   answeredAt_ = aNow;
   confirmedAt_ = aNow;
-  distrustedAt_.reset();
+  markedStaleAt_.reset();
 }
 
 void
-ViewTracker::NoteChange(std::uint64_t aRevision)
+ViewTracker::RecordChange(std::uint64_t aRevision)
 {
   lastChange_ = std::max(lastChange_, aRevision);
 }
@@ -40,18 +40,18 @@
 {
   NoteComplete(aAskedAt);
   followed_ = std::max(followed_, aRevision);
-  if (distrustedAt_ && aAskedAt < *distrustedAt_) {
+  if (markedStaleAt_ && aAskedAt < *markedStaleAt_) {
     return;
   }
-  distrustedAt_.reset();
+  markedStaleAt_.reset();
   answeredAt_ = aNow;
   confirmedAt_ = aNow;
 }
 
 ReportOutcome
-ViewTracker::TakeView(const MirrorView& aView, base::BootInstant aNow)
+ViewTracker::ApplyView(const MirrorView& aView, base::BootInstant aNow)
 {
-  if (distrustedAt_) {
+  if (markedStaleAt_) {
     return ReportOutcome::Ignored;
   }
   if (aView.lastChange_ > followed_) {
@@ -69,34 +69,34 @@
 }
 
 ReportOutcome
-ViewTracker::Judge(const MirrorNews& aNews) const
+ViewTracker::Judge(const MirrorDelta& aDelta) const
 {
-  if (distrustedAt_) {
+  if (markedStaleAt_) {
     return ReportOutcome::Ignored;
   }
-  if (aNews.previousChange_ > followed_) {
+  if (aDelta.previousChange_ > followed_) {
     return ReportOutcome::Gap;
   }
   return ReportOutcome::Current;
 }
 
 void
-ViewTracker::NoteNews(const MirrorView& aView, base::BootInstant aNow)
+ViewTracker::RecordDelta(const MirrorView& aView, base::BootInstant aNow)
 {
   followed_ = std::max(followed_, aView.followed_);
-  (void)TakeView(aView, aNow);
+  (void)ApplyView(aView, aNow);
 }
 
 void
-ViewTracker::Distrust(base::BootInstant aNow)
+ViewTracker::MarkStale(base::BootInstant aNow)
 {
-  distrustedAt_ = aNow;
+  markedStaleAt_ = aNow;
 }
 
 bool
-ViewTracker::IsConfirmed(base::Duration aTrust, base::BootInstant aNow) const
+ViewTracker::IsConfirmed(base::Duration aFreshFor, base::BootInstant aNow) const
 {
-  return !distrustedAt_ && aNow < ConfirmedUntil(aTrust);
+  return !markedStaleAt_ && aNow < ConfirmedUntil(aFreshFor);
 }
 
 MirrorView
--- a/Libraries/LibMetadata/ViewTracker.h
+++ b/Libraries/LibMetadata/ViewTracker.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibMetadata/MirrorNews.h"
+#include "LibMetadata/MirrorDelta.h"
 
 #include <cstdint>
 #include <optional>
@@ -25,15 +25,15 @@
 class ViewTracker
 {
 public:
-  /// The whole prefix was read, and what differed noted by NoteChange().
+  /// The whole prefix was read, and what differed noted by RecordChange().
   /// @param aRevision Changes after it are not all in the copy.
   /// @param aAskedAt  When the first call was made.
-  void NoteRead(std::uint64_t aRevision,
-                base::BootInstant aAskedAt,
-                base::BootInstant aNow);
+  void RecordRead(std::uint64_t aRevision,
+                  base::BootInstant aAskedAt,
+                  base::BootInstant aNow);
 
   /// A change that matters went into the copy.
-  void NoteChange(std::uint64_t aRevision);
+  void RecordChange(std::uint64_t aRevision);
 
   /// The store answered this host.
   /// @param aRevision Up to which the copy is complete now.
@@ -43,27 +43,28 @@
                   base::BootInstant aNow);
 
   /// Takes in how far a peer's copy has got.
-  ReportOutcome TakeView(const MirrorView& aView, base::BootInstant aNow);
+  ReportOutcome ApplyView(const MirrorView& aView, base::BootInstant aNow);
 
   /// @return whether the changes that a peer passes on join up with the copy.
-  ///         Those after Followed() are to be applied, then NoteNews() is due.
-  [[nodiscard]] ReportOutcome Judge(const MirrorNews& aNews) const;
+  ///         Those after Followed() are to be applied, then RecordDelta() is
+  ///         due.
+  [[nodiscard]] ReportOutcome Judge(const MirrorDelta& aDelta) const;
 
   /// The changes that a peer passed on are in the copy.
-  void NoteNews(const MirrorView& aView, base::BootInstant aNow);
+  void RecordDelta(const MirrorView& aView, base::BootInstant aNow);
 
   /// This host did not run for a while. What waits to be read may be as old,
   /// so only a call that is made from now on confirms the copy.
-  void Distrust(base::BootInstant aNow);
+  void MarkStale(base::BootInstant aNow);
 
   /// @return whether the store confirmed the copy lately.
-  [[nodiscard]] bool IsConfirmed(base::Duration aTrust,
+  [[nodiscard]] bool IsConfirmed(base::Duration aFreshFor,
                                  base::BootInstant aNow) const;
 
   /// @return when the copy stops being confirmed, if nothing happens.
-  [[nodiscard]] base::BootInstant ConfirmedUntil(base::Duration aTrust) const
+  [[nodiscard]] base::BootInstant ConfirmedUntil(base::Duration aFreshFor) const
   {
-    return confirmedAt_ + aTrust;
+    return confirmedAt_ + aFreshFor;
   }
 
   /// @return the moment of which the copy surely holds all changes, wherever
@@ -88,7 +89,7 @@
   base::BootInstant confirmedAt_{};
   base::BootInstant answeredAt_{}; ///< By the store, to this host.
   std::optional<base::BootInstant> completeAsOf_;
-  std::optional<base::BootInstant> distrustedAt_;
+  std::optional<base::BootInstant> markedStaleAt_;
 };
 
 } // namespace pumiceturn::metadata
--- a/Tests/LibFleet/CountNewsTest.cpp
+++ b/Tests/LibFleet/CountPublisherTest.cpp
@@ -1,4 +1,4 @@
-#include "LibFleet/CountNews.h"
+#include "LibFleet/CountPublisher.h"
 
 #include <catch2/catch.hpp>
 
@@ -6,7 +6,7 @@
 
 using std::chrono::milliseconds;
 
-class CountNewsFixture
+class CountPublisherFixture
 {
 protected:
   static base::Instant At(int aMilliseconds)
@@ -22,16 +22,17 @@
 
   std::optional<CountUpdate> Next(std::vector<PeerCount> aCounts, int aNow)
   {
-    return news_.Next(aCounts, At(aNow));
+    return publisher_.Next(aCounts, At(aNow));
   }
 
-  CountNews news_;
+  CountPublisher publisher_;
 };
 
 // A burst comes: two hosts send a request each to the last free place of an
 // engine, as they hear of each other's runs only ten times a second, and one
 // of the two callers waits for half a second.
-TEST_CASE_METHOD(CountNewsFixture, "CountNews_RunStarts_IsToldAtTheNextLook")
+TEST_CASE_METHOD(CountPublisherFixture,
+                 "CountNews_RunStarts_IsToldAtTheNextLook")
 {
   const auto first = Next({ Online("a", 1), Online("b", 2) }, 0);
   REQUIRE(first);
@@ -44,7 +45,7 @@
 }
 
 // The last run at an endpoint ends, and peers go on avoiding it.
-TEST_CASE_METHOD(CountNewsFixture, "CountNews_LastRunEnds_ZeroIsTold")
+TEST_CASE_METHOD(CountPublisherFixture, "CountNews_LastRunEnds_ZeroIsTold")
 {
   CHECK(Next({ Online("a", 1) }, 0));
   const auto change = Next({}, 10);
@@ -54,7 +55,8 @@
 }
 
 // A datagram with a change is lost: peers would believe the old count for good.
-TEST_CASE_METHOD(CountNewsFixture, "CountNews_NothingChanges_AllAreToldAgain")
+TEST_CASE_METHOD(CountPublisherFixture,
+                 "CountNews_NothingChanges_AllAreToldAgain")
 {
   CHECK(Next({ Online("a", 1) }, 0));
   const auto again = Next({ Online("a", 1) }, 100);
@@ -64,12 +66,12 @@
 }
 
 // A fleet grows, and each host spends its processor on hearing the others.
-TEST_CASE_METHOD(CountNewsFixture, "CountNews_ManyPeers_AreToldLessOften")
+TEST_CASE_METHOD(CountPublisherFixture, "CountNews_ManyPeers_AreToldLessOften")
 {
-  CHECK(CountNews::Interval(1) == milliseconds(10));
-  CHECK(CountNews::Interval(8) == milliseconds(20));
-  CHECK(CountNews::Interval(40) == milliseconds(100));
-  CHECK(CountNews::Interval(400) == milliseconds(100));
+  CHECK(CountPublisher::Interval(1) == milliseconds(10));
+  CHECK(CountPublisher::Interval(8) == milliseconds(20));
+  CHECK(CountPublisher::Interval(40) == milliseconds(100));
+  CHECK(CountPublisher::Interval(400) == milliseconds(100));
 }
 
 } // namespace pumiceturn::fleet
--- a/Tests/LibFleet/EndpointTableTest.cpp
+++ b/Tests/LibFleet/EndpointTableTest.cpp
@@ -131,9 +131,9 @@
   Start("one", WorkClass::Batch, 3);
   CHECK(table_.BatchToYield("one", now_, 0.5) == 0);
   const std::vector<PeerCount> counts = { { "one", { 3, 0 } } };
-  table_.TakePeerCounts("peer", counts, now_);
+  table_.SetPeerCounts("peer", counts, now_);
   CHECK(table_.BatchToYield("one", now_, 0.0) == 2);
-  table_.TakePeerCounts("peer", {}, now_);
+  table_.SetPeerCounts("peer", {}, now_);
   CHECK(table_.BatchToYield("one", now_, 0.5) == 0);
 }
 
@@ -143,7 +143,7 @@
   Add("one");
   Start("one", WorkClass::Batch, 2);
   const std::vector<PeerCount> counts = { { "one", { 2, 2 } } };
-  table_.TakePeerCounts("peer", counts, now_);
+  table_.SetPeerCounts("peer", counts, now_);
   CHECK(table_.BatchToYield("one", now_, 0.5) == 1);
 }
 
@@ -157,7 +157,7 @@
   Start("online-only", WorkClass::Online, 4);
   Start("with-batch", WorkClass::Online, 2);
   const std::vector<PeerCount> counts = { { "with-batch", { 1, 1 } } };
-  table_.TakePeerCounts("peer", counts, now_);
+  table_.SetPeerCounts("peer", counts, now_);
   const auto choice = Choose(WorkClass::Online);
   REQUIRE(choice);
   CHECK(choice->endpoint_.id_ == "with-batch");
@@ -176,9 +176,9 @@
   Add("good");
   Start("good", WorkClass::Online, 4);
   const std::vector<PeerCount> failed = { { "bad", {}, true } };
-  table_.TakePeerCounts("peer-1", failed, now_);
+  table_.SetPeerCounts("peer-1", failed, now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "bad");
-  table_.TakePeerCounts("peer-2", failed, now_);
+  table_.SetPeerCounts("peer-2", failed, now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "good");
 }
 
@@ -195,7 +195,7 @@
 {
   Add("one");
   const std::vector<PeerCount> counts = { { "one", { 4, 0 } } };
-  table_.TakePeerCounts("peer", counts, now_);
+  table_.SetPeerCounts("peer", counts, now_);
   CHECK_FALSE(Choose(WorkClass::Batch));
   now_ += 2s;
   CHECK(Choose(WorkClass::Batch));
@@ -255,9 +255,9 @@
                  "EndpointTable_HeardAfterTheMoment_HasLivedOn")
 {
   Add("one");
-  table_.NoteHeard({ "one" }, now_ - 1s, now_);
+  table_.RecordActivity({ "one" }, now_ - 1s, now_);
   CHECK_FALSE(table_.HasLivedOn("one", now_, now_));
-  table_.NoteHeard({ "one" }, now_ - 1s, now_ + 1ms);
+  table_.RecordActivity({ "one" }, now_ - 1s, now_ + 1ms);
   CHECK(table_.HasLivedOn("one", now_, now_ + 1ms));
 }
 
@@ -298,7 +298,7 @@
     table_.CountStart({ "one", 100 }, WorkClass::Online);
   }
   const PeerCount ofPeer{ "one", { 3, 0 }, true, 100 };
-  table_.TakePeerCounts("peer", std::span(&ofPeer, 1), now_);
+  table_.SetPeerCounts("peer", std::span(&ofPeer, 1), now_);
   table_.NoteFailure({ "one", 100 }, now_);
   CHECK(AddBorn("one", 200) == RegistrationNews::Restarted);
   CHECK(Choose(WorkClass::Online)->running_ == 0);
@@ -315,7 +315,7 @@
   table_.CountEnd({ "one", 100 }, WorkClass::Online);
   CHECK(Choose(WorkClass::Online)->running_ == 1);
   const PeerCount ofPeer{ "one", { 3, 0 }, false, 100 };
-  table_.TakePeerChanges("peer", std::span(&ofPeer, 1), now_);
+  table_.UpdatePeerCounts("peer", std::span(&ofPeer, 1), now_);
   CHECK(Choose(WorkClass::Online)->running_ == 1);
   CHECK(AddBorn("one", 100) == RegistrationNews::Outdated);
   CHECK(Choose(WorkClass::Online)->endpoint_.bornMs_ == 200);
@@ -331,11 +331,11 @@
 {
   AddBorn("one", 100);
   const base::Instant crash = now_;
-  table_.NoteHeard({ "one", 100 }, crash + 100ms, crash + 200ms);
+  table_.RecordActivity({ "one", 100 }, crash + 100ms, crash + 200ms);
   CHECK_FALSE(table_.HasLivedOn("one", crash, crash + 200ms));
   now_ += 3s;
   AddBorn("one", 200);
-  table_.NoteHeard({ "one", 200 }, now_, now_ + 100ms);
+  table_.RecordActivity({ "one", 200 }, now_, now_ + 100ms);
   CHECK_FALSE(table_.HasLivedOn("one", crash, crash + 10s));
 }
 
@@ -380,12 +380,12 @@
   Add("two");
   const std::vector<PeerCount> all = { { "one", { 4, 0 }, false },
                                        { "two", { 3, 0 }, false } };
-  table_.TakePeerCounts("peer", all, now_);
+  table_.SetPeerCounts("peer", all, now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "two");
   const std::vector<PeerCount> changed = { { "one", { 3, 0 }, false },
                                            { "two", { 4, 0 }, false } };
-  table_.TakePeerChanges("peer", std::span(changed).first(1), now_);
-  table_.TakePeerChanges("peer", std::span(changed).last(1), now_);
+  table_.UpdatePeerCounts("peer", std::span(changed).first(1), now_);
+  table_.UpdatePeerCounts("peer", std::span(changed).last(1), now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "one");
   CHECK(Choose(WorkClass::Online)->running_ == 3);
 }
--- a/Tests/LibFleet/RateLimiterTest.cpp
+++ b/Tests/LibFleet/RateLimiterTest.cpp
@@ -21,7 +21,7 @@
   static constexpr base::Duration kStep = 1ms;
   static constexpr base::Duration kTick = 100ms;
   static constexpr base::Duration kPatience = 60ms;
-  static constexpr base::Duration kSilence = 300ms;
+  static constexpr base::Duration kSilenceTimeout = 300ms;
   static constexpr RateTolerance kTolerance{ 5s, 0.1, 20.0 };
 
   struct Host
@@ -129,7 +129,8 @@
   {
     std::vector<RateLimitMembership::Member> others;
     for (const Host& other : hosts_) {
-      const bool isCut = other.side_ != aHost.side_ && now_ - cutAt_ > kSilence;
+      const bool isCut =
+        other.side_ != aHost.side_ && now_ - cutAt_ > kSilenceTimeout;
       const bool isRegistered = other.isUp_ || now_ - downAt_ < 3s;
       if (&other != &aHost && isRegistered) {
         others.push_back({ other.name_, other.isUp_ && !isCut, true });
--- a/Tests/LibMetadata/FakeStore.h
+++ b/Tests/LibMetadata/FakeStore.h
@@ -16,39 +16,39 @@
   struct WatchCall
   {
     std::uint64_t after_ = 0;
-    Callback<WatchReply> callback_;
+    Callback<WatchResponse> callback_;
   };
 
   void Range(const std::string& /*aPrefix*/,
              const std::string& aAfter,
-             Callback<RangeReply> aCallback) override
+             Callback<RangeResponse> aCallback) override
   {
     ranges_.push_back({ aAfter, std::move(aCallback) });
   }
   void Watch(const std::string& /*aPrefix*/,
              std::uint64_t aAfterRevision,
              base::Duration /*aLongestWait*/,
-             Callback<WatchReply> aCallback) override
+             Callback<WatchResponse> aCallback) override
   {
     watches_.push_back({ aAfterRevision, std::move(aCallback) });
   }
   void Commit(const Transaction& aTransaction,
-              Callback<TransactionReply> aCallback) override
+              Callback<TransactionResponse> aCallback) override
   {
     commits_.push_back({ aTransaction, std::move(aCallback) });
   }
   void GrantLease(base::Duration /*aLifetime*/,
-                  Callback<LeaseReply> aCallback) override
+                  Callback<LeaseResponse> aCallback) override
   {
     grants_.push_back(std::move(aCallback));
   }
   void RenewLease(std::uint64_t /*aLease*/,
-                  Callback<LeaseReply> aCallback) override
+                  Callback<LeaseResponse> aCallback) override
   {
     renewals_.push_back(std::move(aCallback));
   }
   void EndLease(std::uint64_t /*aLease*/,
-                Callback<LeaseReply> aCallback) override
+                Callback<LeaseResponse> aCallback) override
   {
     ends_.push_back(std::move(aCallback));
   }
@@ -62,12 +62,12 @@
     return call;
   }
 
-  std::deque<std::pair<std::string, Callback<RangeReply>>> ranges_;
+  std::deque<std::pair<std::string, Callback<RangeResponse>>> ranges_;
   std::deque<WatchCall> watches_;
-  std::deque<std::pair<Transaction, Callback<TransactionReply>>> commits_;
-  std::deque<Callback<LeaseReply>> grants_;
-  std::deque<Callback<LeaseReply>> renewals_;
-  std::deque<Callback<LeaseReply>> ends_;
+  std::deque<std::pair<Transaction, Callback<TransactionResponse>>> commits_;
+  std::deque<Callback<LeaseResponse>> grants_;
+  std::deque<Callback<LeaseResponse>> renewals_;
+  std::deque<Callback<LeaseResponse>> ends_;
 };
 
 } // namespace pumiceturn::metadata
--- a/Tests/LibMetadata/FollowerFleetTest.cpp
+++ b/Tests/LibMetadata/FollowerFleetTest.cpp
@@ -1,4 +1,4 @@
-#include "LibMetadata/FollowerChoice.h"
+#include "LibMetadata/FollowerSelector.h"
 #include "LibMetadata/ViewTracker.h"
 
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
   {
     std::string name_;
     bool isUp_ = true;
-    FollowerChoice choice_;
+    FollowerSelector choice_;
     ViewTracker tracker_;
   };
 
@@ -34,8 +34,8 @@
   {
     for (std::size_t index = 0; index < kHosts; ++index) {
       const std::string name = "host" + std::to_string(index);
-      hosts_.push_back({ name, true, FollowerChoice(name), {} });
-      hosts_.back().tracker_.NoteRead(revision_, boot_, boot_);
+      hosts_.push_back({ name, true, FollowerSelector(name), {} });
+      hosts_.back().tracker_.RecordRead(revision_, boot_, boot_);
     }
     Play(1s);
     calls_ = 0;
@@ -70,7 +70,7 @@
   void Ask(Host& aHost)
   {
     ++calls_;
-    aHost.tracker_.NoteChange(revision_);
+    aHost.tracker_.RecordChange(revision_);
     aHost.tracker_.NoteAnswer(revision_, boot_, boot_);
   }
 
@@ -80,7 +80,7 @@
       if (&receiver == &aSender || !receiver.isUp_ || IsLost()) {
         continue;
       }
-      receiver.choice_.NotePeer(aSender.name_, { true, false }, now_);
+      receiver.choice_.RecordPeer(aSender.name_, { true, false }, now_);
       if (!aFollows) {
         continue;
       }
@@ -89,8 +89,8 @@
       // has got.
       const bool isTold = view.lastChange_ == receiver.tracker_.Followed() + 1;
       if (isTold && !IsLost()) {
-        receiver.tracker_.NoteNews(view, boot_);
-      } else if (receiver.tracker_.TakeView(view, boot_) ==
+        receiver.tracker_.RecordDelta(view, boot_);
+      } else if (receiver.tracker_.ApplyView(view, boot_) ==
                  ReportOutcome::Gap) {
         Ask(receiver);
       }
--- a/Tests/LibMetadata/FollowerChoiceTest.cpp
+++ b/Tests/LibMetadata/FollowerSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "LibMetadata/FollowerChoice.h"
+#include "LibMetadata/FollowerSelector.h"
 
 #include <catch2/catch.hpp>
 
@@ -24,7 +24,7 @@
   {
     std::string name_;
     FollowerState state_{ true, false };
-    FollowerChoice choice_;
+    FollowerSelector choice_;
   };
 
   void AddHosts(std::size_t aCount)
@@ -32,7 +32,7 @@
     for (std::size_t index = 0; index < aCount; ++index) {
       const std::string name = "host" + std::to_string(index);
       hosts_.push_back(
-        { name, { true, index < kWorkers }, FollowerChoice(name) });
+        { name, { true, index < kWorkers }, FollowerSelector(name) });
     }
   }
 
@@ -43,7 +43,7 @@
       for (const Host& sender : hosts_) {
         for (Host& receiver : hosts_) {
           if (&sender != &receiver && hears_(receiver.name_, sender.name_)) {
-            receiver.choice_.NotePeer(sender.name_, sender.state_, now_);
+            receiver.choice_.RecordPeer(sender.name_, sender.state_, now_);
           }
         }
       }
--- a/Tests/LibMetadata/PeerClocksTest.cpp
+++ b/Tests/LibMetadata/PeerClocksTest.cpp
@@ -15,7 +15,7 @@
   void Hear(int aMessages, base::Duration aWaited = 0ms)
   {
     for (int message = 0; message < aMessages; ++message) {
-      clocks_.NoteMessage(
+      clocks_.RecordMessage(
         "peer", incarnation_, PeerTime(now_ - kWay - aWaited), now_);
       now_ += 100ms;
     }
--- a/Tests/LibMetadata/PrefixMirrorTest.cpp
+++ b/Tests/LibMetadata/PrefixMirrorTest.cpp
@@ -15,13 +15,13 @@
   /// Registered anew without anything that matters to others.
   static constexpr const char* kHeartbeat = "heartbeat";
 
-  explicit MirrorFixture(base::Duration aTrust)
+  explicit MirrorFixture(base::Duration aFreshFor)
   {
     PrefixMirror::Options options;
     options.prefix_ = "p/";
     options.pause_ = std::chrono::milliseconds(0);
     options.retryPause_ = std::chrono::milliseconds(0);
-    options.trust_ = aTrust;
+    options.freshFor_ = aFreshFor;
     mirror_.emplace(
       context_, store_, health_, options, [this](const StoreItem& aItem) {
         ++changes_;
@@ -32,8 +32,8 @@
         }
         return aItem.value_ != kHeartbeat;
       });
-    mirror_->SetOnNews(
-      [this](const MirrorNews& aNews) { passedOn_.push_back(aNews); });
+    mirror_->SetOnDelta(
+      [this](const MirrorDelta& aDelta) { forwarded_.push_back(aDelta); });
     mirror_->Start();
   }
 
@@ -70,7 +70,7 @@
   StoreHealth health_;
   std::map<std::string, std::string> copy_;
   int changes_ = 0;
-  std::vector<MirrorNews> passedOn_;
+  std::vector<MirrorDelta> forwarded_;
   std::optional<PrefixMirror> mirror_;
 };
 
@@ -144,9 +144,9 @@
   }
 
   /// A report of a peer that the store answered just now.
-  void TakeView(std::uint64_t aLastChange, std::uint64_t aFollowed)
+  void ApplyView(std::uint64_t aLastChange, std::uint64_t aFollowed)
   {
-    mirror_->TakeView({ aLastChange, aFollowed, {} }, base::Duration::zero());
+    mirror_->ApplyView({ aLastChange, aFollowed, {} }, base::Duration::zero());
     Run();
   }
 };
@@ -154,9 +154,9 @@
 TEST_CASE_METHOD(ToldMirrorFixture,
                  "PrefixMirror_PeersConfirmTheCopy_StoreIsNotAsked")
 {
-  TakeView(5, 8);
-  mirror_->TakeNews({ 5, { 9, 9, {} }, { { "p/a", "2", 9 } } }, {});
-  TakeView(9, 12);
+  ApplyView(5, 8);
+  mirror_->ApplyDelta({ 5, { 9, 9, {} }, { { "p/a", "2", 9 } } }, {});
+  ApplyView(9, 12);
   CHECK(copy_["p/a"] == "2");
   CHECK(store_.watches_.empty());
 }
@@ -165,12 +165,12 @@
 TEST_CASE_METHOD(ToldMirrorFixture,
                  "PrefixMirror_NewsWasLost_AsksTheStoreForIt")
 {
-  TakeView(9, 12);
+  ApplyView(9, 12);
   REQUIRE(store_.watches_.size() == 1);
   CHECK(store_.watches_.front().after_ == 5);
   AnswerWatch(StoreStatus::Ok, { { "p/a", "2", 9 } }, 12);
   CHECK(copy_["p/a"] == "2");
-  TakeView(9, 13);
+  ApplyView(9, 13);
   CHECK(store_.watches_.empty());
 }
 
@@ -183,7 +183,7 @@
   mirror_->SetFollows(true);
   Run();
   REQUIRE(store_.watches_.size() == 1);
-  mirror_->TakeNews({ 5, { 9, 9, {} }, { { "p/a", "", 9, true } } }, {});
+  mirror_->ApplyDelta({ 5, { 9, 9, {} }, { { "p/a", "", 9, true } } }, {});
   CHECK(copy_.empty());
   AnswerWatch(StoreStatus::Ok, { { "p/a", "2", 7 } }, 8);
   CHECK(copy_.empty());
@@ -197,17 +197,17 @@
   mirror_->SetFollows(true);
   Run();
   AnswerWatch(StoreStatus::Ok, { { "p/a", kHeartbeat, 6 } }, 6);
-  CHECK(passedOn_.empty());
+  CHECK(forwarded_.empty());
   CHECK(mirror_->View().lastChange_ == 5);
   CHECK(mirror_->View().followed_ == 6);
   AnswerWatch(
     StoreStatus::Ok, { { "p/a", kHeartbeat, 7 }, { "p/b", "new", 8 } }, 9);
-  REQUIRE(passedOn_.size() == 1);
-  CHECK(passedOn_.front().previousChange_ == 5);
-  REQUIRE(passedOn_.front().items_.size() == 1);
-  CHECK(passedOn_.front().items_.front().key_ == "p/b");
-  CHECK(passedOn_.front().view_.lastChange_ == 8);
-  CHECK(passedOn_.front().view_.followed_ == 9);
+  REQUIRE(forwarded_.size() == 1);
+  CHECK(forwarded_.front().previousChange_ == 5);
+  REQUIRE(forwarded_.front().items_.size() == 1);
+  CHECK(forwarded_.front().items_.front().key_ == "p/b");
+  CHECK(forwarded_.front().view_.lastChange_ == 8);
+  CHECK(forwarded_.front().view_.followed_ == 9);
 }
 
 // Hundreds of hosts read a whole prefix at once, because the store dropped its
@@ -220,10 +220,10 @@
   FakeStore::Take(store_.watches_)
     .callback_({ StoreStatus::HistoryLost, {}, 0 });
   AnswerRange({ { "p/b", "new", 8 } }, 9);
-  REQUIRE(passedOn_.size() == 1);
-  CHECK(passedOn_.front().previousChange_ == 5);
-  CHECK(passedOn_.front().items_.size() == 2);
-  CHECK(passedOn_.front().view_.lastChange_ == 9);
+  REQUIRE(forwarded_.size() == 1);
+  CHECK(forwarded_.front().previousChange_ == 5);
+  CHECK(forwarded_.front().items_.size() == 2);
+  CHECK(forwarded_.front().view_.lastChange_ == 9);
   CHECK(copy_ == std::map<std::string, std::string>{ { "p/b", "new" } });
 }
 
@@ -232,10 +232,10 @@
 TEST_CASE_METHOD(ToldMirrorFixture,
                  "PrefixMirror_DidNotRun_AsksBeforeItTrustsPeers")
 {
-  mirror_->Distrust();
+  mirror_->MarkStale();
   Run();
   REQUIRE(store_.watches_.size() == 1);
-  TakeView(5, 8);
+  ApplyView(5, 8);
   AnswerWatch(StoreStatus::Ok, {}, 9);
   CHECK(store_.watches_.empty());
 }
--- a/Tests/LibMetadata/StoreHealthTest.cpp
+++ b/Tests/LibMetadata/StoreHealthTest.cpp
@@ -12,7 +12,7 @@
   void Call(bool aIsAnswered, int aAfterMs)
   {
     now_ += milliseconds(aAfterMs);
-    health_.NoteCall(aIsAnswered, now_);
+    health_.RecordCall(aIsAnswered, now_);
   }
 
   StoreHealth health_;
@@ -28,10 +28,10 @@
   Call(true, 0);
   Call(false, 1000);
   CHECK(health_.IsLost());
-  CHECK_FALSE(health_.ReturnedAt(now_));
+  CHECK_FALSE(health_.RecoveredAt(now_));
   Call(true, 550);
   CHECK_FALSE(health_.IsLost());
-  CHECK_FALSE(health_.ReturnedAt(now_));
+  CHECK_FALSE(health_.RecoveredAt(now_));
 }
 
 // All engines of a service are taken for gone when the store is back after some
@@ -42,9 +42,9 @@
   Call(false, 1000);
   Call(false, 600);
   Call(false, 600);
-  CHECK(health_.ReturnedAt(now_) == now_);
+  CHECK(health_.RecoveredAt(now_) == now_);
   Call(true, 600);
-  CHECK(health_.ReturnedAt(now_ + milliseconds(900)) == now_);
+  CHECK(health_.RecoveredAt(now_ + milliseconds(900)) == now_);
 }
 
 // After an outage a single call fails: the outage before is still the last one.
@@ -54,9 +54,9 @@
   Call(true, 3000);
   const base::Instant returned = now_;
   Call(false, 300);
-  CHECK(health_.ReturnedAt(now_) == returned);
+  CHECK(health_.RecoveredAt(now_) == returned);
   Call(true, 200);
-  CHECK(health_.ReturnedAt(now_) == returned);
+  CHECK(health_.RecoveredAt(now_) == returned);
 }
 
 // A job that was accepted during an outage is denied: the host reads the store,
--- a/Tests/LibMetadata/StorePathTest.cpp
+++ b/Tests/LibMetadata/StorePathTest.cpp
@@ -9,8 +9,8 @@
 protected:
   void LoseOwnWay()
   {
-    REQUIRE(path_.NoteOwn(PathOutcome::Refused));
-    REQUIRE(path_.NoteProbe(PathOutcome::Refused));
+    REQUIRE(path_.RecordDirect(PathOutcome::Refused));
+    REQUIRE(path_.RecordProbe(PathOutcome::Refused));
   }
 
   StorePath path_;
@@ -19,8 +19,8 @@
 
 TEST_CASE_METHOD(StorePathFixture, "StorePath_Served_NeedsNoProbe")
 {
-  CHECK_FALSE(path_.NoteOwn(PathOutcome::Served));
-  CHECK_FALSE(path_.IsOwnLost());
+  CHECK_FALSE(path_.RecordDirect(PathOutcome::Served));
+  CHECK_FALSE(path_.IsDirectPathLost());
 }
 
 // One answer got lost on a connection; the store is well.
@@ -29,28 +29,28 @@
   for (const PathOutcome outcome : { PathOutcome::Refused,
                                      PathOutcome::Throttled,
                                      PathOutcome::Unanswered }) {
-    CHECK(path_.NoteOwn(outcome));
-    CHECK_FALSE(path_.IsOwnLost());
-    CHECK_FALSE(path_.NoteProbe(PathOutcome::Served));
+    CHECK(path_.RecordDirect(outcome));
+    CHECK_FALSE(path_.IsDirectPathLost());
+    CHECK_FALSE(path_.RecordProbe(PathOutcome::Served));
   }
 }
 
 TEST_CASE_METHOD(StorePathFixture, "StorePath_ManyCallsFail_SendOneProbe")
 {
-  CHECK(path_.NoteOwn(PathOutcome::Refused));
-  CHECK_FALSE(path_.NoteOwn(PathOutcome::Refused));
-  CHECK_FALSE(path_.NoteOwn(PathOutcome::Unanswered));
+  CHECK(path_.RecordDirect(PathOutcome::Refused));
+  CHECK_FALSE(path_.RecordDirect(PathOutcome::Refused));
+  CHECK_FALSE(path_.RecordDirect(PathOutcome::Unanswered));
 }
 
 TEST_CASE_METHOD(StorePathFixture, "StorePath_ProbeFails_IsLostUntilOneServes")
 {
   LoseOwnWay();
-  CHECK(path_.IsOwnLost());
-  CHECK_FALSE(path_.NoteOwn(PathOutcome::Refused));
-  CHECK(path_.NoteProbe(PathOutcome::Unanswered));
-  CHECK(path_.IsOwnLost());
-  CHECK_FALSE(path_.NoteProbe(PathOutcome::Served));
-  CHECK_FALSE(path_.IsOwnLost());
+  CHECK(path_.IsDirectPathLost());
+  CHECK_FALSE(path_.RecordDirect(PathOutcome::Refused));
+  CHECK(path_.RecordProbe(PathOutcome::Unanswered));
+  CHECK(path_.IsDirectPathLost());
+  CHECK_FALSE(path_.RecordProbe(PathOutcome::Served));
+  CHECK_FALSE(path_.IsDirectPathLost());
 }
 
 // The store is down for all: hosts that ask peers only multiply calls.
@@ -59,7 +59,7 @@
   LoseOwnWay();
   for (int peer = 0; peer < StorePath::kPeersAsked; ++peer) {
     CHECK(path_.MayAskPeer(now_));
-    path_.NotePeer(PathOutcome::Refused, now_);
+    path_.RecordPeer(PathOutcome::Refused, now_);
   }
   CHECK_FALSE(path_.MayAskPeer(now_));
   CHECK(path_.MayAskPeer(now_ + StorePath::kPeerPause));
@@ -68,10 +68,10 @@
 TEST_CASE_METHOD(StorePathFixture, "StorePath_APeerServes_IsAskedAgain")
 {
   LoseOwnWay();
-  path_.NotePeer(PathOutcome::Refused, now_);
-  path_.NotePeer(PathOutcome::Refused, now_);
-  path_.NotePeer(PathOutcome::Served, now_);
-  path_.NotePeer(PathOutcome::Refused, now_);
+  path_.RecordPeer(PathOutcome::Refused, now_);
+  path_.RecordPeer(PathOutcome::Refused, now_);
+  path_.RecordPeer(PathOutcome::Served, now_);
+  path_.RecordPeer(PathOutcome::Refused, now_);
   CHECK(path_.MayAskPeer(now_));
 }
 
--- a/Tests/LibMetadata/ViewTrackerTest.cpp
+++ b/Tests/LibMetadata/ViewTrackerTest.cpp
@@ -29,9 +29,9 @@
 TEST_CASE_METHOD(ViewTrackerFixture,
                  "ViewTracker_PeerConfirms_AsksNothingForTheTimeThatIsLeft")
 {
-  tracker_.NoteRead(10, Now(), Now());
+  tracker_.RecordRead(10, Now(), Now());
   Pass(900ms);
-  CHECK(tracker_.TakeView(View(10, 14, 300ms), Now()) ==
+  CHECK(tracker_.ApplyView(View(10, 14, 300ms), Now()) ==
         ReportOutcome::Current);
   CHECK(tracker_.Followed() == 14);
   Pass(600ms);
@@ -45,22 +45,22 @@
 // name only how far it got, were taken for "nothing has changed".
 TEST_CASE_METHOD(ViewTrackerFixture, "ViewTracker_ChangeMissed_ShowsAsGap")
 {
-  tracker_.NoteRead(10, Now(), Now());
-  CHECK(tracker_.TakeView(View(12, 15), Now()) == ReportOutcome::Gap);
+  tracker_.RecordRead(10, Now(), Now());
+  CHECK(tracker_.ApplyView(View(12, 15), Now()) == ReportOutcome::Gap);
   CHECK(tracker_.Followed() == 10);
   CHECK(tracker_.Judge({ 12, View(16, 16), {} }) == ReportOutcome::Gap);
-  tracker_.NoteChange(12);
+  tracker_.RecordChange(12);
   tracker_.NoteAnswer(15, Now(), Now());
-  CHECK(tracker_.TakeView(View(12, 15), Now()) == ReportOutcome::Current);
+  CHECK(tracker_.ApplyView(View(12, 15), Now()) == ReportOutcome::Current);
 }
 
 TEST_CASE_METHOD(ViewTrackerFixture, "ViewTracker_NewsInTurn_JoinUp")
 {
-  tracker_.NoteRead(10, Now(), Now());
-  const MirrorNews news{ 10, View(13, 14), {} };
-  CHECK(tracker_.Judge(news) == ReportOutcome::Current);
-  tracker_.NoteChange(13);
-  tracker_.NoteNews(news.view_, Now());
+  tracker_.RecordRead(10, Now(), Now());
+  const MirrorDelta delta{ 10, View(13, 14), {} };
+  CHECK(tracker_.Judge(delta) == ReportOutcome::Current);
+  tracker_.RecordChange(13);
+  tracker_.RecordDelta(delta.view_, Now());
   CHECK(tracker_.Followed() == 14);
   CHECK(tracker_.Judge({ 13, View(20, 20), {} }) == ReportOutcome::Current);
 }
@@ -70,11 +70,11 @@
 TEST_CASE_METHOD(ViewTrackerFixture,
                  "ViewTracker_PeerWithOldNews_ChangesNothing")
 {
-  tracker_.NoteRead(20, Now(), Now());
+  tracker_.RecordRead(20, Now(), Now());
   Pass(900ms);
-  CHECK(tracker_.TakeView(View(12, 15), Now()) == ReportOutcome::Ignored);
+  CHECK(tracker_.ApplyView(View(12, 15), Now()) == ReportOutcome::Ignored);
   CHECK(tracker_.Followed() == 20);
-  tracker_.NoteNews(View(15, 15), Now());
+  tracker_.RecordDelta(View(15, 15), Now());
   CHECK(tracker_.Followed() == 20);
   Pass(200ms);
   CHECK_FALSE(tracker_.IsConfirmed(kTrust, Now()));
@@ -86,18 +86,18 @@
 TEST_CASE_METHOD(ViewTrackerFixture,
                  "ViewTracker_DidNotRun_TrustsOnlyACallMadeAfterwards")
 {
-  tracker_.NoteRead(10, Now(), Now());
+  tracker_.RecordRead(10, Now(), Now());
   const base::BootInstant beforeFreeze = Now();
   Pass(5s);
-  tracker_.Distrust(Now());
-  CHECK(tracker_.TakeView(View(10, 10), Now()) == ReportOutcome::Ignored);
+  tracker_.MarkStale(Now());
+  CHECK(tracker_.ApplyView(View(10, 10), Now()) == ReportOutcome::Ignored);
   CHECK(tracker_.Judge({ 10, View(11, 11), {} }) == ReportOutcome::Ignored);
   // The answer to a call from before waited just as long.
   tracker_.NoteAnswer(11, beforeFreeze, Now());
   CHECK_FALSE(tracker_.IsConfirmed(kTrust, Now()));
   tracker_.NoteAnswer(12, Now(), Now());
   CHECK(tracker_.IsConfirmed(kTrust, Now()));
-  CHECK(tracker_.TakeView(View(12, 13), Now()) == ReportOutcome::Current);
+  CHECK(tracker_.ApplyView(View(12, 13), Now()) == ReportOutcome::Current);
 }
 
 // A hundred hosts follow for themselves although one follows for all: each took
@@ -106,9 +106,9 @@
 TEST_CASE_METHOD(ViewTrackerFixture,
                  "ViewTracker_ConfirmedByPeer_DoesNotConfirmToOthers")
 {
-  tracker_.NoteRead(10, Now(), Now());
+  tracker_.RecordRead(10, Now(), Now());
   Pass(2s);
-  (void)tracker_.TakeView(View(10, 12), Now());
+  (void)tracker_.ApplyView(View(10, 12), Now());
   CHECK(tracker_.IsConfirmed(kTrust, Now()));
   CHECK(tracker_.View(Now()).age_ == 2s);
 }
@@ -118,12 +118,12 @@
 TEST_CASE_METHOD(ViewTrackerFixture,
                  "ViewTracker_FirstReadThenReport_TakesOverTheLastChange")
 {
-  tracker_.NoteRead(50, Now(), Now());
+  tracker_.RecordRead(50, Now(), Now());
   CHECK(tracker_.View(Now()).lastChange_ == 50);
-  (void)tracker_.TakeView(View(12, 60), Now());
+  (void)tracker_.ApplyView(View(12, 60), Now());
   CHECK(tracker_.View(Now()).lastChange_ == 12);
   // Nor does a later read, whose differences are noted one by one.
-  tracker_.NoteRead(70, Now(), Now());
+  tracker_.RecordRead(70, Now(), Now());
   CHECK(tracker_.View(Now()).lastChange_ == 12);
 }
 
@@ -135,7 +135,7 @@
   CHECK_FALSE(tracker_.CompleteAsOf());
   const base::BootInstant firstCall = Now();
   Pass(300ms);
-  tracker_.NoteRead(10, firstCall, Now());
+  tracker_.RecordRead(10, firstCall, Now());
   CHECK(tracker_.CompleteAsOf() == firstCall);
   const base::BootInstant secondCall = Now();
   Pass(4s);
@@ -147,15 +147,15 @@
 TEST_CASE_METHOD(ViewTrackerFixture,
                  "ViewTracker_PeerIsComplete_SoIsTheCopyThatReachesIt")
 {
-  tracker_.NoteRead(10, Now(), Now());
+  tracker_.RecordRead(10, Now(), Now());
   Pass(3s);
   MirrorView view = View(10, 14);
   view.completeAsOf_ = Now() - 500ms;
-  (void)tracker_.TakeView(view, Now());
+  (void)tracker_.ApplyView(view, Now());
   CHECK(tracker_.CompleteAsOf() == Now() - 500ms);
   // What an older message says changes nothing.
   view.completeAsOf_ = Now() - 2s;
-  (void)tracker_.TakeView(view, Now());
+  (void)tracker_.ApplyView(view, Now());
   CHECK(tracker_.CompleteAsOf() == Now() - 500ms);
 }
 
@@ -164,11 +164,11 @@
                  "ViewTracker_CopyLacksAChange_IsNotCompleteAsThePeers")
 {
   const base::BootInstant read = Now();
-  tracker_.NoteRead(10, read, Now());
+  tracker_.RecordRead(10, read, Now());
   Pass(3s);
   MirrorView view = View(12, 14);
   view.completeAsOf_ = Now();
-  CHECK(tracker_.TakeView(view, Now()) == ReportOutcome::Gap);
+  CHECK(tracker_.ApplyView(view, Now()) == ReportOutcome::Gap);
   CHECK(tracker_.CompleteAsOf() == read);
 }
 
--- a/Tests/Platform/BatchJobSpoolTest.cpp
+++ b/Tests/Platform/BatchJobSpoolTest.cpp
@@ -119,7 +119,7 @@
   job.state_.organisation_ = "archive";
   store_.Put("pumiceturn/lot/lot1", batch::EncodeState(job.state_));
   const auto statusOf = [this, &job] {
-    return Send(hosts_.back()->passOnPort_,
+    return Send(hosts_.back()->forwardPort_,
                 "PUT",
                 "/held/lot1",
                 {},
@@ -202,7 +202,7 @@
   job.content_ = JobBody(1);
   const std::string body = batch::EncodeSpooledJob(job);
   const auto bring = [&] {
-    return SendTo(Loopback(worker.passOnPort_), "PUT", "/held/lot1", {}, body);
+    return SendTo(Loopback(worker.forwardPort_), "PUT", "/held/lot1", {}, body);
   };
   const auto first = bring();
   const auto second = bring();
--- a/Tests/Platform/GatewayFixture.cpp
+++ b/Tests/Platform/GatewayFixture.cpp
@@ -89,20 +89,21 @@
   settings.capOverage_ = capOverage_;
   settings.revocationBound_ = revocationBound_;
   settings.rateTolerance_.overage_ = capOverage_;
-  host.passOnPort_ = FreePort();
-  settings.passOnAddress_ = fmt::format("127.0.0.1:{}", host.passOnPort_);
+  host.forwardPort_ = FreePort();
+  settings.forwardAddress_ = fmt::format("127.0.0.1:{}", host.forwardPort_);
   host.storePort_ = store_.OpenDoor();
   const auto storeAddress = Loopback(host.storePort_);
-  host.storePaths_ = std::make_unique<gateway::StorePaths>(
+  host.storeTransport_ = std::make_unique<gateway::StoreTransport>(
     context_, storeAddress, MakeStoreProtocol(storeAddress));
-  host.store_ = std::make_unique<StoreCalls>(*host.storePaths_, storeAddress);
+  host.store_ =
+    std::make_unique<StoreCalls>(*host.storeTransport_, storeAddress);
   host.gateway_ = std::make_unique<gateway::Gateway>(context_,
                                                      settings,
                                                      MakeStoreLayout(),
                                                      requestCodec_,
                                                      storeEntries_,
                                                      *host.store_,
-                                                     *host.storePaths_);
+                                                     *host.storeTransport_);
   REQUIRE(host.gateway_->Start());
   RunUntil([&] {
     return !store_.Get(std::string("pumiceturn/host/") + aName).empty();
--- a/Tests/Platform/GatewayFixture.h
+++ b/Tests/Platform/GatewayFixture.h
@@ -21,12 +21,12 @@
 /// A host of the system with its own address.
 struct TestHost
 {
-  std::unique_ptr<gateway::StorePaths> storePaths_;
+  std::unique_ptr<gateway::StoreTransport> storeTransport_;
   std::unique_ptr<StoreCalls> store_;
   std::unique_ptr<gateway::Gateway> gateway_;
   std::uint16_t callerPort_ = 0;
   std::uint16_t statusPort_ = 0;
-  std::uint16_t passOnPort_ = 0;
+  std::uint16_t forwardPort_ = 0;
   std::uint16_t storePort_ = 0; ///< Where the store takes this host's calls.
 };
 
--- a/Tests/Platform/ResultWriterTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -38,10 +38,10 @@
     writer_.Tick(now_);
   }
 
-  void Answer(const metadata::TransactionReply& aReply)
+  void Answer(const metadata::TransactionResponse& aResponse)
   {
     REQUIRE_FALSE(store_.commits_.empty());
-    metadata::FakeStore::Take(store_.commits_).second(aReply);
+    metadata::FakeStore::Take(store_.commits_).second(aResponse);
   }
 
   [[nodiscard]] std::size_t StoredCount(const std::string& aJob) const
@@ -103,7 +103,7 @@
   Finish("a", 0);
   Finish("b", 0);
   Pass(500ms);
-  metadata::TransactionReply conflict;
+  metadata::TransactionResponse conflict;
   conflict.status_ = StoreStatus::Conflict;
   Answer(conflict);
   REQUIRE(store_.commits_.size() == 2);
@@ -131,7 +131,7 @@
   const metadata::Transaction& again = store_.commits_.front().first;
   CHECK(again.writes_.front().key_ == first.writes_.front().key_);
   CHECK(again.writes_.front().value_ == first.writes_.front().value_);
-  metadata::TransactionReply isThere;
+  metadata::TransactionResponse isThere;
   isThere.status_ = StoreStatus::Conflict;
   isThere.current_.push_back(
     { first.writes_.front().key_, first.writes_.front().value_, 7 });
--- a/Tests/Platform/StorePathTest.cpp
+++ b/Tests/Platform/StorePathTest.cpp
@@ -144,7 +144,8 @@
 {
   const std::size_t before = store_.Keys("").size();
   for (const std::string target : { "/", "/store", "/elsewhere" }) {
-    CHECK(AskAt(Loopback(entry_->passOnPort_), "POST", target)->status_ != 200);
+    CHECK(AskAt(Loopback(entry_->forwardPort_), "POST", target)->status_ !=
+          200);
   }
   CHECK(store_.Keys("").size() == before);
 }
--- a/Tests/Platform/StoreReportTest.cpp
+++ b/Tests/Platform/StoreReportTest.cpp
@@ -16,16 +16,16 @@
 class StoreReportFixture
 {
 protected:
-  [[nodiscard]] static StoreNews MakeNews(std::size_t aValueBytes)
+  [[nodiscard]] static StoreDelta MakeDelta(std::size_t aValueBytes)
   {
-    StoreNews news;
-    news.prefix_ = StorePrefix::Endpoints;
-    news.news_.previousChange_ = 7;
-    news.news_.view_ = { 11, 12, 30ms };
+    StoreDelta delta;
+    delta.prefix_ = StorePrefix::Endpoints;
+    delta.delta_.previousChange_ = 7;
+    delta.delta_.view_ = { 11, 12, 30ms };
     // Not text: anyone may write under the endpoints' prefix.
-    news.news_.items_ = { { "s/1", std::string(aValueBytes, '\xff'), 10 },
-                          { "s/2", {}, 11, true } };
-    return news;
+    delta.delta_.items_ = { { "s/1", std::string(aValueBytes, '\xff'), 10 },
+                            { "s/2", {}, 11, true } };
+    return delta;
   }
 
   /// As it comes out of a datagram.
@@ -52,22 +52,22 @@
 
 TEST_CASE_METHOD(StoreReportFixture, "StoreNews_SentAndRead_IsTheSame")
 {
-  const StoreNews news = MakeNews(3);
-  const auto row = EncodeStoreNews(news);
+  const StoreDelta delta = MakeDelta(3);
+  const auto row = EncodeStoreDelta(delta);
   REQUIRE(row);
-  const StoreNews read = DecodeStoreNews(Sent(*row));
+  const StoreDelta read = DecodeStoreDelta(Sent(*row));
   CHECK(read.prefix_ == StorePrefix::Endpoints);
-  CHECK(read.news_.previousChange_ == 7);
-  REQUIRE(read.news_.items_.size() == 2);
-  CHECK(read.news_.items_[0].value_ == news.news_.items_[0].value_);
-  CHECK(read.news_.items_[0].revision_ == 10);
-  CHECK(read.news_.items_[1].removed_);
+  CHECK(read.delta_.previousChange_ == 7);
+  REQUIRE(read.delta_.items_.size() == 2);
+  CHECK(read.delta_.items_[0].value_ == delta.delta_.items_[0].value_);
+  CHECK(read.delta_.items_[0].revision_ == 10);
+  CHECK(read.delta_.items_[1].removed_);
 }
 
 // A large configuration fills every host's link, once for each peer.
 TEST_CASE_METHOD(StoreReportFixture, "StoreNews_TooLarge_IsNotSent")
 {
-  CHECK_FALSE(EncodeStoreNews(MakeNews(100000)));
+  CHECK_FALSE(EncodeStoreDelta(MakeDelta(100000)));
 }
 
 // A host never asks the store again: a stranger's report said that its copy is
@@ -94,7 +94,7 @@
   constexpr int kMostChanges = 4;
   std::mt19937 random(7);
   const std::vector<std::uint8_t> whole =
-    json::to_cbor(*EncodeStoreNews(MakeNews(20)));
+    json::to_cbor(*EncodeStoreDelta(MakeDelta(20)));
   int read = 0;
   for (int input = 0; input < kInputs; ++input) {
     std::vector<std::uint8_t> bytes = whole;
@@ -102,7 +102,7 @@
       bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
     }
     try {
-      (void)DecodeStoreNews(json::from_cbor(bytes));
+      (void)DecodeStoreDelta(json::from_cbor(bytes));
       ++read;
     } catch (const json::exception&) {
       // Refused, as it should be.
