--- a/Benchmarks/Gateway/Main.cpp
+++ b/Benchmarks/Gateway/Main.cpp
@@ -3,11 +3,11 @@
 #include "LibGateway/EndpointAddress.h"
 #include "LibGateway/Gateway.h"
 #include "LibHttpStream/ClientConnection.h"
+#include "platform/HttpStoreClient.h"
 #include "platform/Names.h"
+#include "platform/PlatformStoreCodec.h"
 #include "platform/RequestCodec.h"
 #include "platform/Standin/StoreStandin.h"
-#include "platform/StoreCalls.h"
-#include "platform/StoreEntries.h"
 
 #include <boost/asio/ip/address.hpp>
 #include <boost/asio/post.hpp>
@@ -56,7 +56,7 @@
   explicit PlatformThread(PacedServer::Pace aPace)
     : server_(context_, aPace)
     , store_(context_)
-    , storePort_(store_.OpenDoor())
+    , storePort_(store_.OpenPort())
   {
     const nlohmann::json route = {
       { "name", "r" },       { "hostname", "a.example" }, { "prefix", "/" },
@@ -150,9 +150,9 @@
 
   asio::io_context context_;
   adapter::RequestCodec requests_;
-  adapter::StoreEntries entries_;
+  adapter::PlatformStoreCodec entries_;
   StoreTransport transport_;
-  adapter::StoreCalls store_;
+  adapter::HttpStoreClient store_;
   Gateway gateway_;
   std::thread thread_;
 };
@@ -175,7 +175,7 @@
       std::chrono::seconds(10),
       [this](bool aIsConnected) {
         if (!aIsConnected) {
-          OnEnd(httpstream::CallEnd::NotConnected);
+          OnEnd(httpstream::CallOutcome::NotConnected);
           return;
         }
         httpstream::Call call;
@@ -190,9 +190,9 @@
     isOk_ = aHead.result_int() == 200;
   }
   void OnBody(std::string_view) override {}
-  void OnEnd(httpstream::CallEnd aEnd) override
+  void OnEnd(httpstream::CallOutcome aEnd) override
   {
-    isOk_ = isOk_ && aEnd == httpstream::CallEnd::Complete;
+    isOk_ = isOk_ && aEnd == httpstream::CallOutcome::Complete;
     --left_;
   }
 
--- a/Benchmarks/Gateway/PacedServer.cpp
+++ b/Benchmarks/Gateway/PacedServer.cpp
@@ -45,7 +45,7 @@
 void
 PacedServer::SendNext(const ExchangePtr& aExchange, std::uint32_t aEvent)
 {
-  aExchange->SendPiece(
+  aExchange->SendChunk(
     fmt::format("id: {}\ndata: {{\"text\": \" surname\"}}\n\n", aEvent));
   if (aEvent == pace_.events_) {
     aExchange->EndStream();
--- a/Libraries/LibBatch/BatchJob.cpp
+++ b/Libraries/LibBatch/BatchJob.cpp
@@ -100,7 +100,7 @@
 }
 
 std::string
-EncodeProgress(const std::unordered_map<std::string, PartialRun>& aProgress)
+EncodeProgress(const std::unordered_map<std::string, PartialOutput>& aProgress)
 {
   json rows = json::object();
   for (const auto& [item, run] : aProgress) {
@@ -109,10 +109,10 @@
   return Write(rows);
 }
 
-std::optional<std::unordered_map<std::string, PartialRun>>
+std::optional<std::unordered_map<std::string, PartialOutput>>
 DecodeProgress(std::string_view aText)
 {
-  using Progress = std::unordered_map<std::string, PartialRun>;
+  using Progress = std::unordered_map<std::string, PartialOutput>;
   return ReadJson<Progress>(aText, [](const json& aValue) {
     Progress progress;
     for (const auto& [item, row] : aValue.items()) {
--- a/Libraries/LibBatch/BatchJob.h
+++ b/Libraries/LibBatch/BatchJob.h
@@ -40,12 +40,12 @@
 };
 
 /// A run that was stopped: another endpoint goes on after its last event.
-struct PartialRun
+struct PartialOutput
 {
   std::uint64_t lastEvent_ = 0;
   std::string output_;
 
-  bool operator==(const PartialRun&) const = default;
+  bool operator==(const PartialOutput&) const = default;
 };
 
 /// What is stored of a job besides its content and results.
@@ -74,8 +74,8 @@
   std::map<std::uint32_t, std::string> parts_;
   std::optional<std::vector<BatchItem>> items_; ///< Once all parts are here.
   std::vector<ItemResult> results_;             ///< By position, without gaps.
-  std::map<std::uint32_t, std::vector<ItemResult>> pages_; ///< Not yet joined.
-  std::unordered_map<std::string, PartialRun> progress_;   ///< By item.
+  std::map<std::uint32_t, std::vector<ItemResult>> pages_;  ///< Not yet joined.
+  std::unordered_map<std::string, PartialOutput> progress_; ///< By item.
   /// Content and all results of a moment are here, not the state alone.
   bool isLoaded_ = false;
 
@@ -103,9 +103,9 @@
 DecodeResults(std::string_view aText);
 
 std::string
-EncodeProgress(const std::unordered_map<std::string, PartialRun>& aProgress);
+EncodeProgress(const std::unordered_map<std::string, PartialOutput>& aProgress);
 
-std::optional<std::unordered_map<std::string, PartialRun>>
+std::optional<std::unordered_map<std::string, PartialOutput>>
 DecodeProgress(std::string_view aText);
 
 } // namespace pumiceturn::batch
--- a/Libraries/LibBatch/ItemPace.cpp
+++ b/Libraries/LibBatch/ItemPace.cpp
@@ -24,7 +24,7 @@
 }
 
 void
-ItemPace::NoteRun(std::uint64_t aEvents, base::Duration aDuration)
+ItemPace::RecordRun(std::uint64_t aEvents, base::Duration aDuration)
 {
   if (aEvents >= kLeastEvents) {
     const std::chrono::duration<double> seconds = aDuration;
@@ -33,7 +33,7 @@
 }
 
 void
-ItemPace::NoteCompleted(std::uint64_t aTokens, std::uint64_t aEvents)
+ItemPace::RecordCompleted(std::uint64_t aTokens, std::uint64_t aEvents)
 {
   if (aTokens > 0) {
     eventsAToken_.Add(static_cast<double>(aEvents) /
--- a/Libraries/LibBatch/ItemPace.h
+++ b/Libraries/LibBatch/ItemPace.h
@@ -14,11 +14,11 @@
 {
 public:
   /// Records a run that made events.
-  void NoteRun(std::uint64_t aEvents, base::Duration aDuration);
+  void RecordRun(std::uint64_t aEvents, base::Duration aDuration);
 
   /// Records the whole length of an item.
   /// @param aTokens Of its prompt and its longest output.
-  void NoteCompleted(std::uint64_t aTokens, std::uint64_t aEvents);
+  void RecordCompleted(std::uint64_t aTokens, std::uint64_t aEvents);
 
   /// @return how long an item still runs; zero as long as nothing is known.
   [[nodiscard]] base::Duration Remaining(std::uint64_t aTokens,
--- a/Libraries/LibBatch/ItemSchedule.cpp
+++ b/Libraries/LibBatch/ItemSchedule.cpp
@@ -29,7 +29,7 @@
 }
 
 std::vector<std::size_t>
-ItemSchedule::StartableItems(base::Instant aNow, const HasLivedOn& aHasLivedOn)
+ItemSchedule::StartableItems(base::Instant aNow, const HasSurvived& aHasLivedOn)
 {
   std::vector<std::size_t> startable;
   for (std::size_t index = 0; index < items_.size(); ++index) {
@@ -57,8 +57,8 @@
 
 std::optional<ItemResult>
 ItemSchedule::End(std::size_t aItem,
-                  ItemRunEnd aEnd,
-                  PartialRun aProgress,
+                  ItemAttemptOutcome aEnd,
+                  PartialOutput aProgress,
                   base::Instant aNow)
 {
   Item& item = items_[aItem];
@@ -68,22 +68,22 @@
   const bool hasAdvanced = aProgress.lastEvent_ > item.progress_.lastEvent_;
   item.progress_ = std::move(aProgress);
   switch (aEnd) {
-    case ItemRunEnd::Completed:
+    case ItemAttemptOutcome::Completed:
       return Finish(
         item, ItemState::Completed, std::move(item.progress_.output_));
-    case ItemRunEnd::Impossible:
+    case ItemAttemptOutcome::Impossible:
       return Finish(item, ItemState::Errored, {});
-    case ItemRunEnd::Failed:
+    case ItemAttemptOutcome::Failed:
       ++item.failures_;
       if (item.failures_ >= limits_.maxAttempts_) {
         return Finish(item, ItemState::Errored, {});
       }
       Postpone(item, kRetryPause, aNow);
       break;
-    case ItemRunEnd::NotRun:
-      Postpone(item, kNoPlacePause, aNow);
+    case ItemAttemptOutcome::NotRun:
+      Postpone(item, kNoSlotPause, aNow);
       break;
-    case ItemRunEnd::Broken:
+    case ItemAttemptOutcome::Broken:
       if (hasAdvanced) {
         item.crashes_.clear();
       } else {
@@ -91,7 +91,7 @@
       }
       Postpone(item, kRetryPause, aNow);
       break;
-    case ItemRunEnd::Preempted:
+    case ItemAttemptOutcome::Preempted:
       Postpone(item, base::Duration::zero(), aNow);
       break;
   }
@@ -137,10 +137,10 @@
   return tokens;
 }
 
-std::unordered_map<std::string, PartialRun>
+std::unordered_map<std::string, PartialOutput>
 ItemSchedule::Progress() const
 {
-  std::unordered_map<std::string, PartialRun> progress;
+  std::unordered_map<std::string, PartialOutput> progress;
   for (const Item& item : items_) {
     if (item.phase_ != Phase::Done && item.progress_.lastEvent_ > 0) {
       progress.emplace(item.id_, item.progress_);
--- a/Libraries/LibBatch/ItemSchedule.h
+++ b/Libraries/LibBatch/ItemSchedule.h
@@ -14,7 +14,7 @@
 namespace pumiceturn::batch {
 
 /// How a run of an item ended.
-enum class ItemRunEnd : std::uint8_t
+enum class ItemAttemptOutcome : std::uint8_t
 {
   Completed,
   Failed,     ///< The endpoint reported an error of its own.
@@ -45,7 +45,7 @@
   static constexpr std::size_t kMaxCrashes = 3;
 
   /// Tells whether an endpoint lived on after a moment.
-  using HasLivedOn =
+  using HasSurvived =
     std::function<bool(const std::string& aEndpoint, base::Instant aMoment)>;
 
   /// Pause after a break or an error, so that an item doesn't go straight back
@@ -54,7 +54,7 @@
     200 } };
 
   /// Pause after an endpoint had no place.
-  static constexpr base::Duration kNoPlacePause{ std::chrono::milliseconds{
+  static constexpr base::Duration kNoSlotPause{ std::chrono::milliseconds{
     100 } };
 
   ItemSchedule(const BatchJob& aJob, ItemLimits aLimits);
@@ -65,7 +65,7 @@
   /// @return the indices of the items that may start now.
   [[nodiscard]] std::vector<std::size_t> StartableItems(
     base::Instant aNow,
-    const HasLivedOn& aHasLivedOn);
+    const HasSurvived& aHasLivedOn);
 
   [[nodiscard]] std::uint64_t TokensOf(std::size_t aItem) const
   {
@@ -73,7 +73,7 @@
   }
 
   /// @return what a run of the item goes on from.
-  [[nodiscard]] const PartialRun& ProgressOf(std::size_t aItem) const
+  [[nodiscard]] const PartialOutput& ProgressOf(std::size_t aItem) const
   {
     return items_[aItem].progress_;
   }
@@ -84,8 +84,8 @@
   /// @param aProgress All events so far, those of earlier runs included.
   /// @return the item's result, if it now has one.
   std::optional<ItemResult> End(std::size_t aItem,
-                                ItemRunEnd aEnd,
-                                PartialRun aProgress,
+                                ItemAttemptOutcome aEnd,
+                                PartialOutput aProgress,
                                 base::Instant aNow);
 
   /// Gives up what has waited too long and doesn't run.
@@ -95,7 +95,7 @@
   [[nodiscard]] std::uint64_t WaitingTokens() const;
 
   /// @return partial runs of items without a result, for the next owner.
-  [[nodiscard]] std::unordered_map<std::string, PartialRun> Progress() const;
+  [[nodiscard]] std::unordered_map<std::string, PartialOutput> Progress() const;
 
 private:
   enum class Phase : std::uint8_t
@@ -114,7 +114,7 @@
     std::string id_;
     std::uint64_t tokens_ = 0;
     Phase phase_ = Phase::Waiting;
-    PartialRun progress_;
+    PartialOutput progress_;
     std::uint32_t failures_ = 0;
     std::string endpoint_;       ///< Of the run.
     std::vector<Break> crashes_; ///< Not disproved yet.
--- a/Libraries/LibBatch/StartOrder.cpp
+++ b/Libraries/LibBatch/StartOrder.cpp
@@ -125,9 +125,9 @@
 }
 
 bool
-GivesWayBefore(const ItemUrgency& aOne,
-               const ItemUrgency& aOther,
-               base::Instant aNow)
+IsPreemptedBefore(const ItemUrgency& aOne,
+                  const ItemUrgency& aOther,
+                  base::Instant aNow)
 {
   const bool isOneInReach = aOne.IsInReach(aNow);
   const bool isOtherInReach = aOther.IsInReach(aNow);
--- a/Libraries/LibBatch/StartOrder.h
+++ b/Libraries/LibBatch/StartOrder.h
@@ -61,8 +61,8 @@
 /// @return whether a run should give way sooner than another one: out of reach
 /// first, where the delay costs least, and then the one with most laxity.
 [[nodiscard]] bool
-GivesWayBefore(const ItemUrgency& aOne,
-               const ItemUrgency& aOther,
-               base::Instant aNow);
+IsPreemptedBefore(const ItemUrgency& aOne,
+                  const ItemUrgency& aOther,
+                  base::Instant aNow);
 
 } // namespace pumiceturn::batch
--- a/Libraries/LibFleet/AdmissionControl.cpp
+++ b/Libraries/LibFleet/AdmissionControl.cpp
@@ -11,7 +11,7 @@
 constexpr double kWaitShare = 0.6;
 
 /// Runs after which their mean time is trusted, and the weight of a new one.
-constexpr std::uint32_t kLeastSamples = 8;
+constexpr std::uint32_t kMinSamples = 8;
 constexpr double kNewSampleWeight = 0.05;
 
 /// A caller that has less than this share of the longest time seen on its route
@@ -19,15 +19,16 @@
 constexpr double kFreshCallerShare = 0.9;
 
 /// Callers heed a time to come back of up to a third of what they have left.
-constexpr double kComeBackShare = 0.33;
-constexpr base::Duration kLongestComeBack{ std::chrono::milliseconds{ 1600 } };
+constexpr double kRetryAfterShare = 0.33;
+constexpr base::Duration kMaxRetryAfter{ std::chrono::milliseconds{ 1600 } };
 
 /// For a caller that doesn't say how long it waits.
-constexpr base::Duration kUsualPatience{ std::chrono::milliseconds{ 3000 } };
+constexpr base::Duration kDefaultClientTimeout{ std::chrono::milliseconds{
+  3000 } };
 
 /// Returns are spread over the last part of the time, so that the callers of
 /// one burst don't come back as another.
-constexpr double kLeastComeBackPart = 0.6;
+constexpr double kMinRetryAfterPart = 0.6;
 
 base::Duration
 Scale(base::Duration aDuration, double aFactor)
@@ -38,7 +39,7 @@
 } // namespace
 
 void
-AdmissionControl::NoteRun(std::string_view aService, base::Duration aDuration)
+AdmissionControl::RecordRun(std::string_view aService, base::Duration aDuration)
 {
   RunTime& time = runTimes_[std::string(aService)];
   ++time.samples_;
@@ -50,7 +51,7 @@
 AdmissionControl::ExpectedWait(const AdmissionRequest& aRequest) const
 {
   const auto time = runTimes_.find(std::string(aRequest.service_));
-  if (time == runTimes_.end() || time->second.samples_ < kLeastSamples ||
+  if (time == runTimes_.end() || time->second.samples_ < kMinSamples ||
       aRequest.running_ < aRequest.slots_) {
     return base::Duration::zero();
   }
@@ -64,12 +65,12 @@
 bool
 AdmissionControl::HasBeenHereBefore(const AdmissionRequest& aRequest)
 {
-  if (!aRequest.patience_) {
+  if (!aRequest.clientTimeout_) {
     return false;
   }
-  base::Duration& longest = longestPatience_[std::string(aRequest.route_)];
-  longest = std::max(longest, *aRequest.patience_);
-  return *aRequest.patience_ < Scale(longest, kFreshCallerShare);
+  base::Duration& longest = maxClientTimeout_[std::string(aRequest.route_)];
+  longest = std::max(longest, *aRequest.clientTimeout_);
+  return *aRequest.clientTimeout_ < Scale(longest, kFreshCallerShare);
 }
 
 Admission
@@ -81,20 +82,20 @@
   const bool hasObjective = aRequest.objective_ > base::Duration::zero();
   if (hasObjective && !hasBeenHere &&
       admission.expectedWait_ > Scale(aRequest.objective_, kWaitShare)) {
-    admission.retryAfter_ = RetryAfter(aRequest.patience_, aRandom);
+    admission.retryAfter_ = RetryAfter(aRequest.clientTimeout_, aRandom);
   }
   return admission;
 }
 
 base::Duration
-AdmissionControl::RetryAfter(std::optional<base::Duration> aPatience,
+AdmissionControl::RetryAfter(std::optional<base::Duration> aClientTimeout,
                              double aRandom)
 {
-  const base::Duration longest =
-    std::min(Scale(aPatience.value_or(kUsualPatience), kComeBackShare),
-             kLongestComeBack);
+  const base::Duration longest = std::min(
+    Scale(aClientTimeout.value_or(kDefaultClientTimeout), kRetryAfterShare),
+    kMaxRetryAfter);
   return Scale(longest,
-               kLeastComeBackPart + (1.0 - kLeastComeBackPart) * aRandom);
+               kMinRetryAfterPart + (1.0 - kMinRetryAfterPart) * aRandom);
 }
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/AdmissionControl.h
+++ b/Libraries/LibFleet/AdmissionControl.h
@@ -20,7 +20,7 @@
   /// Time to the first event that the route aims at; zero: none is declared.
   base::Duration objective_{ 0 };
   /// What the caller says it will wait; nothing: it doesn't say.
-  std::optional<base::Duration> patience_;
+  std::optional<base::Duration> clientTimeout_;
 };
 
 struct Admission
@@ -40,7 +40,7 @@
 {
 public:
   /// Records how long a run kept its place.
-  void NoteRun(std::string_view aService, base::Duration aDuration);
+  void RecordRun(std::string_view aService, base::Duration aDuration);
 
   /// Judges a request before it is sent for the first time.
   /// @param aRandom Uniform in [0, 1): spreads the returns of callers.
@@ -49,11 +49,11 @@
 
   /// @return when a caller that gets no place should come back.
   [[nodiscard]] static base::Duration RetryAfter(
-    std::optional<base::Duration> aPatience,
+    std::optional<base::Duration> aClientTimeout,
     double aRandom);
 
   /// Forgets what was learned of routes: another configuration is in force.
-  void ForgetRoutes() { longestPatience_.clear(); }
+  void ForgetRoutes() { maxClientTimeout_.clear(); }
 
 private:
   /// How long a run keeps its place, as an average that forgets.
@@ -68,7 +68,8 @@
   [[nodiscard]] bool HasBeenHereBefore(const AdmissionRequest& aRequest);
 
   std::unordered_map<std::string, RunTime> runTimes_; ///< By service.
-  std::unordered_map<std::string, base::Duration> longestPatience_; ///< Routes.
+  std::unordered_map<std::string, base::Duration>
+    maxClientTimeout_; ///< Routes.
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/CountPublisher.cpp
+++ b/Libraries/LibFleet/CountPublisher.cpp
@@ -15,7 +15,7 @@
 /// place: at 100 ms, 1 in 8 requests that were sent to the last free place of
 /// an engine waited for over 280 ms there, at 25 ms 1 in 26 (18 engines, 5
 /// hosts, 150 requests a second).
-constexpr base::Duration kShortestInterval{ std::chrono::milliseconds{ 10 } };
+constexpr base::Duration kMinInterval{ std::chrono::milliseconds{ 10 } };
 
 /// Each peer's share of the interval: bounds what a host hears.
 constexpr base::Duration kIntervalOfEachPeer{ std::chrono::microseconds{
@@ -27,7 +27,7 @@
 CountPublisher::Interval(std::size_t aPeers)
 {
   return std::clamp<base::Duration>(
-    kIntervalOfEachPeer * aPeers, kShortestInterval, kWholeInterval);
+    kIntervalOfEachPeer * aPeers, kMinInterval, kWholeInterval);
 }
 
 std::optional<CountUpdate>
@@ -47,7 +47,7 @@
   }
   for (const auto& [endpoint, count] : told_) {
     if (!update.isWhole_ && !current.contains(endpoint)) {
-      update.counts_.push_back({ endpoint, {}, false, count.bornMs_ });
+      update.counts_.push_back({ endpoint, {}, false, count.startedAtMs_ });
     }
   }
   told_ = std::move(current);
--- a/Libraries/LibFleet/Declarations.h
+++ b/Libraries/LibFleet/Declarations.h
@@ -90,7 +90,7 @@
 struct EndpointIncarnation
 {
   std::string id_;
-  std::int64_t bornMs_ = 0; ///< Unix time of the start; 0: not said.
+  std::int64_t startedAtMs_ = 0; ///< Unix time of the start; 0: not said.
 
   bool operator==(const EndpointIncarnation&) const = default;
 };
@@ -104,11 +104,11 @@
   std::string failureDomain_;
   std::uint32_t slots_ = 1;
   bool isDraining_ = false;
-  std::int64_t bornMs_ = 0; ///< Unix time of its start; 0: not said.
+  std::int64_t startedAtMs_ = 0; ///< Unix time of its start; 0: not said.
 
   [[nodiscard]] EndpointIncarnation Incarnation() const
   {
-    return { id_, bornMs_ };
+    return { id_, startedAtMs_ };
   }
 
   bool operator==(const EndpointRecord&) const = default;
--- a/Libraries/LibFleet/EndpointTable.cpp
+++ b/Libraries/LibFleet/EndpointTable.cpp
@@ -35,34 +35,34 @@
 {
 }
 
-RegistrationNews
+RegistrationOutcome
 EndpointTable::Put(const EndpointRecord& aRecord, base::Instant aNow)
 {
   const auto replaced = replaced_.find(aRecord.id_);
   if (replaced != replaced_.end()) {
-    if (aRecord.bornMs_ <= replaced->second.bornMs_) {
-      return RegistrationNews::Outdated;
+    if (aRecord.startedAtMs_ <= replaced->second.startedAtMs_) {
+      return RegistrationOutcome::Outdated;
     }
     replaced_.erase(replaced);
   }
   const auto [found, isNew] = endpoints_.try_emplace(aRecord.id_);
   Endpoint& endpoint = found->second;
-  RegistrationNews news =
-    isNew ? RegistrationNews::New : RegistrationNews::Known;
-  if (!isNew && aRecord.bornMs_ < endpoint.record_.bornMs_) {
-    return RegistrationNews::Outdated;
+  RegistrationOutcome outcome =
+    isNew ? RegistrationOutcome::New : RegistrationOutcome::Known;
+  if (!isNew && aRecord.startedAtMs_ < endpoint.record_.startedAtMs_) {
+    return RegistrationOutcome::Outdated;
   }
-  if (!isNew && aRecord.bornMs_ > endpoint.record_.bornMs_) {
+  if (!isNew && aRecord.startedAtMs_ > endpoint.record_.startedAtMs_) {
     endpoint = {};
-    news = RegistrationNews::Restarted;
+    outcome = RegistrationOutcome::Restarted;
   }
-  if (news != RegistrationNews::Known) {
+  if (outcome != RegistrationOutcome::Known) {
     endpoint.knownSince_ = aNow;
   }
   endpoint.record_ = aRecord;
   endpoint.isWithheld_ = false;
   endpoint.vanishedUntil_.reset();
-  return news;
+  return outcome;
 }
 
 bool
@@ -86,8 +86,9 @@
 EndpointTable::Find(const EndpointIncarnation& aEndpoint)
 {
   const auto found = endpoints_.find(aEndpoint.id_);
-  const bool isMeant = found != endpoints_.end() &&
-                       found->second.record_.bornMs_ == aEndpoint.bornMs_;
+  const bool isMeant =
+    found != endpoints_.end() &&
+    found->second.record_.startedAtMs_ == aEndpoint.startedAtMs_;
   return isMeant ? &found->second : nullptr;
 }
 
@@ -127,10 +128,10 @@
   return dropped;
 }
 
-RunCounts
+InFlightCounts
 EndpointTable::CountsOf(const Endpoint& aEndpoint, base::Instant aNow) const
 {
-  RunCounts counts = aEndpoint.own_;
+  InFlightCounts counts = aEndpoint.own_;
   for (const auto& [peer, entry] : aEndpoint.peers_) {
     if (aNow - entry.at_ <= limits_.peerCountLifetime_) {
       counts.online_ += entry.counts_.online_;
@@ -158,7 +159,7 @@
 
 double
 EndpointTable::WeightOf(const Endpoint& aEndpoint,
-                        const RunCounts& aCounts,
+                        const InFlightCounts& aCounts,
                         base::Instant aNow) const
 {
   const std::uint32_t slots = aEndpoint.record_.slots_;
@@ -180,7 +181,7 @@
 
 double
 EndpointTable::PreemptionWeight(const Endpoint& aEndpoint,
-                                const RunCounts& aCounts)
+                                const InFlightCounts& aCounts)
 {
   const std::uint32_t slots = aEndpoint.record_.slots_;
   if (aCounts.batch_ == 0 || aCounts.online_ >= slots) {
@@ -194,7 +195,7 @@
 bool
 EndpointTable::MayTake(const Endpoint& aEndpoint,
                        const ChoiceRequest& aRequest,
-                       const RunCounts& aCounts,
+                       const InFlightCounts& aCounts,
                        base::Instant aNow) const
 {
   const bool isExcluded =
@@ -217,7 +218,7 @@
 void
 EndpointTable::Consider(Best& aBest,
                         const Endpoint& aEndpoint,
-                        const RunCounts& aCounts,
+                        const InFlightCounts& aCounts,
                         double aScore)
 {
   if (aBest.endpoint_ == nullptr || aScore < aBest.score_) {
@@ -249,7 +250,7 @@
   Best bestToPreempt; // Of those with batch that can give way.
   EndpointChoice choice;
   for (const auto& [id, endpoint] : endpoints_) {
-    const RunCounts counts = CountsOf(endpoint, aNow);
+    const InFlightCounts counts = CountsOf(endpoint, aNow);
     if (!MayTake(endpoint, aRequest, counts, aNow)) {
       continue;
     }
@@ -272,7 +273,7 @@
     best = bestToPreempt;
     choice.preemptsBatch_ = true;
     if (best.endpoint_->own_.batch_ == 0) {
-      choice.yieldingPeer_ = PeerWithMostBatch(*best.endpoint_);
+      choice.preemptedPeer_ = PeerWithMostBatch(*best.endpoint_);
     }
   }
   choice.endpoint_ = best.endpoint_->record_;
@@ -281,15 +282,16 @@
 }
 
 void
-EndpointTable::NoteYield(const std::string& aId, base::Instant aNow)
+EndpointTable::RecordPreemption(const std::string& aId, base::Instant aNow)
 {
   if (const auto found = endpoints_.find(aId); found != endpoints_.end()) {
-    found->second.noBatchUntil_ = aNow + limits_.pauseAfterYield_;
+    found->second.noBatchUntil_ = aNow + limits_.pauseAfterPreemption_;
   }
 }
 
 void
-EndpointTable::AssumeYield(const std::string& aId, const std::string& aPeer)
+EndpointTable::AssumePreemption(const std::string& aId,
+                                const std::string& aPeer)
 {
   const auto found = endpoints_.find(aId);
   if (found == endpoints_.end()) {
@@ -308,7 +310,7 @@
   if (endpoint == nullptr) {
     return;
   }
-  RunCounts& own = endpoint->own_;
+  InFlightCounts& own = endpoint->own_;
   ++(aWork == WorkClass::Online ? own.online_ : own.batch_);
 }
 
@@ -319,7 +321,7 @@
   if (endpoint == nullptr) {
     return;
   }
-  RunCounts& own = endpoint->own_;
+  InFlightCounts& own = endpoint->own_;
   std::uint32_t& count = aWork == WorkClass::Online ? own.online_ : own.batch_;
   // An endpoint that was dropped and registered again begins at zero while
   // older runs there still end.
@@ -327,8 +329,8 @@
 }
 
 void
-EndpointTable::NoteFailure(const EndpointIncarnation& aEndpoint,
-                           base::Instant aNow)
+EndpointTable::RecordFailure(const EndpointIncarnation& aEndpoint,
+                             base::Instant aNow)
 {
   Endpoint* endpoint = Find(aEndpoint);
   if (endpoint == nullptr) {
@@ -336,12 +338,12 @@
   }
   const std::uint32_t doublings = std::min(endpoint->failures_, kMaxDoublings);
   const base::Duration wait = limits_.firstAvoidance_ * (1U << doublings);
-  endpoint->avoidedUntil_ = aNow + std::min(wait, limits_.longestAvoidance_);
+  endpoint->avoidedUntil_ = aNow + std::min(wait, limits_.maxAvoidance_);
   ++endpoint->failures_;
 }
 
 void
-EndpointTable::NoteSuccess(const EndpointIncarnation& aEndpoint)
+EndpointTable::RecordSuccess(const EndpointIncarnation& aEndpoint)
 {
   if (Endpoint* endpoint = Find(aEndpoint)) {
     endpoint->failures_ = 0;
@@ -361,24 +363,24 @@
 }
 
 void
-EndpointTable::NoteReplaced(const EndpointIncarnation& aEndpoint,
-                            base::Instant aNow)
+EndpointTable::RecordReplaced(const EndpointIncarnation& aEndpoint,
+                              base::Instant aNow)
 {
   const auto found = endpoints_.find(aEndpoint.id_);
   if (found != endpoints_.end() &&
-      found->second.record_.bornMs_ > aEndpoint.bornMs_) {
+      found->second.record_.startedAtMs_ > aEndpoint.startedAtMs_) {
     return;
   }
-  replaced_[aEndpoint.id_] = { aEndpoint.bornMs_, aNow };
+  replaced_[aEndpoint.id_] = { aEndpoint.startedAtMs_, aNow };
   if (found != endpoints_.end()) {
     endpoints_.erase(found);
   }
 }
 
 bool
-EndpointTable::HasLivedOn(const std::string& aId,
-                          base::Instant aMoment,
-                          base::Instant aNow) const
+EndpointTable::HasSurvived(const std::string& aId,
+                           base::Instant aMoment,
+                           base::Instant aNow) const
 {
   const auto found = endpoints_.find(aId);
   if (found == endpoints_.end()) {
@@ -414,7 +416,7 @@
                                 base::Instant aNow)
 {
   for (const PeerCount& count : aCounts) {
-    if (Endpoint* endpoint = Find({ count.endpoint_, count.bornMs_ })) {
+    if (Endpoint* endpoint = Find({ count.endpoint_, count.startedAtMs_ })) {
       endpoint->peers_[aPeer] = { count.counts_, count.hasFailed_, aNow };
       endpointsOfPeers_[aPeer].insert(count.endpoint_);
     }
@@ -429,23 +431,23 @@
     const bool hasFailed = endpoint.avoidedUntil_ > aNow;
     if (endpoint.own_.Total() > 0 || hasFailed) {
       counts.push_back(
-        { id, endpoint.own_, hasFailed, endpoint.record_.bornMs_ });
+        { id, endpoint.own_, hasFailed, endpoint.record_.startedAtMs_ });
     }
   }
   return counts;
 }
 
 std::uint32_t
-EndpointTable::BatchToYield(const std::string& aId,
-                            base::Instant aNow,
-                            double aRandom) const
+EndpointTable::BatchToPreempt(const std::string& aId,
+                              base::Instant aNow,
+                              double aRandom) const
 {
   const auto found = endpoints_.find(aId);
   if (found == endpoints_.end() || found->second.own_.batch_ == 0) {
     return 0;
   }
   const Endpoint& endpoint = found->second;
-  const RunCounts all = CountsOf(endpoint, aNow);
+  const InFlightCounts all = CountsOf(endpoint, aNow);
   if (all.Total() <= endpoint.record_.slots_) {
     return 0;
   }
--- a/Libraries/LibFleet/EndpointTable.h
+++ b/Libraries/LibFleet/EndpointTable.h
@@ -23,22 +23,23 @@
 };
 
 /// Runs at one endpoint, by class.
-struct RunCounts
+struct InFlightCounts
 {
   std::uint32_t online_ = 0;
   std::uint32_t batch_ = 0;
 
   [[nodiscard]] std::uint32_t Total() const { return online_ + batch_; }
-  bool operator==(const RunCounts&) const = default;
+  bool operator==(const InFlightCounts&) const = default;
 };
 
 /// What one host says of one endpoint.
 struct PeerCount
 {
   std::string endpoint_;
-  RunCounts counts_;
-  bool hasFailed_ = false;  ///< It is avoided there after failures.
-  std::int64_t bornMs_ = 0; ///< Of the start of the endpoint that is meant.
+  InFlightCounts counts_;
+  bool hasFailed_ = false; ///< It is avoided there after failures.
+  std::int64_t startedAtMs_ =
+    0; ///< Of the start of the endpoint that is meant.
 
   bool operator==(const PeerCount&) const = default;
 };
@@ -51,11 +52,11 @@
   std::uint32_t candidates_ = 0;
   /// All places are taken, and a batch run there is to give way.
   bool preemptsBatch_ = false;
-  std::string yieldingPeer_; ///< Whose batch run it is; empty: an own one.
+  std::string preemptedPeer_; ///< Whose batch run it is; empty: an own one.
 };
 
 /// What a registration tells of an endpoint.
-enum class RegistrationNews : std::uint8_t
+enum class RegistrationOutcome : std::uint8_t
 {
   New,       ///< It was not known.
   Known,     ///< The same start of it.
@@ -97,12 +98,12 @@
     /// How long an endpoint is avoided after a connection to it failed or a
     /// run broke, doubling to the longest while failures go on.
     base::Duration firstAvoidance_{ std::chrono::milliseconds{ 400 } };
-    base::Duration longestAvoidance_{ std::chrono::milliseconds{ 3200 } };
+    base::Duration maxAvoidance_{ std::chrono::milliseconds{ 3200 } };
 
     /// Time without batch starts at an endpoint after a batch run gave way
     /// there. A run that is started and cancelled costs the engine the reading
     /// of its whole context, and online bursts last seconds.
-    base::Duration pauseAfterYield_{ std::chrono::milliseconds{ 300 } };
+    base::Duration pauseAfterPreemption_{ std::chrono::milliseconds{ 300 } };
 
     /// Peers that must have failed at an endpoint for this host to avoid it
     /// too. Two, since one alone may be cut off from an endpoint that serves
@@ -126,7 +127,7 @@
 
   EndpointTable(std::string aFailureDomain, Limits aLimits);
 
-  RegistrationNews Put(const EndpointRecord& aRecord, base::Instant aNow);
+  RegistrationOutcome Put(const EndpointRecord& aRecord, base::Instant aNow);
 
   /// @return whether a registration says nothing that isn't known here: an
   ///         endpoint writes it anew at each of its heartbeats.
@@ -157,8 +158,8 @@
   void CountEnd(const EndpointIncarnation& aEndpoint, WorkClass aWork);
 
   /// A connection failed or a run broke there.
-  void NoteFailure(const EndpointIncarnation& aEndpoint, base::Instant aNow);
-  void NoteSuccess(const EndpointIncarnation& aEndpoint);
+  void RecordFailure(const EndpointIncarnation& aEndpoint, base::Instant aNow);
+  void RecordSuccess(const EndpointIncarnation& aEndpoint);
 
   /// Bytes of a run came from the endpoint.
   /// @param aRunStartedAt When the run began.
@@ -170,15 +171,15 @@
   /// be in the store for seconds yet, and a late heartbeat may bring it back,
   /// with no runs and so attractive to every host: only a later start of it is
   /// used again.
-  void NoteReplaced(const EndpointIncarnation& aEndpoint, base::Instant aNow);
+  void RecordReplaced(const EndpointIncarnation& aEndpoint, base::Instant aNow);
 
   /// @return whether the endpoint's process is known to have lived on after a
   /// moment: a run that had begun before was heard since, or it is registered
   /// without a new start when the registration of an ended process would have
   /// lapsed. A run that began later may be one of the endpoint's next start.
-  [[nodiscard]] bool HasLivedOn(const std::string& aId,
-                                base::Instant aMoment,
-                                base::Instant aNow) const;
+  [[nodiscard]] bool HasSurvived(const std::string& aId,
+                                 base::Instant aMoment,
+                                 base::Instant aNow) const;
 
   /// Takes over what a peer says of its runs; what it doesn't name is zero.
   void SetPeerCounts(const std::string& aPeer,
@@ -195,17 +196,17 @@
 
   /// An own batch run gave way: none is started there for a while, since the
   /// burst that took its place goes on.
-  void NoteYield(const std::string& aId, base::Instant aNow);
+  void RecordPreemption(const std::string& aId, base::Instant aNow);
 
   /// A peer was asked to let a batch run give way: counts it as gone until the
   /// peer's next message, so that the next request asks elsewhere.
-  void AssumeYield(const std::string& aId, const std::string& aPeer);
+  void AssumePreemption(const std::string& aId, const std::string& aPeer);
 
   /// @return how many own batch runs at an endpoint are to give way now. Where
   /// several hosts have batch there, each takes its part.
-  [[nodiscard]] std::uint32_t BatchToYield(const std::string& aId,
-                                           base::Instant aNow,
-                                           double aRandom) const;
+  [[nodiscard]] std::uint32_t BatchToPreempt(const std::string& aId,
+                                             base::Instant aNow,
+                                             double aRandom) const;
 
   /// @return whether an endpoint may take new work.
   [[nodiscard]] bool IsUsable(const std::string& aId) const;
@@ -216,7 +217,7 @@
   struct Endpoint;
   struct PeerEntry
   {
-    RunCounts counts_;
+    InFlightCounts counts_;
     bool hasFailed_ = false;
     base::Instant at_;
   };
@@ -224,12 +225,12 @@
   {
     const Endpoint* endpoint_ = nullptr;
     double score_ = 0.0; ///< The lowest is taken.
-    RunCounts counts_;
+    InFlightCounts counts_;
   };
   struct Endpoint
   {
     EndpointRecord record_;
-    RunCounts own_;
+    InFlightCounts own_;
     std::unordered_map<std::string, PeerEntry> peers_;
     std::uint32_t failures_ = 0;
     base::Instant avoidedUntil_;
@@ -242,7 +243,7 @@
   };
   struct Replaced
   {
-    std::int64_t bornMs_ = 0;
+    std::int64_t startedAtMs_ = 0;
     base::Instant at_;
   };
 
@@ -250,25 +251,25 @@
   ///         last one any more.
   [[nodiscard]] Endpoint* Find(const EndpointIncarnation& aEndpoint);
 
-  [[nodiscard]] RunCounts CountsOf(const Endpoint& aEndpoint,
-                                   base::Instant aNow) const;
+  [[nodiscard]] InFlightCounts CountsOf(const Endpoint& aEndpoint,
+                                        base::Instant aNow) const;
   [[nodiscard]] bool IsAvoided(const Endpoint& aEndpoint,
                                base::Instant aNow) const;
   [[nodiscard]] bool MayTake(const Endpoint& aEndpoint,
                              const ChoiceRequest& aRequest,
-                             const RunCounts& aCounts,
+                             const InFlightCounts& aCounts,
                              base::Instant aNow) const;
   [[nodiscard]] double WeightOf(const Endpoint& aEndpoint,
-                                const RunCounts& aCounts,
+                                const InFlightCounts& aCounts,
                                 base::Instant aNow) const;
   /// @return how well a batch run there can make room for online work: not at
   ///         all where online work alone fills the places and waits, since the
   ///         engine would serve that first.
   [[nodiscard]] static double PreemptionWeight(const Endpoint& aEndpoint,
-                                               const RunCounts& aCounts);
+                                               const InFlightCounts& aCounts);
   static void Consider(Best& aBest,
                        const Endpoint& aEndpoint,
-                       const RunCounts& aCounts,
+                       const InFlightCounts& aCounts,
                        double aScore);
   static std::string PeerWithMostBatch(const Endpoint& aEndpoint);
 
--- a/Libraries/LibFleet/PeerReachability.cpp
+++ b/Libraries/LibFleet/PeerReachability.cpp
@@ -114,12 +114,12 @@
   for (const std::string& name : silent) {
     byRelay[RelayTo(name, aNow).value_or(drawn)].push_back(name);
   }
-  std::vector<RelayRequest> questions;
-  questions.reserve(byRelay.size());
+  std::vector<RelayRequest> requests;
+  requests.reserve(byRelay.size());
   for (auto& [relay, names] : byRelay) {
-    questions.push_back({ relay, std::move(names) });
+    requests.push_back({ relay, std::move(names) });
   }
-  return questions;
+  return requests;
 }
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/RateAccounts.cpp
+++ b/Libraries/LibFleet/RateAccounts.cpp
@@ -26,20 +26,20 @@
 /// How long refused requests count among those that wait for credit.
 constexpr std::chrono::seconds kRefusedMemory{ 1 };
 
-constexpr std::chrono::seconds kLongestComeBack{ 5 };
+constexpr std::chrono::seconds kMaxRetryAfter{ 5 };
 
 /// Seconds of the rate by which credit may be overdrawn, so that a rush that
 /// was reported late doesn't shut an organisation out for long.
-constexpr double kLongestDebt = 2.0;
+constexpr double kMaxDebt = 2.0;
 
 /// An account that was not used for so long may have been kept by another host
 /// meanwhile.
 constexpr std::chrono::seconds kUnattended{ 1 };
 
-constexpr std::chrono::minutes kForgotten{ 1 };
+constexpr std::chrono::minutes kIdleTimeout{ 1 };
 
 /// For a limit that lets almost nothing run.
-constexpr double kLeastRate = 1e-3;
+constexpr double kMinRate = 1e-3;
 
 double
 SecondsOf(base::Duration aDuration)
@@ -156,7 +156,7 @@
   Bucket& bucket = Fill(aReport.organisation_, part, aMembers, aNow);
   Charge(bucket, aHost, aReport);
   bucket.credit_ =
-    std::clamp(bucket.credit_, -kLongestDebt * part.rate_, part.capacity_);
+    std::clamp(bucket.credit_, -kMaxDebt * part.rate_, part.capacity_);
   RateResponse response;
   response.organisation_ = aReport.organisation_;
   response.account_ = aReport.account_;
@@ -177,9 +177,9 @@
   if (room < 1.0) {
     response.noCreditFor_ = TimeToCredit(bucket, part);
     response.retryAfter_ = std::clamp<base::Duration>(
-      FromSeconds(bucket.refused_ / std::max(part.rate_, kLeastRate)),
+      FromSeconds(bucket.refused_ / std::max(part.rate_, kMinRate)),
       response.noCreditFor_,
-      kLongestComeBack);
+      kMaxRetryAfter);
   }
   return response;
 }
@@ -193,7 +193,7 @@
 base::Duration
 RateAccounts::TimeToCredit(const Bucket& aBucket, const Part& aPart) const
 {
-  const double rate = std::max(aPart.rate_, kLeastRate);
+  const double rate = std::max(aPart.rate_, kMinRate);
   const base::Duration byBucket = FromSeconds((1.0 - aBucket.credit_) / rate);
   // The oldest slices leave the window one after the other.
   const base::Duration slice = tolerance_.window_ / kSlices;
@@ -207,14 +207,14 @@
     byWindow += slice;
   }
   return std::clamp<base::Duration>(
-    std::max(byBucket, byWindow), base::Duration::zero(), kLongestComeBack);
+    std::max(byBucket, byWindow), base::Duration::zero(), kMaxRetryAfter);
 }
 
 void
 RateAccounts::Expire(base::Instant aNow)
 {
   std::erase_if(buckets_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.filledAt_ > kForgotten;
+    return aNow - aEntry.second.filledAt_ > kIdleTimeout;
   });
 }
 
--- a/Libraries/LibFleet/RateLimiter.cpp
+++ b/Libraries/LibFleet/RateLimiter.cpp
@@ -11,17 +11,17 @@
 constexpr double kUnreportedShare = 0.125;
 
 /// Bounds it at one host, whatever burst is declared.
-constexpr double kMostUnreported = 1000.0;
+constexpr double kMaxUnreported = 1000.0;
 
 /// What was admitted is reported after this time at the latest.
 constexpr std::chrono::milliseconds kReportWithin{ 200 };
 
 /// For a limit that lets almost nothing run.
-constexpr double kLeastRate = 1e-3;
-constexpr double kLongestComeBackSeconds = 5.0;
+constexpr double kMinRate = 1e-3;
+constexpr double kMaxRetryAfterSeconds = 5.0;
 
 /// Time without requests after which an organisation's use is forgotten.
-constexpr std::chrono::seconds kForgotten{ 30 };
+constexpr std::chrono::seconds kIdleTimeout{ 30 };
 
 } // namespace
 
@@ -64,7 +64,7 @@
   const double unreported = kUnreportedShare * aOrganisation.limit_.burst_ /
                             static_cast<double>(members_.Count());
   use.reportAfter_ =
-    static_cast<std::uint64_t>(std::clamp(unreported, 1.0, kMostUnreported));
+    static_cast<std::uint64_t>(std::clamp(unreported, 1.0, kMaxUnreported));
   return use;
 }
 
@@ -126,10 +126,10 @@
     return RateAdmitted{};
   }
   const double seconds =
-    (1.0 - use.alone_) * hosts / std::max(limit.ratePerSecond_, kLeastRate);
+    (1.0 - use.alone_) * hosts / std::max(limit.ratePerSecond_, kMinRate);
   return RateRefused{ std::chrono::duration_cast<base::Duration>(
                         std::chrono::duration<double>(
-                          std::min(seconds, kLongestComeBackSeconds))),
+                          std::min(seconds, kMaxRetryAfterSeconds))),
                       "keeper silent" };
 }
 
@@ -204,7 +204,7 @@
     }
   }
   std::erase_if(uses_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.usedAt_ > kForgotten;
+    return aNow - aEntry.second.usedAt_ > kIdleTimeout;
   });
   accounts_.Expire(aNow);
   return due;
--- a/Libraries/LibFleet/SuspectTable.cpp
+++ b/Libraries/LibFleet/SuspectTable.cpp
@@ -5,9 +5,9 @@
 namespace pumiceturn::fleet {
 
 void
-SuspectTable::NoteBroken(const SuspectRun& aRun)
+SuspectTable::RecordBroken(const SuspectAttempt& aRun)
 {
-  if (contents_.size() >= kMostContents && !contents_.contains(aRun.content_)) {
+  if (contents_.size() >= kMaxContents && !contents_.contains(aRun.content_)) {
     return;
   }
   Content& content = contents_[aRun.content_];
@@ -28,7 +28,7 @@
 }
 
 void
-SuspectTable::NoteAnswered(std::uint64_t aContent, base::Instant aNow)
+SuspectTable::RecordAnswered(std::uint64_t aContent, base::Instant aNow)
 {
   const auto found = contents_.find(aContent);
   if (found == contents_.end()) {
@@ -42,7 +42,7 @@
 bool
 SuspectTable::IsRefused(std::uint64_t aContent,
                         base::Instant aNow,
-                        const HasLivedOn& aHasLivedOn)
+                        const HasSurvived& aHasLivedOn)
 {
   const auto found = contents_.find(aContent);
   if (found == contents_.end()) {
@@ -50,7 +50,7 @@
   }
   std::size_t first = 0;
   std::size_t retries = 0;
-  for (const SuspectRun& run : found->second.runs_) {
+  for (const SuspectAttempt& run : found->second.runs_) {
     if (aNow - run.brokeAt_ > kRetention ||
         aHasLivedOn(run.endpoint_, run.brokeAt_)) {
       continue;
@@ -64,12 +64,12 @@
   return first + retries >= kCrashesToRefuse;
 }
 
-std::vector<SuspectRun>
+std::vector<SuspectAttempt>
 SuspectTable::Runs(base::Instant aNow) const
 {
-  std::vector<SuspectRun> runs;
+  std::vector<SuspectAttempt> runs;
   for (const auto& [id, content] : contents_) {
-    for (const SuspectRun& run : content.runs_) {
+    for (const SuspectAttempt& run : content.runs_) {
       if (aNow - run.brokeAt_ <= kRetention) {
         runs.push_back(run);
       }
@@ -83,7 +83,7 @@
 {
   for (auto entry = contents_.begin(); entry != contents_.end();) {
     Content& content = entry->second;
-    std::erase_if(content.runs_, [aNow](const SuspectRun& aRun) {
+    std::erase_if(content.runs_, [aNow](const SuspectAttempt& aRun) {
       return aNow - aRun.brokeAt_ > kRetention;
     });
     const bool isOver =
--- a/Libraries/LibFleet/SuspectTable.h
+++ b/Libraries/LibFleet/SuspectTable.h
@@ -11,7 +11,7 @@
 namespace pumiceturn::fleet {
 
 /// A run that broke off before its first event.
-struct SuspectRun
+struct SuspectAttempt
 {
   std::uint64_t content_ = 0; ///< Hash of what was asked.
   std::string endpoint_;
@@ -38,17 +38,17 @@
   static constexpr base::Duration kRetention{ std::chrono::seconds{ 60 } };
 
   /// Contents that are remembered; far more than crash at a time.
-  static constexpr std::size_t kMostContents = 512;
+  static constexpr std::size_t kMaxContents = 512;
 
   /// Tells whether an endpoint lived on after a moment.
-  using HasLivedOn =
+  using HasSurvived =
     std::function<bool(const std::string& aEndpoint, base::Instant aMoment)>;
 
   /// Records a run of this host or of a peer, once.
-  void NoteBroken(const SuspectRun& aRun);
+  void RecordBroken(const SuspectAttempt& aRun);
 
   /// Records that an endpoint answered a content.
-  void NoteAnswered(std::uint64_t aContent, base::Instant aNow);
+  void RecordAnswered(std::uint64_t aContent, base::Instant aNow);
 
   /// @return whether a run that begins now is a retry after a crash.
   [[nodiscard]] bool IsKnown(std::uint64_t aContent) const;
@@ -58,10 +58,10 @@
   /// @return whether the content is to be refused.
   [[nodiscard]] bool IsRefused(std::uint64_t aContent,
                                base::Instant aNow,
-                               const HasLivedOn& aHasLivedOn);
+                               const HasSurvived& aHasLivedOn);
 
   /// @return all runs that are remembered, for peers.
-  [[nodiscard]] std::vector<SuspectRun> Runs(base::Instant aNow) const;
+  [[nodiscard]] std::vector<SuspectAttempt> Runs(base::Instant aNow) const;
 
   /// Forgets what is too old.
   void Expire(base::Instant aNow);
@@ -69,7 +69,7 @@
 private:
   struct Content
   {
-    std::vector<SuspectRun> runs_;
+    std::vector<SuspectAttempt> runs_;
     base::Instant answeredAt_{};
   };
 
--- a/Libraries/LibGateway/AccessControl.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -73,12 +73,12 @@
 AccessControl::Identify(const ExchangePtr& aExchange,
                         const fleet::Route& aRoute)
 {
-  return Answer(aExchange,
-                fleet::AuthenticateCaller(
-                  shared_.routes_.Organisations(),
-                  shared_.codec_.ReadCredential(aExchange->GetRequest()),
-                  !aRoute.allowsAnonymous_,
-                  Age()));
+  return Respond(aExchange,
+                 fleet::AuthenticateCaller(
+                   shared_.routes_.Organisations(),
+                   shared_.codec_.ReadCredential(aExchange->GetRequest()),
+                   !aRoute.allowsAnonymous_,
+                   Age()));
 }
 
 std::optional<CallerName>
@@ -87,14 +87,14 @@
   const fleet::Credential credential =
     shared_.codec_.ReadCredential(aExchange->GetRequest());
   const bool hasKey = !std::holds_alternative<fleet::NoCredential>(credential);
-  return Answer(aExchange,
-                fleet::AuthenticateCaller(
-                  shared_.routes_.Organisations(), credential, hasKey, Age()));
+  return Respond(aExchange,
+                 fleet::AuthenticateCaller(
+                   shared_.routes_.Organisations(), credential, hasKey, Age()));
 }
 
 std::optional<CallerName>
-AccessControl::Answer(const ExchangePtr& aExchange,
-                      const fleet::Caller& aCaller)
+AccessControl::Respond(const ExchangePtr& aExchange,
+                       const fleet::Caller& aCaller)
 {
   struct Visitor
   {
@@ -116,13 +116,13 @@
       const fleet::UnauthorisedCaller& aRefused) const
     {
       Log(aRefused.reason_);
-      exchange_.Answer(gate_.shared_.codec_.MakeUnauthorised());
+      exchange_.Respond(gate_.shared_.codec_.MakeUnauthorised());
       return std::nullopt;
     }
     std::optional<CallerName> operator()(const fleet::UnconfirmedCaller&) const
     {
       Log("declarations not confirmed");
-      exchange_.Answer(gate_.shared_.codec_.MakeNotRun(kRetryAfter));
+      exchange_.Respond(gate_.shared_.codec_.MakeNotRun(kRetryAfter));
       return std::nullopt;
     }
     void Log(std::string_view aReason) const
@@ -199,7 +199,7 @@
   const fleet::Organisation* organisation =
     shared_.routes_.Organisations().FindByName(query.organisation_);
   if (organisation == nullptr) {
-    query.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    query.exchange_->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
   const fleet::RateDecision decision =
@@ -225,7 +225,7 @@
   const fleet::Organisation* organisation =
     shared_.routes_.Organisations().FindByName(query.organisation_);
   if (organisation == nullptr) {
-    query.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    query.exchange_->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
   if (const auto* refusal = std::get_if<fleet::RateRefused>(&*decision)) {
@@ -269,7 +269,7 @@
     .GetCounter("pumiceturn_requests_over_rate_total",
                 "Requests beyond their organisation's limit.")
     .Add();
-  aExchange.Answer(shared_.codec_.MakeOverLimit(aRefusal.retryAfter_));
+  aExchange.Respond(shared_.codec_.MakeRateLimited(aRefusal.retryAfter_));
 }
 
 void
--- a/Libraries/LibGateway/AccessControl.h
+++ b/Libraries/LibGateway/AccessControl.h
@@ -84,8 +84,8 @@
   };
 
   [[nodiscard]] fleet::DeclarationsAge Age() const;
-  [[nodiscard]] std::optional<CallerName> Answer(const ExchangePtr& aExchange,
-                                                 const fleet::Caller& aCaller);
+  [[nodiscard]] std::optional<CallerName> Respond(const ExchangePtr& aExchange,
+                                                  const fleet::Caller& aCaller);
   void Ask(const ExchangePtr& aExchange,
            const std::string& aOrganisation,
            std::function<void()> aRun,
--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -47,7 +47,7 @@
       return aRead.job_;
     }
     std::string operator()(const EndBatchJob& /*aEnd*/) const { return {}; }
-    std::string operator()(const UnreadableCall& /*aCall*/) const { return {}; }
+    std::string operator()(const MalformedCall& /*aCall*/) const { return {}; }
   };
   return std::visit(Visitor{}, aCall);
 }
@@ -78,8 +78,8 @@
                         const BatchJobCall& aCall,
                         const CallerName& aCaller)
 {
-  if (const auto* unreadable = std::get_if<UnreadableCall>(&aCall)) {
-    aExchange->Answer(httpstream::MakeResponse(
+  if (const auto* unreadable = std::get_if<MalformedCall>(&aCall)) {
+    aExchange->Respond(httpstream::MakeResponse(
       httpstream::kStatusBadRequest, unreadable->reason_, "text/plain"));
   } else if (const auto* end = std::get_if<EndBatchJob>(&aCall)) {
     WithState(aExchange,
@@ -109,7 +109,7 @@
 void
 BatchJobHandler::AnswerComeBack(httpstream::Exchange& aExchange) const
 {
-  aExchange.Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+  aExchange.Respond(shared_.codec_.MakeNotRun(kRetryAfter));
 }
 
 void
@@ -118,7 +118,7 @@
 {
   // A caller without a key must not learn which jobs there are.
   const bool hasNoKey = aCaller && aCaller->empty();
-  aExchange.Answer(
+  aExchange.Respond(
     hasNoKey ? shared_.codec_.MakeUnauthorised()
              : httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
 }
@@ -215,11 +215,11 @@
                wait + kPassOnMargin,
                [this, aExchange, aJob, aCall](httpstream::CallResult aResult) {
                  const bool isAnswer =
-                   aResult.end_ == httpstream::CallEnd::Complete &&
+                   aResult.end_ == httpstream::CallOutcome::Complete &&
                    (aResult.status_ == httpstream::kStatusOk ||
                     aResult.status_ == httpstream::kStatusNotFound);
                  if (isAnswer) {
-                   aExchange->Answer(httpstream::MakeResponse(
+                   aExchange->Respond(httpstream::MakeResponse(
                      aResult.status_, std::move(aResult.body_)));
                  } else {
                    ReadFromStore(aExchange, aJob, aCall);
@@ -287,11 +287,11 @@
       return aItem.id_ == aCall.item_;
     });
   if (item == aJob.items_->end()) {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
     return;
   }
-  aExchange->Answer(httpstream::MakeResponse(
+  aExchange->Respond(httpstream::MakeResponse(
     httpstream::kStatusOk, item->body_, "application/octet-stream"));
 }
 
@@ -312,7 +312,7 @@
   }
   const std::span<const batch::ItemResult> page(aJob.results_.data() + begin,
                                                 end - begin);
-  aExchange.Answer(httpstream::MakeResponse(
+  aExchange.Respond(httpstream::MakeResponse(
     httpstream::kStatusOk,
     shared_.codec_.WriteResults(aJob.state_.itemCount_, aPosition, page)));
 }
@@ -323,7 +323,7 @@
                      std::uint32_t aTriesLeft)
 {
   if (aJob.state_.isEnded_) {
-    aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
+    aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
   }
   batch::BatchJobState state = aJob.state_;
@@ -337,7 +337,7 @@
       if (aResponse.status_ == StoreStatus::Ok) {
         jobs_.Apply(key, batch::EncodeState(state), aResponse.revision_);
         onStateRead_(id);
-        aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
+        aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
         return;
       }
       for (const metadata::StoreItem& item : aResponse.current_) {
@@ -352,7 +352,7 @@
         End(aExchange, *job, aTriesLeft - 1);
         return;
       }
-      aExchange->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+      aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
     });
 }
 
@@ -389,7 +389,7 @@
       if (isOver && job != nullptr) {
         SendResults(*aReader.exchange_, *job, aReader.position_);
       } else if (isOver) {
-        aReader.exchange_->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+        aReader.exchange_->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
       }
       return isOver;
     });
--- a/Libraries/LibGateway/BatchJobSpool.cpp
+++ b/Libraries/LibGateway/BatchJobSpool.cpp
@@ -156,29 +156,29 @@
   const std::string& body = aExchange->GetRequest().body();
   auto job = batch::DecodeSpooledJob(body);
   if (!job) {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusBadRequest, {}));
     return;
   }
-  if (isLeaving_ || Bytes() + body.size() > kMostBytes) {
-    aExchange->Answer(
+  if (isDraining_ || Bytes() + body.size() > kMostBytes) {
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
   if (IsAnothers(*job)) {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
   if (jobs_.Find(job->id_) != nullptr) {
-    aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
+    aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
   }
   const std::uint64_t tokens = TokensOf(*job);
   if (!spooled_.contains(job->id_) && !IsWithinCap(*job, tokens)) {
     base::Log(kBatchJobNotSpooled,
               { { "lot", job->id_ }, { "code", "cap" }, { "tokens", tokens } });
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
@@ -189,7 +189,7 @@
   const auto [entry, isNew] = spooled_.try_emplace(
     id, Entry{ std::move(*job), tokens, now, tryAt, false });
   if (entry->second.isWritten_) {
-    aExchange->Answer(httpstream::MakeResponse(httpstream::kStatusOk, {}));
+    aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
   }
   entry->second.waiting_.push_back(aExchange);
@@ -226,7 +226,7 @@
     entry.isWritten_ = true;
   }
   for (const auto& exchange : waiting) {
-    exchange->Answer(httpstream::MakeResponse(status, {}));
+    exchange->Respond(httpstream::MakeResponse(status, {}));
   }
 }
 
--- a/Libraries/LibGateway/BatchJobSpool.h
+++ b/Libraries/LibGateway/BatchJobSpool.h
@@ -55,7 +55,7 @@
   void Spool(const std::shared_ptr<httpstream::Exchange>& aExchange);
 
   /// Takes no more jobs: the host leaves.
-  void SetLeaving() { isLeaving_ = true; }
+  void SetDraining() { isDraining_ = true; }
 
   /// Stores what can be stored.
   void Tick(base::Instant aNow, base::WallTime aWallNow);
@@ -121,7 +121,7 @@
   DiskThread disk_;
   std::map<std::string, Entry> spooled_;
   std::vector<StoredBatchJob> stored_; ///< Lately.
-  bool isLeaving_ = false;
+  bool isDraining_ = false;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// How long a job is tried to be stored; its sender comes again afterwards.
-constexpr std::chrono::milliseconds kSubmitPatience{ 2500 };
+constexpr std::chrono::milliseconds kSubmitTimeout{ 2500 };
 
 /// Silence of the store after which a job is kept on workers' disks: the store
 /// answers within 10 ms, on a slow day within 250 ms, and senders count an
@@ -119,8 +119,8 @@
 {
   const httpstream::Request& request = aExchange->GetRequest();
   const auto content = shared_.codec_.ReadBatchJobContent(request.body());
-  if (const auto* unreadable = std::get_if<UnreadableCall>(&content)) {
-    aExchange->Answer(httpstream::MakeResponse(
+  if (const auto* unreadable = std::get_if<MalformedCall>(&content)) {
+    aExchange->Respond(httpstream::MakeResponse(
       httpstream::kStatusBadRequest, unreadable->reason_, "text/plain"));
     return;
   }
@@ -133,7 +133,7 @@
     batch::LedgerName(aRoute.name_, submission->job_.state_.organisation_);
   submission->cap_ = aRoute.waitingTokenCap_;
   submission->tokens_ = batch::TokensOf(items);
-  submission->giveUpAt_ = aExchange->ReceivedAt() + kSubmitPatience;
+  submission->giveUpAt_ = aExchange->ReceivedAt() + kSubmitTimeout;
   submission->exchange_ = std::move(aExchange);
   if (const batch::BatchJob* existing = jobs_.Find(aJob)) {
     AcceptExisting(*submission, existing->state_);
@@ -286,10 +286,10 @@
               { "may_be_stored", aSubmission.mayBeStored_ },
               { "come_back_ms", base::ToMs(comeBack) } });
   // A refusal says that nothing runs: not where an earlier try had no answer.
-  aSubmission.exchange_->Answer(
+  aSubmission.exchange_->Respond(
     aSubmission.mayBeStored_
       ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
-      : shared_.codec_.MakeOverLimit(comeBack));
+      : shared_.codec_.MakeRateLimited(comeBack));
 }
 
 void
@@ -350,7 +350,7 @@
       { "items", aSubmission.job_.state_.itemCount_ },
       { "where", aWhere },
       { "ms", base::ToMs(base::MonotonicNow() - exchange.ReceivedAt()) } });
-  exchange.Answer(httpstream::MakeResponse(httpstream::kStatusAccepted, {}));
+  exchange.Respond(httpstream::MakeResponse(httpstream::kStatusAccepted, {}));
 }
 
 void
@@ -370,7 +370,7 @@
             { { "lot", aSubmission.job_.id_ },
               { "organisation", organisation },
               { "reason", "id of another organisation's lot" } });
-  aSubmission.exchange_->Answer(
+  aSubmission.exchange_->Respond(
     httpstream::MakeResponse(httpstream::kStatusConflict, {}));
 }
 
@@ -388,7 +388,7 @@
               { "may_be_stored", aSubmission.mayBeStored_ } });
   // "Not run" must be true: a call without an answer may still take effect, or
   // a worker may have the job, and it would then run.
-  aSubmission.exchange_->Answer(
+  aSubmission.exchange_->Respond(
     aSubmission.mayBeStored_
       ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
       : shared_.codec_.MakeNotRun(kRetryAfter));
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -15,7 +15,7 @@
 
 /// Time that an endpoint may spend on one run of an item: the longest items
 /// take about 8 s.
-constexpr std::chrono::seconds kItemPatience{ 30 };
+constexpr std::chrono::seconds kItemTimeout{ 30 };
 
 /// How long a job's route must be missing to count as removed. Hosts have a new
 /// configuration within 2 to 3 s, and somewhat later when the store was away.
@@ -56,20 +56,20 @@
 }
 
 std::string_view
-NameOf(batch::ItemRunEnd aEnd)
+NameOf(batch::ItemAttemptOutcome aEnd)
 {
   switch (aEnd) {
-    case batch::ItemRunEnd::Completed:
+    case batch::ItemAttemptOutcome::Completed:
       return "completed";
-    case batch::ItemRunEnd::Failed:
+    case batch::ItemAttemptOutcome::Failed:
       return "failed";
-    case batch::ItemRunEnd::Impossible:
+    case batch::ItemAttemptOutcome::Impossible:
       return "impossible";
-    case batch::ItemRunEnd::NotRun:
+    case batch::ItemAttemptOutcome::NotRun:
       return "not_run";
-    case batch::ItemRunEnd::Broken:
+    case batch::ItemAttemptOutcome::Broken:
       return "broken";
-    case batch::ItemRunEnd::Preempted:
+    case batch::ItemAttemptOutcome::Preempted:
       break;
   }
   return "preempted";
@@ -193,7 +193,7 @@
 void
 BatchWorker::Leave(const std::string& aJob, std::string_view aReason)
 {
-  std::vector<std::shared_ptr<ItemRun>> kept;
+  std::vector<std::shared_ptr<ItemAttempt>> kept;
   for (auto& run : runs_) {
     if (run->JobId() == aJob) {
       run->Cancel();
@@ -241,7 +241,7 @@
     }
   }
   results_.Tick(aNow);
-  YieldToOnline(aNow);
+  PreemptForOnline(aNow);
   StartRuns(aNow);
   for (const auto& run : std::vector(runs_)) {
     run->ReadOn();
@@ -326,7 +326,7 @@
 {
   const auto hasLivedOn = [this, aNow](const std::string& aEndpoint,
                                        base::Instant aMoment) {
-    return shared_.endpoints_.HasLivedOn(aEndpoint, aMoment, aNow);
+    return shared_.endpoints_.HasSurvived(aEndpoint, aMoment, aNow);
   };
   std::vector<batch::StartCandidate> candidates;
   for (auto& [id, own] : own_) {
@@ -362,7 +362,7 @@
 }
 
 batch::ItemUrgency
-BatchWorker::UrgencyOf(const ItemRun& aRun) const
+BatchWorker::UrgencyOf(const ItemAttempt& aRun) const
 {
   const batch::BatchJob* job = jobs_.Find(aRun.JobId());
   const auto own = own_.find(aRun.JobId());
@@ -423,9 +423,11 @@
               { "due_ms", base::ToMs(aCandidate.urgency_.dueAt_ - aNow) },
               { "run_ms", base::ToMs(aCandidate.urgency_.remaining_) },
               { "version", shared_.routes_.Version() } });
-  auto run = std::make_shared<ItemRun>(
+  auto run = std::make_shared<ItemAttempt>(
     shared_,
-    [this](ItemRun& aRun, batch::ItemRunEnd aEnd) { OnRunEnd(aRun, aEnd); },
+    [this](ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd) {
+      OnRunEnd(aRun, aEnd);
+    },
     aCandidate.job_,
     item,
     own.schedule_.ProgressOf(item));
@@ -434,7 +436,7 @@
   run->Start(choice->endpoint_,
              content,
              { job->state_.hostName_, CallerOf(*job) },
-             kItemPatience);
+             kItemTimeout);
   return true;
 }
 
@@ -448,7 +450,7 @@
 }
 
 void
-BatchWorker::YieldToOnline(base::Instant aNow)
+BatchWorker::PreemptForOnline(base::Instant aNow)
 {
   std::vector<std::string> endpoints;
   for (const auto& run : runs_) {
@@ -458,7 +460,7 @@
     }
   }
   for (const std::string& endpoint : endpoints) {
-    std::uint32_t left = shared_.endpoints_.BatchToYield(
+    std::uint32_t left = shared_.endpoints_.BatchToPreempt(
       endpoint, aNow, NextRandom(shared_.random_));
     for (; left > 0; --left) {
       Preempt(endpoint);
@@ -470,13 +472,13 @@
 BatchWorker::Preempt(const std::string& aEndpoint)
 {
   const base::Instant now = base::MonotonicNow();
-  std::shared_ptr<ItemRun> chosen;
+  std::shared_ptr<ItemAttempt> chosen;
   for (const auto& run : runs_) {
     if (run->EndpointId() != aEndpoint) {
       continue;
     }
     if (!chosen ||
-        batch::GivesWayBefore(UrgencyOf(*run), UrgencyOf(*chosen), now)) {
+        batch::IsPreemptedBefore(UrgencyOf(*run), UrgencyOf(*chosen), now)) {
       chosen = run;
     }
   }
@@ -484,12 +486,12 @@
     return;
   }
   chosen->Cancel();
-  shared_.endpoints_.NoteYield(aEndpoint, now);
-  OnRunEnd(*chosen, batch::ItemRunEnd::Preempted);
+  shared_.endpoints_.RecordPreemption(aEndpoint, now);
+  OnRunEnd(*chosen, batch::ItemAttemptOutcome::Preempted);
 }
 
 void
-BatchWorker::OnRunEnd(ItemRun& aRun, batch::ItemRunEnd aEnd)
+BatchWorker::OnRunEnd(ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd)
 {
   const std::string job = aRun.JobId();
   const std::size_t item = aRun.Item();
@@ -505,7 +507,7 @@
                 fmt::format("end=\"{}\"", NameOf(aEnd)))
     .Add();
   NotePace(aRun, aEnd);
-  batch::PartialRun progress = aRun.TakeProgress();
+  batch::PartialOutput progress = aRun.TakeProgress();
   RemoveRun(aRun);
   const auto own = own_.find(job);
   if (own == own_.end()) {
@@ -522,7 +524,7 @@
 }
 
 void
-BatchWorker::NotePace(const ItemRun& aRun, batch::ItemRunEnd aEnd)
+BatchWorker::NotePace(const ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd)
 {
   const batch::BatchJob* job = jobs_.Find(aRun.JobId());
   const auto own = own_.find(aRun.JobId());
@@ -531,15 +533,15 @@
     return;
   }
   batch::ItemPace& pace = paces_[route->name_];
-  pace.NoteRun(aRun.NewEvents(), base::MonotonicNow() - aRun.StartedAt());
-  if (aEnd == batch::ItemRunEnd::Completed) {
-    pace.NoteCompleted(own->second.schedule_.TokensOf(aRun.Item()),
-                       aRun.Progress().lastEvent_);
+  pace.RecordRun(aRun.NewEvents(), base::MonotonicNow() - aRun.StartedAt());
+  if (aEnd == batch::ItemAttemptOutcome::Completed) {
+    pace.RecordCompleted(own->second.schedule_.TokensOf(aRun.Item()),
+                         aRun.Progress().lastEvent_);
   }
 }
 
 void
-BatchWorker::RemoveRun(const ItemRun& aRun)
+BatchWorker::RemoveRun(const ItemAttempt& aRun)
 {
   const auto found =
     std::find_if(runs_.begin(), runs_.end(), [&aRun](const auto& aOther) {
@@ -559,7 +561,7 @@
   leaving_ = true;
   for (const auto& run : std::vector(runs_)) {
     run->Cancel();
-    OnRunEnd(*run, batch::ItemRunEnd::Preempted);
+    OnRunEnd(*run, batch::ItemAttemptOutcome::Preempted);
   }
   auto left = std::make_shared<std::size_t>(1);
   const auto finishOne = [left, done = std::move(aDone)] {
--- a/Libraries/LibGateway/BatchWorker.h
+++ b/Libraries/LibGateway/BatchWorker.h
@@ -6,7 +6,7 @@
 #include "LibBatch/ItemSchedule.h"
 #include "LibBatch/StartOrder.h"
 #include "LibGateway/BatchJobLoader.h"
-#include "LibGateway/ItemRun.h"
+#include "LibGateway/ItemAttempt.h"
 #include "LibGateway/LedgerWriter.h"
 #include "LibGateway/ProgressWriter.h"
 #include "LibGateway/ResultWriter.h"
@@ -96,16 +96,16 @@
                                              const OwnBatchJob& aOwn,
                                              std::size_t aItem,
                                              std::uint64_t aLastEvent) const;
-  [[nodiscard]] batch::ItemUrgency UrgencyOf(const ItemRun& aRun) const;
+  [[nodiscard]] batch::ItemUrgency UrgencyOf(const ItemAttempt& aRun) const;
 
   /// @return whether there was a place for the item.
   bool StartOne(const batch::StartCandidate& aCandidate, base::Instant aNow);
   /// @return who sent a job, as endpoints are told.
   [[nodiscard]] CallerName CallerOf(const batch::BatchJob& aJob) const;
-  void NotePace(const ItemRun& aRun, batch::ItemRunEnd aEnd);
-  void YieldToOnline(base::Instant aNow);
-  void OnRunEnd(ItemRun& aRun, batch::ItemRunEnd aEnd);
-  void RemoveRun(const ItemRun& aRun);
+  void NotePace(const ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd);
+  void PreemptForOnline(base::Instant aNow);
+  void OnRunEnd(ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd);
+  void RemoveRun(const ItemAttempt& aRun);
   [[nodiscard]] std::vector<BatchJobProgress> CollectProgress() const;
 
   boost::asio::io_context& context_;
@@ -123,7 +123,7 @@
   std::function<void(const std::string&)> onResults_;
   std::unordered_map<std::string, batch::ItemPace> paces_; ///< By route.
   double usualRuns_ = 0.0; ///< Runs at a time while items wait.
-  std::vector<std::shared_ptr<ItemRun>> runs_;
+  std::vector<std::shared_ptr<ItemAttempt>> runs_;
   ResultWriter results_;
   ProgressWriter progressWriter_;
   bool leaving_ = false;
--- a/Libraries/LibGateway/Codec.h
+++ b/Libraries/LibGateway/Codec.h
@@ -21,12 +21,12 @@
 {
   std::string requestId_; ///< New for each attempt of the caller.
   /// How long the caller waits, from now.
-  std::optional<base::Duration> patience_;
+  std::optional<base::Duration> clientTimeout_;
   std::uint64_t lastEvent_ = 0; ///< The caller has events up to this one.
 };
 
 /// What an endpoint's answer says beyond its status and body.
-struct AnswerNotes
+struct ResponseInfo
 {
   bool isCertainlyNotRun_ = false; ///< Another endpoint may run it.
   bool isMisdirected_ = false;     ///< Another process has the address now.
@@ -39,11 +39,11 @@
 using CallerName = std::optional<std::string>;
 
 /// Where and under which conditions a request is sent.
-struct SendTerms
+struct ForwardOptions
 {
-  std::string endpoint_;        ///< The process that must run it, by id.
-  base::Duration patience_;     ///< What is left of the caller's time.
-  std::uint64_t lastEvent_ = 0; ///< The endpoint goes on after this event.
+  std::string endpoint_;         ///< The process that must run it, by id.
+  base::Duration clientTimeout_; ///< What is left of the caller's time.
+  std::uint64_t lastEvent_ = 0;  ///< The endpoint goes on after this event.
   CallerName caller_{};
 };
 
@@ -65,13 +65,13 @@
 };
 
 /// A call that can't be read, with the reason for its caller.
-struct UnreadableCall
+struct MalformedCall
 {
   std::string reason_;
 };
 
 using BatchJobCall =
-  std::variant<ReadResults, ReadItemBody, EndBatchJob, UnreadableCall>;
+  std::variant<ReadResults, ReadItemBody, EndBatchJob, MalformedCall>;
 
 /// The names and formats of callers and endpoints. The adapter implements it;
 /// it decides nothing.
@@ -90,15 +90,15 @@
   /// @return the caller's request as it is sent to an endpoint.
   [[nodiscard]] virtual httpstream::Request MakeEndpointRequest(
     const httpstream::Request& aRequest,
-    const SendTerms& aTerms) const = 0;
+    const ForwardOptions& aOptions) const = 0;
 
   /// @return a job's item as it is sent to an endpoint.
   [[nodiscard]] virtual httpstream::Request MakeItemRequest(
     const batch::BatchItem& aItem,
     std::string_view aHostName,
-    const SendTerms& aTerms) const = 0;
+    const ForwardOptions& aOptions) const = 0;
 
-  [[nodiscard]] virtual AnswerNotes ReadAnswer(
+  [[nodiscard]] virtual ResponseInfo ReadAnswer(
     const httpstream::ResponseHead& aHead) const = 0;
 
   /// Copies the fields of a call on a job for the host that runs the job, which
@@ -116,7 +116,7 @@
   /// Reads the content of a submitted job.
   /// @return the items, or what is wrong.
   [[nodiscard]] virtual std::variant<std::vector<batch::BatchItem>,
-                                     UnreadableCall>
+                                     MalformedCall>
   ReadBatchJobContent(std::string_view aBody) const = 0;
 
   /// Writes a page of results.
@@ -132,7 +132,7 @@
     base::Duration aRetryAfter) const = 0;
 
   /// The same where the caller has used up what it may.
-  [[nodiscard]] virtual httpstream::Response MakeOverLimit(
+  [[nodiscard]] virtual httpstream::Response MakeRateLimited(
     base::Duration aRetryAfter) const = 0;
 
   /// Answers a caller without a valid key.
--- a/Libraries/LibGateway/EndpointRun.cpp
+++ b/Libraries/LibGateway/EndpointAttempt.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/EndpointRun.h"
+#include "LibGateway/EndpointAttempt.h"
 
 #include "LibGateway/EndpointAddress.h"
 #include "LibGateway/Events.h"
@@ -16,22 +16,23 @@
 
 } // namespace
 
-EndpointRun::EndpointRun(SharedState& aShared,
-                         fleet::EndpointRecord aEndpoint,
-                         fleet::WorkClass aWork)
+EndpointAttempt::EndpointAttempt(SharedState& aShared,
+                                 fleet::EndpointRecord aEndpoint,
+                                 fleet::WorkClass aWork)
   : shared_(aShared)
   , endpoint_(std::move(aEndpoint))
   , work_(aWork)
 {
 }
 
-EndpointRun::~EndpointRun()
+EndpointAttempt::~EndpointAttempt()
 {
   Leave();
 }
 
 void
-EndpointRun::Start(httpstream::Call aCall, httpstream::CallObserver& aObserver)
+EndpointAttempt::Start(httpstream::Call aCall,
+                       httpstream::CallObserver& aObserver)
 {
   observer_ = &aObserver;
   counted_ = true;
@@ -39,7 +40,7 @@
   shared_.endpoints_.CountStart(endpoint_.Incarnation(), work_);
   const auto address = ParseAddress(endpoint_.address_);
   if (!address) {
-    OnEnd(httpstream::CallEnd::NotConnected);
+    OnEnd(httpstream::CallOutcome::NotConnected);
     return;
   }
   const auto self = shared_from_this();
@@ -53,7 +54,7 @@
         return;
       }
       if (!aConnection) {
-        self->OnEnd(httpstream::CallEnd::NotConnected);
+        self->OnEnd(httpstream::CallOutcome::NotConnected);
         return;
       }
       self->connection_ = std::move(aConnection);
@@ -65,7 +66,7 @@
 }
 
 void
-EndpointRun::Cancel()
+EndpointAttempt::Cancel()
 {
   observer_ = nullptr;
   if (const auto connection = std::exchange(connection_, nullptr)) {
@@ -75,7 +76,7 @@
 }
 
 void
-EndpointRun::SetPaused(bool aIsPaused)
+EndpointAttempt::SetPaused(bool aIsPaused)
 {
   if (connection_) {
     connection_->SetPaused(aIsPaused);
@@ -83,7 +84,7 @@
 }
 
 void
-EndpointRun::Leave()
+EndpointAttempt::Leave()
 {
   if (std::exchange(counted_, false)) {
     shared_.endpoints_.CountEnd(endpoint_.Incarnation(), work_);
@@ -91,18 +92,18 @@
 }
 
 void
-EndpointRun::OnHead(const httpstream::ResponseHead& aHead)
+EndpointAttempt::OnHead(const httpstream::ResponseHead& aHead)
 {
   shared_.endpoints_.RecordActivity(
     endpoint_.Incarnation(), startedAt_, base::MonotonicNow());
-  const AnswerNotes notes = shared_.codec_.ReadAnswer(aHead);
+  const ResponseInfo notes = shared_.codec_.ReadAnswer(aHead);
   if (!notes.answeredBy_.empty() && notes.answeredBy_ != endpoint_.id_) {
     base::Log(kEndpointChanged,
               { { "endpoint", endpoint_.id_ },
                 { "state", "replaced" },
                 { "by", notes.answeredBy_ } });
-    shared_.endpoints_.NoteReplaced(endpoint_.Incarnation(),
-                                    base::MonotonicNow());
+    shared_.endpoints_.RecordReplaced(endpoint_.Incarnation(),
+                                      base::MonotonicNow());
   }
   if (observer_ != nullptr) {
     observer_->OnHead(aHead);
@@ -110,7 +111,7 @@
 }
 
 void
-EndpointRun::OnBody(std::string_view aBytes)
+EndpointAttempt::OnBody(std::string_view aBytes)
 {
   shared_.endpoints_.RecordActivity(
     endpoint_.Incarnation(), startedAt_, base::MonotonicNow());
@@ -120,17 +121,17 @@
 }
 
 void
-EndpointRun::OnEnd(httpstream::CallEnd aEnd)
+EndpointAttempt::OnEnd(httpstream::CallOutcome aEnd)
 {
   const auto self = shared_from_this();
   auto* observer = std::exchange(observer_, nullptr);
   shared_.pool_.Release(endpoint_.id_, std::exchange(connection_, nullptr));
   Leave();
-  if (aEnd == httpstream::CallEnd::Complete) {
-    shared_.endpoints_.NoteSuccess(endpoint_.Incarnation());
+  if (aEnd == httpstream::CallOutcome::Complete) {
+    shared_.endpoints_.RecordSuccess(endpoint_.Incarnation());
   } else {
-    shared_.endpoints_.NoteFailure(endpoint_.Incarnation(),
-                                   base::MonotonicNow());
+    shared_.endpoints_.RecordFailure(endpoint_.Incarnation(),
+                                     base::MonotonicNow());
   }
   if (observer != nullptr) {
     observer->OnEnd(aEnd);
--- a/Libraries/LibGateway/EndpointRun.h
+++ b/Libraries/LibGateway/EndpointAttempt.h
@@ -13,17 +13,17 @@
 /// One request at one endpoint: counts it, takes a connection from the pool,
 /// sends, passes the answer to an observer, and gives the connection back.
 /// Belongs to the event thread.
-class EndpointRun
+class EndpointAttempt
   : public httpstream::CallObserver
-  , public std::enable_shared_from_this<EndpointRun>
+  , public std::enable_shared_from_this<EndpointAttempt>
 {
 public:
-  EndpointRun(SharedState& aShared,
-              fleet::EndpointRecord aEndpoint,
-              fleet::WorkClass aWork);
-  ~EndpointRun() override;
-  EndpointRun(const EndpointRun&) = delete;
-  EndpointRun& operator=(const EndpointRun&) = delete;
+  EndpointAttempt(SharedState& aShared,
+                  fleet::EndpointRecord aEndpoint,
+                  fleet::WorkClass aWork);
+  ~EndpointAttempt() override;
+  EndpointAttempt(const EndpointAttempt&) = delete;
+  EndpointAttempt& operator=(const EndpointAttempt&) = delete;
 
   /// Sends the call. The observer must outlive the run or call Cancel().
   void Start(httpstream::Call aCall, httpstream::CallObserver& aObserver);
@@ -41,7 +41,7 @@
 
   void OnHead(const httpstream::ResponseHead& aHead) override;
   void OnBody(std::string_view aBytes) override;
-  void OnEnd(httpstream::CallEnd aEnd) override;
+  void OnEnd(httpstream::CallOutcome aEnd) override;
 
 private:
   void Leave();
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -27,7 +27,7 @@
 constexpr std::chrono::milliseconds kRetireRetry{ 300 };
 
 /// A peer's call to the store may hold the largest job, in base64 twice.
-constexpr std::uint64_t kLongestPeerBody = 16777216;
+constexpr std::uint64_t kMaxPeerBody = 16777216;
 
 constexpr std::chrono::milliseconds kRetryAfter{ 300 };
 
@@ -107,22 +107,22 @@
              EncodeHostRecord(MakeHostRecord(OwnName(), settings_)) })
   , loader_(aStore, jobs_)
   , peerClients_(aContext.get_executor())
-  , desk_(shared_,
-          aStore,
-          jobs_,
-          loader_,
-          hosts_,
-          health_,
-          OwnName(),
-          peerClients_)
-  , intake_(shared_,
-            aStore,
-            jobs_,
-            hosts_,
-            OwnName(),
-            aContext.get_executor(),
-            peerClients_,
-            settings_.jobCopies_)
+  , batchJobHandler_(shared_,
+                     aStore,
+                     jobs_,
+                     loader_,
+                     hosts_,
+                     health_,
+                     OwnName(),
+                     peerClients_)
+  , batchSubmissionHandler_(shared_,
+                            aStore,
+                            jobs_,
+                            hosts_,
+                            OwnName(),
+                            aContext.get_executor(),
+                            peerClients_,
+                            settings_.jobCopies_)
   , worker_(aContext, shared_, aStore, jobs_, loader_, hosts_, OwnName())
   , ledgerWriter_(shared_, aStore, jobs_, hosts_, OwnName())
   , retention_(aStore, jobs_, hosts_, OwnName(), settings_.jobRetention_)
@@ -165,13 +165,14 @@
   }
   AddGauges();
   httpstream::ServerLimits peerLimits;
-  peerLimits.maxBodyBytes_ = kLongestPeerBody;
+  peerLimits.maxBodyBytes_ = kMaxPeerBody;
   forwarded_.SetLimits(peerLimits);
   storeTransport_.SetIsReachable(
     [this](const std::string& aHost) { return peers_.IsReachable(aHost); });
   mirrors_.SetOnDelta(
     [this](const StoreDelta& aDelta) { peers_.SendStoreDelta(aDelta); });
-  desk_.SetOnStateRead([this](const std::string& aJob) { OnJobChanged(aJob); });
+  batchJobHandler_.SetOnStateRead(
+    [this](const std::string& aJob) { OnJobChanged(aJob); });
   worker_.SetOnResults([this](const std::string& aJob) { OnJobChanged(aJob); });
 }
 
@@ -297,11 +298,11 @@
   // result, and kept the host from ending until the end of its grace, 5 to 7 s
   // in which each request here was refused instead of 3 to 4.
   if (IsPastNotice()) {
-    aExchange->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
   if (shared_.routes_.Version() == 0) {
-    aExchange->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
   if (const auto call = shared_.codec_.ReadBatchJobCall(request)) {
@@ -312,7 +313,7 @@
     shared_.routes_.Find(WithoutPort(httpstream::ValueOf(request, "Host")),
                          WithoutQuery(httpstream::TargetOf(request)));
   if (route == nullptr) {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
     return;
   }
@@ -321,15 +322,16 @@
     return;
   }
   if (route->kind_ == fleet::RequestKind::BatchJob) {
-    intake_.Submit(aExchange,
-                   shared_.codec_.ReadOnline(request).requestId_,
-                   *route,
-                   *caller);
+    batchSubmissionHandler_.Submit(
+      aExchange,
+      shared_.codec_.ReadOnline(request).requestId_,
+      *route,
+      *caller);
     return;
   }
   accessControl_.RunWithinLimit(
     aExchange, *caller, [this, aExchange, route = *route, caller = *caller] {
-      std::make_shared<OnlineRelay>(shared_,
+      std::make_shared<OnlineProxy>(shared_,
                                     context_.get_executor(),
                                     aExchange,
                                     route,
@@ -344,7 +346,7 @@
                         const BatchJobCall& aCall)
 {
   if (const auto caller = accessControl_.IdentifyReader(aExchange)) {
-    desk_.Handle(aExchange, aCall, *caller);
+    batchJobHandler_.Handle(aExchange, aCall, *caller);
   }
 }
 
@@ -353,7 +355,7 @@
 {
   if (const auto call =
         shared_.codec_.ReadBatchJobCall(aExchange->GetRequest())) {
-    desk_.HandleForwarded(aExchange, *call);
+    batchJobHandler_.HandleForwarded(aExchange, *call);
     return;
   }
   const std::string_view target = httpstream::TargetOf(aExchange->GetRequest());
@@ -362,7 +364,7 @@
   } else if (spool_) {
     spool_->Spool(aExchange);
   } else {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
   }
 }
@@ -372,28 +374,29 @@
 {
   const httpstream::Request& request = aExchange.GetRequest();
   if (storeCodec_.IsReadinessProbe(request)) {
-    aExchange.Answer(httpstream::MakeResponse(
+    aExchange.Respond(httpstream::MakeResponse(
       IsReady() ? httpstream::kStatusOk : httpstream::kStatusUnavailable, {}));
     return;
   }
   if (request.target() == "/metrics") {
-    aExchange.Answer(httpstream::MakeResponse(httpstream::kStatusOk,
-                                              shared_.metrics_.Write(),
-                                              "text/plain; version=0.0.4"));
+    aExchange.Respond(httpstream::MakeResponse(httpstream::kStatusOk,
+                                               shared_.metrics_.Write(),
+                                               "text/plain; version=0.0.4"));
     return;
   }
-  aExchange.Answer(httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
+  aExchange.Respond(httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
 }
 
 void
 Gateway::Preempt(const fleet::EndpointChoice& aChoice)
 {
-  if (aChoice.yieldingPeer_.empty()) {
+  if (aChoice.preemptedPeer_.empty()) {
     worker_.Preempt(aChoice.endpoint_.id_);
     return;
   }
-  peers_.AskToYield(aChoice.yieldingPeer_, aChoice.endpoint_.id_);
-  shared_.endpoints_.AssumeYield(aChoice.endpoint_.id_, aChoice.yieldingPeer_);
+  peers_.RequestPreemption(aChoice.preemptedPeer_, aChoice.endpoint_.id_);
+  shared_.endpoints_.AssumePreemption(aChoice.endpoint_.id_,
+                                      aChoice.preemptedPeer_);
 }
 
 void
@@ -404,7 +407,7 @@
   }
   retiring_ = true;
   if (spool_) {
-    spool_->SetLeaving();
+    spool_->SetDraining();
   }
   base::Log(kGatewayRetiring, { { "runs", worker_.RunCount() } });
   worker_.HandOver([this] { lease_.End([this] { ReportRetired(); }); });
@@ -471,7 +474,7 @@
   if (!stopping_) {
     retention_.Tick(now, wallNow);
   }
-  desk_.Tick(now);
+  batchJobHandler_.Tick(now);
   if (spool_) {
     spool_->Tick(now, wallNow);
   }
@@ -490,7 +493,7 @@
   stopped_ = std::move(aStopped);
   stopBegan_ = base::MonotonicNow();
   NoteReadiness();
-  callers_.SetLeaving();
+  callers_.SetDraining();
   base::Log(kGatewayStopping, { { "busy", callers_.BusyCount() } });
   if (retiring_) {
     handedOver_ = true;
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -7,7 +7,7 @@
 #include "LibGateway/BatchJobSpool.h"
 #include "LibGateway/BatchSubmissionHandler.h"
 #include "LibGateway/BatchWorker.h"
-#include "LibGateway/OnlineRelay.h"
+#include "LibGateway/OnlineProxy.h"
 #include "LibGateway/PeerClients.h"
 #include "LibGateway/PeerMessenger.h"
 #include "LibGateway/SharedState.h"
@@ -167,15 +167,15 @@
   metadata::HostLease lease_;
   BatchJobLoader loader_;
   PeerClients peerClients_; ///< For calls on jobs.
-  BatchJobHandler desk_;
-  BatchSubmissionHandler intake_;
+  BatchJobHandler batchJobHandler_;
+  BatchSubmissionHandler batchSubmissionHandler_;
   std::optional<BatchJobSpool> spool_; ///< Where this host has a data folder.
   BatchWorker worker_;
   LedgerWriter ledgerWriter_;
   BatchJobRetention retention_;
   PeerMessenger peers_;
   AccessControl accessControl_;
-  OnlineRelay::PreemptBatch preemptBatch_;
+  OnlineProxy::PreemptBatch preemptBatch_;
   httpstream::Listener callers_;
   httpstream::Listener status_;
   httpstream::Listener metricsListener_;
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -172,13 +172,14 @@
   }
   const bool isNews = !shared_.endpoints_.IsKnownAs(*record);
   const bool wasUsable = shared_.endpoints_.IsUsable(id);
-  const fleet::RegistrationNews news = shared_.endpoints_.Put(*record, now);
-  if (news == fleet::RegistrationNews::Restarted) {
+  const fleet::RegistrationOutcome outcome =
+    shared_.endpoints_.Put(*record, now);
+  if (outcome == fleet::RegistrationOutcome::Restarted) {
     shared_.pool_.Forget(id);
     base::Log(kEndpointChanged,
               { { "endpoint", id },
                 { "state", "restarted" },
-                { "born_ms", record->bornMs_ },
+                { "born_ms", record->startedAtMs_ },
                 { "revision", aItem.revision_ } });
   } else if (wasUsable == record->isDraining_) {
     base::Log(kEndpointChanged,
@@ -206,7 +207,7 @@
 Gateway::OnJobChanged(const std::string& aJob)
 {
   worker_.OnJobChanged(aJob);
-  desk_.OnJobChanged(aJob);
+  batchJobHandler_.OnJobChanged(aJob);
 }
 
 void
--- /dev/null
+++ b/Libraries/LibGateway/ItemAttempt.cpp
@@ -0,0 +1,128 @@
+#include "LibGateway/ItemAttempt.h"
+
+#include "LibHttpStream/Status.h"
+
+#include <utility>
+
+namespace pumiceturn::gateway {
+
+namespace {
+
+/// Longest wait for the first byte of an item, and between its bytes: an
+/// engine with a free place answers within tens of ms.
+constexpr std::chrono::milliseconds kFirstByteTimeout{ 2000 };
+constexpr std::chrono::milliseconds kGapTimeout{ 1500 };
+
+} // namespace
+
+ItemAttempt::ItemAttempt(SharedState& aShared,
+                         EndHandler aOnEnd,
+                         std::string aJob,
+                         std::size_t aItem,
+                         batch::PartialOutput aProgress)
+  : shared_(aShared)
+  , onEnd_(std::move(aOnEnd))
+  , job_(std::move(aJob))
+  , item_(aItem)
+  , progress_(std::move(aProgress))
+  , firstEvent_(progress_.lastEvent_)
+{
+}
+
+void
+ItemAttempt::Start(const fleet::EndpointRecord& aEndpoint,
+                   const batch::BatchItem& aItem,
+                   const Sender& aSender,
+                   base::Duration aClientTimeout)
+{
+  endpoint_ = aEndpoint.id_;
+  ForwardOptions options;
+  options.endpoint_ = aEndpoint.id_;
+  options.clientTimeout_ = aClientTimeout;
+  options.lastEvent_ = progress_.lastEvent_;
+  options.caller_ = aSender.caller_;
+  startedAt_ = base::MonotonicNow();
+  httpstream::Call call;
+  call.bytes_ = httpstream::Serialize(
+    shared_.codec_.MakeItemRequest(aItem, aSender.hostName_, options));
+  call.echoField_ = shared_.codec_.EchoField();
+  call.echoValue_ = aItem.id_;
+  call.firstByteTimeout_ = kFirstByteTimeout;
+  call.gapTimeout_ = kGapTimeout;
+  run_ = std::make_shared<EndpointAttempt>(
+    shared_, aEndpoint, fleet::WorkClass::Batch);
+  run_->Start(std::move(call), *this);
+}
+
+void
+ItemAttempt::Cancel()
+{
+  if (run_) {
+    run_->Cancel();
+  }
+}
+
+void
+ItemAttempt::ReadOn()
+{
+  if (run_) {
+    run_->SetPaused(false);
+  }
+}
+
+void
+ItemAttempt::OnHead(const httpstream::ResponseHead& aHead)
+{
+  responseInfo_ = shared_.codec_.ReadAnswer(aHead);
+  status_ = aHead.result_int();
+}
+
+void
+ItemAttempt::OnBody(std::string_view aBytes)
+{
+  if (status_ != httpstream::kStatusOk) {
+    return;
+  }
+  splitter_.Append(aBytes);
+  while (const auto event = splitter_.Next()) {
+    if (event->id_ != 0 && event->id_ <= progress_.lastEvent_) {
+      continue;
+    }
+    if (progress_.lastEvent_ > 0) {
+      progress_.output_.push_back('\n');
+    }
+    progress_.output_.append(event->data_);
+    progress_.lastEvent_ = event->id_;
+  }
+  run_->SetPaused(true);
+}
+
+batch::ItemAttemptOutcome
+ItemAttempt::Check(httpstream::CallOutcome aEnd) const
+{
+  if (aEnd == httpstream::CallOutcome::NotConnected) {
+    return batch::ItemAttemptOutcome::NotRun;
+  }
+  if (aEnd != httpstream::CallOutcome::Complete) {
+    return batch::ItemAttemptOutcome::Broken;
+  }
+  if (responseInfo_.isCertainlyNotRun_) {
+    return batch::ItemAttemptOutcome::NotRun;
+  }
+  if (status_ == httpstream::kStatusUnprocessable) {
+    return batch::ItemAttemptOutcome::Impossible;
+  }
+  if (status_ != httpstream::kStatusOk) {
+    return batch::ItemAttemptOutcome::Failed;
+  }
+  return splitter_.Remainder() > 0 ? batch::ItemAttemptOutcome::Broken
+                                   : batch::ItemAttemptOutcome::Completed;
+}
+
+void
+ItemAttempt::OnEnd(httpstream::CallOutcome aEnd)
+{
+  onEnd_(*this, Check(aEnd));
+}
+
+} // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/OnlineRelay.cpp
+++ b/Libraries/LibGateway/OnlineProxy.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/OnlineRelay.h"
+#include "LibGateway/OnlineProxy.h"
 
 #include "LibBase/Ids.h"
 #include "LibGateway/Events.h"
@@ -37,40 +37,40 @@
 constexpr unsigned kFirstServerError = 500;
 
 std::string_view
-NameOf(RelayEnd aEnd)
+NameOf(ProxyOutcome aEnd)
 {
   switch (aEnd) {
-    case RelayEnd::Answered:
+    case ProxyOutcome::Answered:
       return "answered";
-    case RelayEnd::NotRun:
+    case ProxyOutcome::NotRun:
       return "not_run";
-    case RelayEnd::Failed:
+    case ProxyOutcome::Failed:
       return "failed";
-    case RelayEnd::BrokenOff:
+    case ProxyOutcome::BrokenOff:
       return "broken_off";
-    case RelayEnd::TimedOut:
+    case ProxyOutcome::TimedOut:
       return "timed_out";
-    case RelayEnd::Suspect:
+    case ProxyOutcome::Suspect:
       return "suspect";
-    case RelayEnd::CallerGone:
+    case ProxyOutcome::CallerDisconnected:
       break;
   }
   return "caller_gone";
 }
 
 std::string_view
-NameOf(httpstream::CallEnd aEnd)
+NameOf(httpstream::CallOutcome aEnd)
 {
   switch (aEnd) {
-    case httpstream::CallEnd::Complete:
+    case httpstream::CallOutcome::Complete:
       return "complete";
-    case httpstream::CallEnd::NotConnected:
+    case httpstream::CallOutcome::NotConnected:
       return "not_connected";
-    case httpstream::CallEnd::Broken:
+    case httpstream::CallOutcome::Broken:
       return "broken";
-    case httpstream::CallEnd::Silent:
+    case httpstream::CallOutcome::TimedOut:
       return "silent";
-    case httpstream::CallEnd::Unintelligible:
+    case httpstream::CallOutcome::Malformed:
       break;
   }
   return "unintelligible";
@@ -93,7 +93,7 @@
 
 } // namespace
 
-OnlineRelay::OnlineRelay(SharedState& aShared,
+OnlineProxy::OnlineProxy(SharedState& aShared,
                          const boost::asio::any_io_executor& aExecutor,
                          std::shared_ptr<httpstream::Exchange> aExchange,
                          fleet::Route aRoute,
@@ -109,28 +109,28 @@
   , content_(HashContent(exchange_->GetRequest()))
   , lastEvent_(call_.lastEvent_)
 {
-  const base::Duration allowed = call_.patience_
-                                   ? std::min(*call_.patience_, route_.timeout_)
-                                   : route_.timeout_;
+  const base::Duration allowed =
+    call_.clientTimeout_ ? std::min(*call_.clientTimeout_, route_.timeout_)
+                         : route_.timeout_;
   deadline_ = exchange_->ReceivedAt() + allowed;
 }
 
 void
-OnlineRelay::Start()
+OnlineProxy::Start()
 {
   const auto self = shared_from_this();
-  exchange_->OnCallerGone([weak = weak_from_this()] {
-    if (const auto relay = weak.lock()) {
-      relay->Finish(RelayEnd::CallerGone);
+  exchange_->OnCallerDisconnected([weak = weak_from_this()] {
+    if (const auto proxy = weak.lock()) {
+      proxy->Finish(ProxyOutcome::CallerDisconnected);
     }
   });
   exchange_->OnDrained([weak = weak_from_this()] {
-    if (const auto relay = weak.lock(); relay && relay->run_) {
-      relay->run_->SetPaused(false);
+    if (const auto proxy = weak.lock(); proxy && proxy->run_) {
+      proxy->run_->SetPaused(false);
     }
   });
   deadlineTimer_.expires_after(TimeLeft());
-  // The timer holds the relay until it has ended.
+  // The timer holds the proxy until it has ended.
   deadlineTimer_.async_wait([self](const boost::system::error_code& aError) {
     if (!aError) {
       self->OnTimeUp();
@@ -140,20 +140,20 @@
 }
 
 base::Duration
-OnlineRelay::TimeLeft() const
+OnlineProxy::TimeLeft() const
 {
   return std::max(deadline_ - base::MonotonicNow(), base::Duration::zero());
 }
 
 bool
-OnlineRelay::MayRunAgain() const
+OnlineProxy::MayRunAgain() const
 {
   return route_.kind_ == fleet::RequestKind::Idempotent ||
          (route_.kind_ == fleet::RequestKind::Stream && route_.isResumable_);
 }
 
 void
-OnlineRelay::TryNext()
+OnlineProxy::TryNext()
 {
   if (ended_) {
     return;
@@ -165,21 +165,21 @@
     if (isStreaming) {
       exchange_->Abort();
     } else {
-      exchange_->Answer(
+      exchange_->Respond(
         httpstream::MakeResponse(httpstream::kStatusBadGateway, {}));
     }
-    Finish(RelayEnd::Suspect);
+    Finish(ProxyOutcome::Suspect);
     return;
   }
   if (tried_.size() >= route_.maxAttempts_ ||
       failedConnects_ >= kMaxFailedConnects || TimeLeft() < kLeastUsefulTime) {
     if (isStreaming) {
       exchange_->Abort();
-      Finish(RelayEnd::BrokenOff);
+      Finish(ProxyOutcome::BrokenOff);
     } else if (mayHaveRun_) {
-      exchange_->Answer(
+      exchange_->Respond(
         httpstream::MakeResponse(httpstream::kStatusBadGateway, {}));
-      Finish(RelayEnd::Failed);
+      Finish(ProxyOutcome::Failed);
     } else {
       AnswerNotRun();
     }
@@ -207,7 +207,7 @@
 }
 
 bool
-OnlineRelay::Admit(const fleet::EndpointChoice& aChoice)
+OnlineProxy::Admit(const fleet::EndpointChoice& aChoice)
 {
   expectedWait_ = base::Duration::zero();
   if (aChoice.preemptsBatch_) {
@@ -215,7 +215,7 @@
   }
   const fleet::AdmissionRequest request{
     aChoice.endpoint_.service_, route_.name_,      aChoice.running_,
-    aChoice.endpoint_.slots_,   route_.objective_, call_.patience_
+    aChoice.endpoint_.slots_,   route_.objective_, call_.clientTimeout_
   };
   const fleet::Admission admission =
     shared_.admission_.Check(request, NextRandom(shared_.random_));
@@ -233,13 +233,13 @@
               { "wait_ms", base::ToMs(admission.expectedWait_) },
               { "objective_ms", base::ToMs(route_.objective_) },
               { "come_back_ms", base::ToMs(*admission.retryAfter_) } });
-  exchange_->Answer(shared_.codec_.MakeNotRun(*admission.retryAfter_));
-  Finish(RelayEnd::NotRun);
+  exchange_->Respond(shared_.codec_.MakeNotRun(*admission.retryAfter_));
+  Finish(ProxyOutcome::NotRun);
   return false;
 }
 
 void
-OnlineRelay::Send(const fleet::EndpointChoice& aChoice)
+OnlineProxy::Send(const fleet::EndpointChoice& aChoice)
 {
   head_.reset();
   body_.clear();
@@ -254,13 +254,13 @@
               { "attempt", tried_.size() + 1 },
               { "version", shared_.routes_.Version() },
               { "left_ms", base::ToMs(TimeLeft()) } });
-  SendTerms terms;
-  terms.endpoint_ = aChoice.endpoint_.id_;
-  terms.patience_ = TimeLeft();
-  terms.lastEvent_ = lastEvent_;
-  terms.caller_ = caller_;
+  ForwardOptions options;
+  options.endpoint_ = aChoice.endpoint_.id_;
+  options.clientTimeout_ = TimeLeft();
+  options.lastEvent_ = lastEvent_;
+  options.caller_ = caller_;
   const httpstream::Request request =
-    shared_.codec_.MakeEndpointRequest(exchange_->GetRequest(), terms);
+    shared_.codec_.MakeEndpointRequest(exchange_->GetRequest(), options);
   httpstream::Call call;
   call.bytes_ = httpstream::Serialize(request);
   call.echoField_ = shared_.codec_.EchoField();
@@ -274,21 +274,21 @@
   tried_.push_back(aChoice.endpoint_.id_);
   runIsRetry_ = shared_.suspects_.IsKnown(content_);
   runFirstEvent_ = lastEvent_;
-  run_ = std::make_shared<EndpointRun>(
+  run_ = std::make_shared<EndpointAttempt>(
     shared_, aChoice.endpoint_, fleet::WorkClass::Online);
   run_->Start(std::move(call), *this);
 }
 
 void
-OnlineRelay::OnHead(const httpstream::ResponseHead& aHead)
+OnlineProxy::OnHead(const httpstream::ResponseHead& aHead)
 {
-  notes_ = shared_.codec_.ReadAnswer(aHead);
+  responseInfo_ = shared_.codec_.ReadAnswer(aHead);
   isEventStream_ = aHead.result_int() == 200 && IsEventStream(aHead);
   head_ = aHead;
 }
 
 void
-OnlineRelay::OnBody(std::string_view aBytes)
+OnlineProxy::OnBody(std::string_view aBytes)
 {
   if (!isEventStream_) {
     body_.append(aBytes);
@@ -302,7 +302,7 @@
 }
 
 void
-OnlineRelay::PassEvents()
+OnlineProxy::PassEvents()
 {
   std::string whole;
   while (const auto event = splitter_.Next()) {
@@ -320,17 +320,17 @@
     firstPieceAt_ = base::MonotonicNow();
     exchange_->BeginStream(*head_);
   }
-  exchange_->SendPiece(whole);
+  exchange_->SendChunk(whole);
 }
 
 void
-OnlineRelay::OnEnd(httpstream::CallEnd aEnd)
+OnlineProxy::OnEnd(httpstream::CallOutcome aEnd)
 {
   const auto self = shared_from_this();
   if (ended_) {
     return;
   }
-  if (aEnd == httpstream::CallEnd::NotConnected) {
+  if (aEnd == httpstream::CallOutcome::NotConnected) {
     // Nothing was sent: this endpoint doesn't count as one that got it.
     ++failedConnects_;
     base::Log(kAttemptFailed,
@@ -341,7 +341,7 @@
     TryNext();
     return;
   }
-  if (aEnd == httpstream::CallEnd::Complete) {
+  if (aEnd == httpstream::CallOutcome::Complete) {
     OnWholeAnswer();
     return;
   }
@@ -349,32 +349,32 @@
 }
 
 void
-OnlineRelay::OnWholeAnswer()
+OnlineProxy::OnWholeAnswer()
 {
   if (isEventStream_) {
     if (splitter_.Remainder() > 0) {
       // The framing ended well, but within an event.
-      OnBroken(httpstream::CallEnd::Broken);
+      OnBroken(httpstream::CallOutcome::Broken);
       return;
     }
     if (!exchange_->IsStreaming()) {
       exchange_->BeginStream(*head_);
     }
     const base::Instant now = base::MonotonicNow();
-    shared_.suspects_.NoteAnswered(content_, now);
+    shared_.suspects_.RecordAnswered(content_, now);
     if (firstPieceAt_ && tried_.size() == 1) {
-      shared_.admission_.NoteRun(run_->Endpoint().service_,
-                                 now - *firstPieceAt_);
+      shared_.admission_.RecordRun(run_->Endpoint().service_,
+                                   now - *firstPieceAt_);
     }
     exchange_->EndStream();
-    Finish(RelayEnd::Answered);
+    Finish(ProxyOutcome::Answered);
     return;
   }
-  if (notes_.isCertainlyNotRun_) {
+  if (responseInfo_.isCertainlyNotRun_) {
     OnRefused();
     return;
   }
-  shared_.suspects_.NoteAnswered(content_, base::MonotonicNow());
+  shared_.suspects_.RecordAnswered(content_, base::MonotonicNow());
   const bool isServerError = head_->result_int() >= kFirstServerError;
   mayHaveRun_ = true;
   if (exchange_->IsStreaming() ||
@@ -391,19 +391,19 @@
   answer.result(head_->result_int());
   httpstream::CopyEndToEndFields(*head_, answer);
   answer.body() = std::move(body_);
-  exchange_->Answer(std::move(answer));
-  Finish(RelayEnd::Answered);
+  exchange_->Respond(std::move(answer));
+  Finish(ProxyOutcome::Answered);
 }
 
 void
-OnlineRelay::OnRefused()
+OnlineProxy::OnRefused()
 {
   base::Log(kAttemptFailed,
             { { "request", call_.requestId_ },
               { "endpoint", tried_.back() },
               { "cause", "refused" },
               { "status", head_->result_int() } });
-  if (notes_.isMisdirected_) {
+  if (responseInfo_.isMisdirected_) {
     // Like a failed connection: the endpoint itself didn't get the request.
     ++failedConnects_;
     tried_.pop_back();
@@ -412,7 +412,7 @@
 }
 
 void
-OnlineRelay::OnBroken(httpstream::CallEnd aEnd)
+OnlineProxy::OnBroken(httpstream::CallOutcome aEnd)
 {
   mayHaveRun_ = true;
   base::Log(kAttemptFailed,
@@ -427,27 +427,27 @@
   }
   if (exchange_->IsStreaming()) {
     exchange_->Abort();
-    Finish(RelayEnd::BrokenOff);
+    Finish(ProxyOutcome::BrokenOff);
     return;
   }
-  exchange_->Answer(
+  exchange_->Respond(
     httpstream::MakeResponse(httpstream::kStatusBadGateway, {}));
-  Finish(RelayEnd::Failed);
+  Finish(ProxyOutcome::Failed);
 }
 
 void
-OnlineRelay::NoteSuspect(httpstream::CallEnd aEnd)
+OnlineProxy::NoteSuspect(httpstream::CallOutcome aEnd)
 {
   // A run that made events was not crashed by its own beginning.
-  if (aEnd != httpstream::CallEnd::Broken || lastEvent_ > runFirstEvent_) {
+  if (aEnd != httpstream::CallOutcome::Broken || lastEvent_ > runFirstEvent_) {
     return;
   }
-  shared_.suspects_.NoteBroken(
+  shared_.suspects_.RecordBroken(
     { content_, tried_.back(), runIsRetry_, base::MonotonicNow() });
 }
 
 bool
-OnlineRelay::IsSuspect() const
+OnlineProxy::IsSuspect() const
 {
   if (shared_.suspects_.IsEmpty()) {
     return false;
@@ -457,12 +457,12 @@
     content_,
     now,
     [this, now](const std::string& aEndpoint, base::Instant aMoment) {
-      return shared_.endpoints_.HasLivedOn(aEndpoint, aMoment, now);
+      return shared_.endpoints_.HasSurvived(aEndpoint, aMoment, now);
     });
 }
 
 void
-OnlineRelay::OnTimeUp()
+OnlineProxy::OnTimeUp()
 {
   if (ended_) {
     return;
@@ -471,23 +471,23 @@
   if (exchange_->IsStreaming()) {
     exchange_->Abort();
   } else {
-    exchange_->Answer(
+    exchange_->Respond(
       httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {}));
   }
-  Finish(RelayEnd::TimedOut);
+  Finish(ProxyOutcome::TimedOut);
 }
 
 void
-OnlineRelay::AnswerNotRun()
+OnlineProxy::AnswerNotRun()
 {
-  exchange_->Answer(
+  exchange_->Respond(
     shared_.codec_.MakeNotRun(fleet::AdmissionControl::RetryAfter(
       TimeLeft(), NextRandom(shared_.random_))));
-  Finish(RelayEnd::NotRun);
+  Finish(ProxyOutcome::NotRun);
 }
 
 void
-OnlineRelay::Finish(RelayEnd aEnd)
+OnlineProxy::Finish(ProxyOutcome aEnd)
 {
   if (std::exchange(ended_, true)) {
     return;
@@ -495,7 +495,7 @@
   if (const auto run = std::exchange(run_, nullptr)) {
     run->Cancel();
   }
-  if (aEnd == RelayEnd::NotRun && caller_) {
+  if (aEnd == ProxyOutcome::NotRun && caller_) {
     shared_.rateLimiter_.Refund(*caller_);
   }
   const base::Instant now = base::MonotonicNow();
--- a/Libraries/LibGateway/OnlineRelay.h
+++ b/Libraries/LibGateway/OnlineProxy.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibFleet/EventSplitter.h"
-#include "LibGateway/EndpointRun.h"
+#include "LibGateway/EndpointAttempt.h"
 #include "LibHttpStream/ServerConnection.h"
 
 #include <boost/asio/steady_timer.hpp>
@@ -15,29 +15,29 @@
 namespace pumiceturn::gateway {
 
 /// Why an online request ended, for the log.
-enum class RelayEnd : std::uint8_t
+enum class ProxyOutcome : std::uint8_t
 {
-  Answered,   ///< An endpoint's whole answer was passed on.
-  NotRun,     ///< Refused, and certainly not run.
-  Failed,     ///< Ended without an answer; may have run.
-  BrokenOff,  ///< A stream was broken off midway.
-  TimedOut,   ///< Its time was up.
-  CallerGone, ///< The caller closed.
-  Suspect,    ///< Refused: it seems to crash each endpoint that runs it.
+  Answered,           ///< An endpoint's whole answer was passed on.
+  NotRun,             ///< Refused, and certainly not run.
+  Failed,             ///< Ended without an answer; may have run.
+  BrokenOff,          ///< A stream was broken off midway.
+  TimedOut,           ///< Its time was up.
+  CallerDisconnected, ///< The caller closed.
+  Suspect, ///< Refused: it seems to crash each endpoint that runs it.
 };
 
 /// Carries one online request to an endpoint and its answer back. Tries another
 /// endpoint where the request has certainly not run or may run again, and goes
 /// on with a resumable stream at another endpoint. Belongs to the event thread.
-class OnlineRelay
+class OnlineProxy
   : public httpstream::CallObserver
-  , public std::enable_shared_from_this<OnlineRelay>
+  , public std::enable_shared_from_this<OnlineProxy>
 {
 public:
   /// Makes room at the chosen endpoint by cancelling a batch run there.
   using PreemptBatch = std::function<void(const fleet::EndpointChoice&)>;
 
-  OnlineRelay(SharedState& aShared,
+  OnlineProxy(SharedState& aShared,
               const boost::asio::any_io_executor& aExecutor,
               std::shared_ptr<httpstream::Exchange> aExchange,
               fleet::Route aRoute,
@@ -48,7 +48,7 @@
 
   void OnHead(const httpstream::ResponseHead& aHead) override;
   void OnBody(std::string_view aBytes) override;
-  void OnEnd(httpstream::CallEnd aEnd) override;
+  void OnEnd(httpstream::CallOutcome aEnd) override;
 
 private:
   [[nodiscard]] bool MayRunAgain() const;
@@ -61,12 +61,12 @@
   void PassEvents();
   void OnWholeAnswer();
   void OnRefused();
-  void OnBroken(httpstream::CallEnd aEnd);
+  void OnBroken(httpstream::CallOutcome aEnd);
   void OnTimeUp();
-  void NoteSuspect(httpstream::CallEnd aEnd);
+  void NoteSuspect(httpstream::CallOutcome aEnd);
   [[nodiscard]] bool IsSuspect() const;
   void AnswerNotRun();
-  void Finish(RelayEnd aEnd);
+  void Finish(ProxyOutcome aEnd);
 
   SharedState& shared_;
   boost::asio::steady_timer deadlineTimer_;
@@ -76,7 +76,7 @@
   const PreemptBatch& preemptBatch_;
   OnlineCall call_;
   base::Instant deadline_;
-  std::shared_ptr<EndpointRun> run_;
+  std::shared_ptr<EndpointAttempt> run_;
   std::vector<std::string> tried_; ///< Endpoints that got the request.
   std::uint32_t failedConnects_ = 0;
   base::Duration expectedWait_{ 0 }; ///< For a place, when it was last sent.
@@ -87,7 +87,7 @@
 
   // Of the answer that is being read.
   std::optional<httpstream::ResponseHead> head_;
-  AnswerNotes notes_;
+  ResponseInfo responseInfo_;
   bool isEventStream_ = false;
   std::string body_; ///< Of an answer that is passed on whole.
   fleet::EventSplitter splitter_;
--- a/Libraries/LibGateway/PeerMessenger.cpp
+++ b/Libraries/LibGateway/PeerMessenger.cpp
@@ -18,7 +18,7 @@
 /// How long a run that may have crashed its endpoint is told to the others,
 /// which remember it longer; and how many at most, to keep datagrams small.
 constexpr std::chrono::seconds kSuspectNews{ 3 };
-constexpr std::size_t kMostSuspects = 32;
+constexpr std::size_t kMaxSuspects = 32;
 
 } // namespace
 
@@ -26,13 +26,13 @@
                              SharedState& aShared,
                              std::string aOwnName,
                              StoreMirrors& aMirrors,
-                             YieldHandler aOnYield)
+                             PreemptionHandler aOnPreemption)
   : socket_(aContext)
   , timer_(aContext)
   , shared_(aShared)
   , ownName_(std::move(aOwnName))
   , mirrors_(aMirrors)
-  , onYield_(std::move(aOnYield))
+  , onPreemption_(std::move(aOnPreemption))
 {
 }
 
@@ -115,7 +115,7 @@
                      count.counts_.online_,
                      count.counts_.batch_,
                      count.hasFailed_,
-                     count.bornMs_ });
+                     count.startedAtMs_ });
   }
   json content = { { "host", ownName_ } };
   if (update->isWhole_) {
@@ -156,10 +156,10 @@
 void
 PeerMessenger::AskForSilentPeers(base::Instant aNow)
 {
-  for (const fleet::RelayRequest& question :
+  for (const fleet::RelayRequest& request :
        reachability_.RelayRequests(aNow, shared_.random_)) {
-    SendTo(question.relay_,
-           { { "host", ownName_ }, { "silent", question.peers_ } });
+    SendTo(request.relay_,
+           { { "host", ownName_ }, { "silent", request.peers_ } });
   }
 }
 
@@ -239,8 +239,8 @@
 {
   json rows = json::array();
   const base::Instant now = base::MonotonicNow();
-  for (const fleet::SuspectRun& run : shared_.suspects_.Runs(now)) {
-    if (now - run.brokeAt_ > kSuspectNews || rows.size() == kMostSuspects) {
+  for (const fleet::SuspectAttempt& run : shared_.suspects_.Runs(now)) {
+    if (now - run.brokeAt_ > kSuspectNews || rows.size() == kMaxSuspects) {
       continue;
     }
     // Ages, as hosts' clocks differ.
@@ -258,16 +258,16 @@
   const base::Instant now = base::MonotonicNow();
   for (const json& row : aRows) {
     const std::chrono::milliseconds age{ row.at(3).get<std::uint32_t>() };
-    shared_.suspects_.NoteBroken({ row.at(0).get<std::uint64_t>(),
-                                   row.at(1).get<std::string>(),
-                                   row.at(2).get<bool>(),
-                                   now - age });
+    shared_.suspects_.RecordBroken({ row.at(0).get<std::uint64_t>(),
+                                     row.at(1).get<std::string>(),
+                                     row.at(2).get<bool>(),
+                                     now - age });
   }
 }
 
 void
-PeerMessenger::AskToYield(const std::string& aPeer,
-                          const std::string& aEndpoint)
+PeerMessenger::RequestPreemption(const std::string& aPeer,
+                                 const std::string& aEndpoint)
 {
   // Lost, it costs no more than the peer's next look.
   json content = { { "host", ownName_ }, { "yield", aEndpoint } };
@@ -369,7 +369,7 @@
 {
   const std::string to = aMessage.value("to", ownName_);
   if (to == ownName_) {
-    onYield_(aMessage.at("yield").get<std::string>());
+    onPreemption_(aMessage.at("yield").get<std::string>());
     return;
   }
   SendTo(to, { { "host", ownName_ }, { "yield", aMessage.at("yield") } });
--- a/Libraries/LibGateway/PeerMessenger.h
+++ b/Libraries/LibGateway/PeerMessenger.h
@@ -33,7 +33,7 @@
 {
 public:
   /// Called when a peer's online request takes the place of a batch run here.
-  using YieldHandler = std::function<void(const std::string& aEndpoint)>;
+  using PreemptionHandler = std::function<void(const std::string& aEndpoint)>;
 
   using RateReportHandler =
     std::function<void(const std::string& aHost, const fleet::RateReport&)>;
@@ -43,7 +43,7 @@
                 SharedState& aShared,
                 std::string aOwnName,
                 StoreMirrors& aMirrors,
-                YieldHandler aOnYield);
+                PreemptionHandler aOnPreemption);
 
   [[nodiscard]] boost::system::error_code Open(
     const boost::asio::ip::udp::endpoint& aEndpoint);
@@ -71,7 +71,8 @@
 
   /// Asks a peer to let one of its batch runs at an endpoint give way, at once:
   /// waiting for its next look would cost the online request up to 200 ms.
-  void AskToYield(const std::string& aPeer, const std::string& aEndpoint);
+  void RequestPreemption(const std::string& aPeer,
+                         const std::string& aEndpoint);
 
   void SetOnRateReport(RateReportHandler aHandler)
   {
@@ -128,7 +129,7 @@
   SharedState& shared_;
   std::string ownName_;
   StoreMirrors& mirrors_;
-  YieldHandler onYield_;
+  PreemptionHandler onPreemption_;
   RateReportHandler onRateReport_;
   RateResponseHandler onRateResponse_;
   fleet::CountPublisher countPublisher_;
--- a/Libraries/LibGateway/ProgressWriter.h
+++ b/Libraries/LibGateway/ProgressWriter.h
@@ -16,7 +16,7 @@
 {
   std::string job_;
   std::uint64_t stateRevision_ = 0;
-  std::unordered_map<std::string, batch::PartialRun> runs_; ///< By item.
+  std::unordered_map<std::string, batch::PartialOutput> runs_; ///< By item.
 };
 
 /// Stores now and then what the runs of this host's jobs have so far, so that
--- a/Libraries/LibGateway/SpoolClient.cpp
+++ b/Libraries/LibGateway/SpoolClient.cpp
@@ -65,12 +65,13 @@
       kTimeout,
       [tally, copies = copies_](const httpstream::CallResult& aResult) {
         --tally->open_;
-        const bool isAnswered = aResult.end_ == httpstream::CallEnd::Complete;
+        const bool isAnswered =
+          aResult.end_ == httpstream::CallOutcome::Complete;
         if (isAnswered && aResult.status_ == httpstream::kStatusOk) {
           ++tally->spooled_;
         }
         const bool isCertainlyNot =
-          aResult.end_ == httpstream::CallEnd::NotConnected ||
+          aResult.end_ == httpstream::CallOutcome::NotConnected ||
           (isAnswered && aResult.status_ == httpstream::kStatusUnavailable);
         tally->mayBeSpooled_ = tally->mayBeSpooled_ || !isCertainlyNot;
         if (tally->spooled_ >= copies) {
--- a/Libraries/LibGateway/StoreTransport.cpp
+++ b/Libraries/LibGateway/StoreTransport.cpp
@@ -195,7 +195,7 @@
   const base::Duration timeout = ReadTimeout(request);
   const std::string_view target = httpstream::TargetOf(request);
   if (path_.IsDirectPathLost() || !target.starts_with(kTargetPrefix)) {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
@@ -204,14 +204,14 @@
   call.erase(kTimeoutField);
   own_.Call(call, timeout, [this, aExchange](Result aResult) {
     RecordDirect(aResult);
-    if (aResult.end_ == httpstream::CallEnd::NotConnected) {
-      aExchange->Answer(
+    if (aResult.end_ == httpstream::CallOutcome::NotConnected) {
+      aExchange->Respond(
         httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
-    } else if (aResult.end_ != httpstream::CallEnd::Complete) {
+    } else if (aResult.end_ != httpstream::CallOutcome::Complete) {
       // Whether the store carried it out is unknown, and so the peer learns.
       aExchange->Abort();
     } else {
-      aExchange->Answer(
+      aExchange->Respond(
         httpstream::MakeResponse(aResult.status_, std::move(aResult.body_)));
     }
   });
--- a/Libraries/LibHttpStream/ClientConnection.cpp
+++ b/Libraries/LibHttpStream/ClientConnection.cpp
@@ -117,7 +117,7 @@
       ready(false);
       return;
     }
-    self->Finish(CallEnd::Silent);
+    self->Finish(CallOutcome::TimedOut);
   });
 }
 
@@ -186,7 +186,7 @@
     const std::size_t used = parser_->put(input_.data(), error);
     input_.consume(used);
     if (error && error != http::error::need_more) {
-      Finish(CallEnd::Unintelligible);
+      Finish(CallOutcome::Malformed);
       return;
     }
     if (parser_->is_header_done() && !headSeen_ && !AcceptHead()) {
@@ -201,7 +201,7 @@
       const bool wasInterim = parser_->get().result_int() < 200;
       if (!wasForeign && !wasInterim) {
         NoteKeepAlive();
-        Finish(CallEnd::Complete);
+        Finish(CallOutcome::Complete);
         return;
       }
       parser_.reset();
@@ -254,13 +254,13 @@
 {
   const bool isOrderly = aError == asio::error::eof;
   if (!isOrderly || !parser_ || !headSeen_ || isForeign_) {
-    Finish(CallEnd::Broken);
+    Finish(CallOutcome::Broken);
     return;
   }
   boost::system::error_code error;
   parser_->put_eof(error);
   const bool isWhole = !error && parser_->is_done();
-  Finish(isWhole ? CallEnd::Complete : CallEnd::Broken);
+  Finish(isWhole ? CallOutcome::Complete : CallOutcome::Broken);
 }
 
 void
@@ -279,7 +279,7 @@
 }
 
 void
-ClientConnection::Finish(CallEnd aEnd)
+ClientConnection::Finish(CallOutcome aEnd)
 {
   CallObserver* observer = std::exchange(observer_, nullptr);
   const auto self = shared_from_this();
--- a/Libraries/LibHttpStream/ClientConnection.h
+++ b/Libraries/LibHttpStream/ClientConnection.h
@@ -17,13 +17,13 @@
 namespace pumiceturn::httpstream {
 
 /// How a call ended.
-enum class CallEnd : std::uint8_t
+enum class CallOutcome : std::uint8_t
 {
-  Complete,      ///< The whole answer was read.
-  NotConnected,  ///< No connection was made: nothing was sent.
-  Broken,        ///< The connection ended before the answer did.
-  Silent,        ///< No byte came for the time allowed.
-  Unintelligible ///< The bytes are no answer.
+  Complete,     ///< The whole answer was read.
+  NotConnected, ///< No connection was made: nothing was sent.
+  Broken,       ///< The connection ended before the answer did.
+  TimedOut,     ///< No byte came for the time allowed.
+  Malformed     ///< The bytes are no answer.
 };
 
 /// What one call sends and how patient it is.
@@ -53,7 +53,7 @@
   virtual void OnBody(std::string_view aBytes) = 0;
 
   /// Nothing follows. May destroy or reuse the observer.
-  virtual void OnEnd(CallEnd aEnd) = 0;
+  virtual void OnEnd(CallOutcome aEnd) = 0;
 };
 
 /// One connection to a server, with one call at a time. Belongs to the event
@@ -101,7 +101,7 @@
   void PassBody();
   void OnEndOfInput(const boost::system::error_code& aError);
   void NoteKeepAlive();
-  void Finish(CallEnd aEnd);
+  void Finish(CallOutcome aEnd);
 
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
--- a/Libraries/LibHttpStream/HttpClient.cpp
+++ b/Libraries/LibHttpStream/HttpClient.cpp
@@ -39,7 +39,7 @@
   {
     result_.body_.append(aBytes);
   }
-  void OnEnd(CallEnd aEnd) override
+  void OnEnd(CallOutcome aEnd) override
   {
     const std::unique_ptr<WholeCall> self(this);
     result_.end_ = aEnd;
--- a/Libraries/LibHttpStream/HttpClient.h
+++ b/Libraries/LibHttpStream/HttpClient.h
@@ -12,7 +12,7 @@
 /// How a whole call went.
 struct CallResult
 {
-  CallEnd end_ = CallEnd::NotConnected;
+  CallOutcome end_ = CallOutcome::NotConnected;
   unsigned status_ = 0;
   std::string body_;
 };
--- a/Libraries/LibHttpStream/Listener.h
+++ b/Libraries/LibHttpStream/Listener.h
@@ -29,7 +29,7 @@
   void SetLimits(const ServerLimits& aLimits) { limits_ = aLimits; }
 
   /// From now on answers tell callers to close.
-  void SetLeaving() { leaving_ = true; }
+  void SetDraining() { isDraining_ = true; }
 
   /// Closes the connections on which nothing is under way.
   void CloseIdle();
@@ -47,7 +47,7 @@
   void OnRequest(std::shared_ptr<Exchange> aExchange) override;
   void OnClosed(ServerConnection& aConnection) override;
   [[nodiscard]] const ServerLimits& Limits() const override { return limits_; }
-  [[nodiscard]] bool IsLeaving() const override { return leaving_; }
+  [[nodiscard]] bool IsDraining() const override { return isDraining_; }
 
 private:
   void Accept();
@@ -57,7 +57,7 @@
   boost::asio::steady_timer sweepTimer_;
   Handler handler_;
   ServerLimits limits_;
-  bool leaving_ = false;
+  bool isDraining_ = false;
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
 };
 
--- a/Libraries/LibHttpStream/ServerConnection.cpp
+++ b/Libraries/LibHttpStream/ServerConnection.cpp
@@ -73,14 +73,14 @@
 }
 
 void
-Exchange::Answer(Response aResponse)
+Exchange::Respond(Response aResponse)
 {
   const auto connection = connection_.lock();
   if (answered_ || !connection || connection->closed_) {
     return;
   }
   answered_ = true;
-  if (connection->owner_.IsLeaving()) {
+  if (connection->owner_.IsDraining()) {
     connection->keepOpen_ = false;
   }
   aResponse.content_length(aResponse.body().size());
@@ -105,7 +105,7 @@
   CopyEndToEndFields(aHead, head);
   // A caller of HTTP/1.0 knows no chunks: its answer ends with the connection.
   connection->chunked_ = request_.version() >= 11;
-  if (!connection->chunked_ || connection->owner_.IsLeaving()) {
+  if (!connection->chunked_ || connection->owner_.IsDraining()) {
     connection->keepOpen_ = false;
   }
   if (connection->chunked_) {
@@ -118,7 +118,7 @@
 }
 
 void
-Exchange::SendPiece(std::string_view aBytes)
+Exchange::SendChunk(std::string_view aBytes)
 {
   const auto connection = connection_.lock();
   if (answered_ || !streaming_ || !connection || connection->closed_ ||
@@ -427,8 +427,8 @@
   owner_.OnClosed(*this);
   if (exchange && !exchange->answered_) {
     exchange->answered_ = true;
-    if (exchange->callerGone_) {
-      exchange->callerGone_();
+    if (exchange->callerDisconnected_) {
+      exchange->callerDisconnected_();
     }
   }
 }
--- a/Libraries/LibHttpStream/ServerConnection.h
+++ b/Libraries/LibHttpStream/ServerConnection.h
@@ -43,13 +43,13 @@
   [[nodiscard]] base::Instant ReceivedAt() const { return receivedAt_; }
 
   /// Answers with a body of known length.
-  void Answer(Response aResponse);
+  void Respond(Response aResponse);
 
   /// Begins a streamed answer; its body is sent in chunks.
   void BeginStream(const ResponseHead& aHead);
 
   /// Sends bytes of a streamed answer at once.
-  void SendPiece(std::string_view aBytes);
+  void SendChunk(std::string_view aBytes);
 
   /// Ends a streamed answer as complete.
   void EndStream();
@@ -64,9 +64,9 @@
   [[nodiscard]] std::size_t UnsentBytes() const;
 
   /// @param aCallback Called once if the caller closes before the answer ends.
-  void OnCallerGone(std::function<void()> aCallback)
+  void OnCallerDisconnected(std::function<void()> aCallback)
   {
-    callerGone_ = std::move(aCallback);
+    callerDisconnected_ = std::move(aCallback);
   }
 
   /// @param aCallback Called each time that all bytes have been taken.
@@ -83,7 +83,7 @@
   base::Instant receivedAt_;
   bool answered_ = false;
   bool streaming_ = false;
-  std::function<void()> callerGone_;
+  std::function<void()> callerDisconnected_;
   std::function<void()> drained_;
 };
 
@@ -99,7 +99,7 @@
   [[nodiscard]] virtual const ServerLimits& Limits() const = 0;
 
   /// @return whether answers tell the caller to close, as the host is leaving.
-  [[nodiscard]] virtual bool IsLeaving() const = 0;
+  [[nodiscard]] virtual bool IsDraining() const = 0;
 };
 
 /// One caller's connection: reads requests one after the other, and goes on
--- a/Tests/LibBatch/ItemScheduleTest.cpp
+++ b/Tests/LibBatch/ItemScheduleTest.cpp
@@ -29,8 +29,8 @@
   }
 
   std::optional<ItemResult> Run(ItemSchedule& aSchedule,
-                                ItemRunEnd aEnd,
-                                const PartialRun& aProgress = {})
+                                ItemAttemptOutcome aEnd,
+                                const PartialOutput& aProgress = {})
   {
     now_ += 1s;
     const auto item = Next(aSchedule);
@@ -49,7 +49,8 @@
                  "ItemSchedule_CompletedRun_GivesTheWholeOutput")
 {
   ItemSchedule schedule = Make();
-  const auto result = Run(schedule, ItemRunEnd::Completed, { 2, "a\nb" });
+  const auto result =
+    Run(schedule, ItemAttemptOutcome::Completed, { 2, "a\nb" });
   REQUIRE(result);
   CHECK(*result == ItemResult{ "first", ItemState::Completed, "a\nb" });
   CHECK(Next(schedule) == 1);
@@ -59,17 +60,17 @@
                  "ItemSchedule_PreemptedRun_GoesOnAfterItsLastEvent")
 {
   ItemSchedule schedule = Make();
-  CHECK_FALSE(Run(schedule, ItemRunEnd::Preempted, { 3, "a\nb\nc" }));
+  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Preempted, { 3, "a\nb\nc" }));
   CHECK(Next(schedule) == 0);
-  CHECK(schedule.ProgressOf(0) == PartialRun{ 3, "a\nb\nc" });
+  CHECK(schedule.ProgressOf(0) == PartialOutput{ 3, "a\nb\nc" });
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
                  "ItemSchedule_FailuresReachTheLimit_GivesUpTheItem")
 {
   ItemSchedule schedule = Make();
-  CHECK_FALSE(Run(schedule, ItemRunEnd::Failed));
-  const auto result = Run(schedule, ItemRunEnd::Failed);
+  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Failed));
+  const auto result = Run(schedule, ItemAttemptOutcome::Failed);
   REQUIRE(result);
   CHECK(result->state_ == ItemState::Errored);
   CHECK(result->item_ == "first");
@@ -79,7 +80,7 @@
                  "ItemSchedule_ImpossibleItem_IsGivenUpAtOnce")
 {
   ItemSchedule schedule = Make();
-  const auto result = Run(schedule, ItemRunEnd::Impossible);
+  const auto result = Run(schedule, ItemAttemptOutcome::Impossible);
   REQUIRE(result);
   CHECK(result->state_ == ItemState::Errored);
 }
@@ -91,7 +92,7 @@
 {
   ItemSchedule schedule = Make();
   for (std::size_t crash = 0; crash < ItemSchedule::kMaxCrashes; ++crash) {
-    CHECK_FALSE(Run(schedule, ItemRunEnd::Broken));
+    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken));
   }
   now_ += 1min;
   CHECK(Next(schedule) == 1);
@@ -107,7 +108,7 @@
 {
   ItemSchedule schedule = Make();
   for (std::size_t reset = 0; reset < ItemSchedule::kMaxCrashes; ++reset) {
-    CHECK_FALSE(Run(schedule, ItemRunEnd::Broken));
+    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken));
   }
   now_ += 1s;
   livedOn_ = true;
@@ -119,7 +120,7 @@
 {
   ItemSchedule schedule = Make();
   for (std::uint64_t event = 1; event <= 6; ++event) {
-    CHECK_FALSE(Run(schedule, ItemRunEnd::Broken, { event, "x" }));
+    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken, { event, "x" }));
   }
   now_ += 1s;
   CHECK(Next(schedule) == 0);
@@ -131,11 +132,11 @@
   (*job_.items_)[1].tokens_ = 20;
   ItemSchedule schedule = Make();
   CHECK(schedule.WaitingTokens() == 320);
-  CHECK_FALSE(Run(schedule, ItemRunEnd::Preempted, { 3, "x" }));
+  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Preempted, { 3, "x" }));
   CHECK(schedule.WaitingTokens() == 320);
-  CHECK(Run(schedule, ItemRunEnd::Completed, { 4, "x" }));
+  CHECK(Run(schedule, ItemAttemptOutcome::Completed, { 4, "x" }));
   CHECK(schedule.WaitingTokens() == 20);
-  CHECK(Run(schedule, ItemRunEnd::Impossible));
+  CHECK(Run(schedule, ItemAttemptOutcome::Impossible));
   CHECK(schedule.WaitingTokens() == 0);
 }
 
--- a/Tests/LibBatch/StartOrderTest.cpp
+++ b/Tests/LibBatch/StartOrderTest.cpp
@@ -106,7 +106,7 @@
       for (Item& item : items_) {
         if (item.isRunning_ &&
             (chosen == nullptr ||
-             GivesWayBefore(UrgencyOf(item), UrgencyOf(*chosen), aNow))) {
+             IsPreemptedBefore(UrgencyOf(item), UrgencyOf(*chosen), aNow))) {
           chosen = &item;
         }
       }
@@ -231,19 +231,19 @@
   const ItemUrgency late{ now + 1s, 4s };
   const ItemUrgency tight{ now + 6s, 4s };
   const ItemUrgency relaxed{ now + 18s, 4s };
-  CHECK(GivesWayBefore(late, relaxed, now));
-  CHECK(GivesWayBefore(relaxed, tight, now));
-  CHECK_FALSE(GivesWayBefore(tight, late, now));
+  CHECK(IsPreemptedBefore(late, relaxed, now));
+  CHECK(IsPreemptedBefore(relaxed, tight, now));
+  CHECK_FALSE(IsPreemptedBefore(tight, late, now));
 }
 
 TEST_CASE("ItemPace_RunsSeen_RemainingTimeFollows")
 {
   ItemPace pace;
   CHECK(pace.Remaining(1000, 0) == base::Duration::zero());
-  pace.NoteRun(200, 4s);
-  pace.NoteCompleted(1000, 250);
+  pace.RecordRun(200, 4s);
+  pace.RecordCompleted(1000, 250);
   // A run of a few events tells more of the wait for a place.
-  pace.NoteRun(2, 4s);
+  pace.RecordRun(2, 4s);
   CHECK(base::ToMs(pace.Remaining(1000, 0)) == 5000);
   CHECK(base::ToMs(pace.Remaining(1000, 200)) == 1000);
   // Longer than expected: it may end with each event.
--- a/Tests/LibFleet/AdmissionControlTest.cpp
+++ b/Tests/LibFleet/AdmissionControlTest.cpp
@@ -15,15 +15,17 @@
   void LearnRunTime()
   {
     for (int run = 0; run < 50; ++run) {
-      control_.NoteRun("llm", milliseconds(800));
+      control_.RecordRun("llm", milliseconds(800));
     }
   }
 
-  Admission Check(std::uint32_t aRunning,
-                  std::optional<base::Duration> aPatience = milliseconds(5000))
+  Admission Check(
+    std::uint32_t aRunning,
+    std::optional<base::Duration> aClientTimeout = milliseconds(5000))
   {
     return control_.Check(
-      { "llm", "route", aRunning, 8, milliseconds(300), aPatience }, kHalf);
+      { "llm", "route", aRunning, 8, milliseconds(300), aClientTimeout },
+      kHalf);
   }
 
   AdmissionControl control_;
@@ -63,7 +65,7 @@
                  "AdmissionControl_RunTimeUnknown_AdmitsAll")
 {
   CHECK_FALSE(Check(30).retryAfter_);
-  control_.NoteRun("llm", milliseconds(800));
+  control_.RecordRun("llm", milliseconds(800));
   CHECK_FALSE(Check(30).retryAfter_);
 }
 
@@ -81,7 +83,7 @@
 {
   LearnRunTime();
   for (int run = 0; run < 100; ++run) {
-    control_.NoteRun("llm", milliseconds(1600));
+    control_.RecordRun("llm", milliseconds(1600));
   }
   CHECK(Check(8).expectedWait_ > milliseconds(190));
 }
@@ -90,9 +92,9 @@
 TEST_CASE_METHOD(AdmissionControlFixture,
                  "AdmissionControl_ComeBack_IsSpreadWithinWhatCallersHeed")
 {
-  const base::Duration patience = milliseconds(3000);
-  const auto soonest = AdmissionControl::RetryAfter(patience, 0.0);
-  const auto latest = AdmissionControl::RetryAfter(patience, 0.999);
+  const base::Duration clientTimeout = milliseconds(3000);
+  const auto soonest = AdmissionControl::RetryAfter(clientTimeout, 0.0);
+  const auto latest = AdmissionControl::RetryAfter(clientTimeout, 0.999);
   CHECK(soonest >= milliseconds(500));
   CHECK(latest - soonest >= milliseconds(300));
   CHECK(latest <= milliseconds(1000));
--- a/Tests/LibFleet/EndpointTableTest.cpp
+++ b/Tests/LibFleet/EndpointTableTest.cpp
@@ -17,7 +17,7 @@
                now_);
   }
 
-  RegistrationNews AddBorn(const std::string& aId, std::int64_t aBornMs)
+  RegistrationOutcome AddBorn(const std::string& aId, std::int64_t aBornMs)
   {
     return table_.Put({ aId, "service", "127.0.0.1:1", "a", 4, false, aBornMs },
                       now_);
@@ -78,7 +78,7 @@
 {
   Add("one");
   CHECK(Choose(WorkClass::Batch));
-  table_.NoteYield("one", now_);
+  table_.RecordPreemption("one", now_);
   CHECK_FALSE(Choose(WorkClass::Batch));
   CHECK(Choose(WorkClass::Online));
   now_ += 400ms;
@@ -129,12 +129,12 @@
 {
   Add("one");
   Start("one", WorkClass::Batch, 3);
-  CHECK(table_.BatchToYield("one", now_, 0.5) == 0);
+  CHECK(table_.BatchToPreempt("one", now_, 0.5) == 0);
   const std::vector<PeerCount> counts = { { "one", { 3, 0 } } };
   table_.SetPeerCounts("peer", counts, now_);
-  CHECK(table_.BatchToYield("one", now_, 0.0) == 2);
+  CHECK(table_.BatchToPreempt("one", now_, 0.0) == 2);
   table_.SetPeerCounts("peer", {}, now_);
-  CHECK(table_.BatchToYield("one", now_, 0.5) == 0);
+  CHECK(table_.BatchToPreempt("one", now_, 0.5) == 0);
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
@@ -144,7 +144,7 @@
   Start("one", WorkClass::Batch, 2);
   const std::vector<PeerCount> counts = { { "one", { 2, 2 } } };
   table_.SetPeerCounts("peer", counts, now_);
-  CHECK(table_.BatchToYield("one", now_, 0.5) == 1);
+  CHECK(table_.BatchToPreempt("one", now_, 0.5) == 1);
 }
 
 // A translator's hint waits 200 ms for nothing: every place is taken, one of
@@ -162,8 +162,8 @@
   REQUIRE(choice);
   CHECK(choice->endpoint_.id_ == "with-batch");
   CHECK(choice->preemptsBatch_);
-  CHECK(choice->yieldingPeer_ == "peer");
-  table_.AssumeYield("with-batch", "peer");
+  CHECK(choice->preemptedPeer_ == "peer");
+  table_.AssumePreemption("with-batch", "peer");
   CHECK(Choose(WorkClass::Online)->running_ == 3);
 }
 
@@ -186,7 +186,7 @@
 {
   Add("bad");
   CHECK(table_.OwnCounts(now_).empty());
-  table_.NoteFailure({ "bad" }, now_);
+  table_.RecordFailure({ "bad" }, now_);
   REQUIRE(table_.OwnCounts(now_).size() == 1);
   CHECK(table_.OwnCounts(now_).front().hasFailed_);
 }
@@ -207,7 +207,7 @@
   Add("bad");
   Add("good", "b");
   Start("good", WorkClass::Online, 4);
-  table_.NoteFailure({ "bad" }, now_);
+  table_.RecordFailure({ "bad" }, now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "good");
   now_ += 500ms;
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "bad");
@@ -223,7 +223,7 @@
   Add("old");
   Add("other");
   Start("other", WorkClass::Online, 3);
-  table_.NoteReplaced({ "old" }, now_);
+  table_.RecordReplaced({ "old" }, now_);
   Add("old");
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "other");
   CHECK_FALSE(table_.IsUsable("old"));
@@ -256,19 +256,19 @@
 {
   Add("one");
   table_.RecordActivity({ "one" }, now_ - 1s, now_);
-  CHECK_FALSE(table_.HasLivedOn("one", now_, now_));
+  CHECK_FALSE(table_.HasSurvived("one", now_, now_));
   table_.RecordActivity({ "one" }, now_ - 1s, now_ + 1ms);
-  CHECK(table_.HasLivedOn("one", now_, now_ + 1ms));
+  CHECK(table_.HasSurvived("one", now_, now_ + 1ms));
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_RegistrationOutlastsItsLapse_HasLivedOn")
 {
   Add("one");
-  CHECK_FALSE(table_.HasLivedOn("one", now_, now_ + 4s));
-  CHECK(table_.HasLivedOn("one", now_, now_ + 5s));
+  CHECK_FALSE(table_.HasSurvived("one", now_, now_ + 4s));
+  CHECK(table_.HasSurvived("one", now_, now_ + 5s));
   table_.Remove("one", std::nullopt, now_);
-  CHECK_FALSE(table_.HasLivedOn("one", now_, now_ + 5s));
+  CHECK_FALSE(table_.HasSurvived("one", now_, now_ + 5s));
 }
 
 // A third of the fleet stays empty for ten minutes after a crash: servers come
@@ -278,13 +278,13 @@
                  "EndpointTable_ReplacedEndpointStartsAnew_IsUsedAgain")
 {
   AddBorn("one", 100);
-  table_.NoteReplaced({ "one", 100 }, now_);
-  CHECK(AddBorn("one", 100) == RegistrationNews::Outdated);
+  table_.RecordReplaced({ "one", 100 }, now_);
+  CHECK(AddBorn("one", 100) == RegistrationOutcome::Outdated);
   CHECK_FALSE(Choose(WorkClass::Online));
-  CHECK(AddBorn("one", 200) == RegistrationNews::New);
+  CHECK(AddBorn("one", 200) == RegistrationOutcome::New);
   CHECK(Choose(WorkClass::Online));
   // Late news of the start before.
-  table_.NoteReplaced({ "one", 100 }, now_);
+  table_.RecordReplaced({ "one", 100 }, now_);
   CHECK(table_.IsUsable("one"));
 }
 
@@ -299,8 +299,8 @@
   }
   const PeerCount ofPeer{ "one", { 3, 0 }, true, 100 };
   table_.SetPeerCounts("peer", std::span(&ofPeer, 1), now_);
-  table_.NoteFailure({ "one", 100 }, now_);
-  CHECK(AddBorn("one", 200) == RegistrationNews::Restarted);
+  table_.RecordFailure({ "one", 100 }, now_);
+  CHECK(AddBorn("one", 200) == RegistrationOutcome::Restarted);
   CHECK(Choose(WorkClass::Online)->running_ == 0);
   CHECK(table_.OwnCounts(now_).empty());
 }
@@ -317,9 +317,9 @@
   const PeerCount ofPeer{ "one", { 3, 0 }, false, 100 };
   table_.UpdatePeerCounts("peer", std::span(&ofPeer, 1), now_);
   CHECK(Choose(WorkClass::Online)->running_ == 1);
-  CHECK(AddBorn("one", 100) == RegistrationNews::Outdated);
-  CHECK(Choose(WorkClass::Online)->endpoint_.bornMs_ == 200);
-  table_.NoteReplaced({ "one", 100 }, now_);
+  CHECK(AddBorn("one", 100) == RegistrationOutcome::Outdated);
+  CHECK(Choose(WorkClass::Online)->endpoint_.startedAtMs_ == 200);
+  table_.RecordReplaced({ "one", 100 }, now_);
   CHECK(table_.IsUsable("one"));
 }
 
@@ -332,11 +332,11 @@
   AddBorn("one", 100);
   const base::Instant crash = now_;
   table_.RecordActivity({ "one", 100 }, crash + 100ms, crash + 200ms);
-  CHECK_FALSE(table_.HasLivedOn("one", crash, crash + 200ms));
+  CHECK_FALSE(table_.HasSurvived("one", crash, crash + 200ms));
   now_ += 3s;
   AddBorn("one", 200);
   table_.RecordActivity({ "one", 200 }, now_, now_ + 100ms);
-  CHECK_FALSE(table_.HasLivedOn("one", crash, crash + 10s));
+  CHECK_FALSE(table_.HasSurvived("one", crash, crash + 10s));
 }
 
 // A server's entry is overwritten with something that no server writes.
--- a/Tests/LibFleet/PeerReachabilityTest.cpp
+++ b/Tests/LibFleet/PeerReachabilityTest.cpp
@@ -52,10 +52,10 @@
                  "PeerHearing_PeerSilent_IsHeardThroughOne")
 {
   PassWithout("worker", milliseconds(400));
-  const auto questions = RelayRequests();
-  REQUIRE(questions.size() == 1);
-  CHECK(questions[0].peers_ == std::vector<std::string>{ "worker" });
-  CHECK(questions[0].relay_ != "worker");
+  const auto requests = RelayRequests();
+  REQUIRE(requests.size() == 1);
+  CHECK(requests[0].peers_ == std::vector<std::string>{ "worker" });
+  CHECK(requests[0].relay_ != "worker");
   CHECK_FALSE(reachability_.RelayTo("worker", now_));
 
   reachability_.RecordRelayed("worker", "other", now_);
@@ -74,10 +74,10 @@
   now_ += milliseconds(400);
   reachability_.RecordActivity("relay", now_);
   CHECK_FALSE(reachability_.RelayTo("worker", now_));
-  const auto questions = RelayRequests();
-  REQUIRE(questions.size() == 1);
-  CHECK(questions[0].relay_ == "relay");
-  CHECK(questions[0].peers_ == std::vector<std::string>{ "other", "worker" });
+  const auto requests = RelayRequests();
+  REQUIRE(requests.size() == 1);
+  CHECK(requests[0].relay_ == "relay");
+  CHECK(requests[0].peers_ == std::vector<std::string>{ "other", "worker" });
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
--- a/Tests/LibFleet/RateLimiterTest.cpp
+++ b/Tests/LibFleet/RateLimiterTest.cpp
@@ -20,7 +20,7 @@
 protected:
   static constexpr base::Duration kStep = 1ms;
   static constexpr base::Duration kTick = 100ms;
-  static constexpr base::Duration kPatience = 60ms;
+  static constexpr base::Duration kOwnerTimeout = 60ms;
   static constexpr base::Duration kSilenceTimeout = 300ms;
   static constexpr RateTolerance kTolerance{ 5s, 0.1, 20.0 };
 
@@ -99,7 +99,7 @@
   {
     for (Host& host : hosts_) {
       for (auto asked = host.asked_.begin(); asked != host.asked_.end();) {
-        if (now_ - asked->second < kPatience) {
+        if (now_ - asked->second < kOwnerTimeout) {
           ++asked;
           continue;
         }
--- a/Tests/LibFleet/SuspectTableTest.cpp
+++ b/Tests/LibFleet/SuspectTableTest.cpp
@@ -20,7 +20,7 @@
   /// A run that begins now, with what is known, and breaks off.
   void Break(const std::string& aEndpoint, int aBroke)
   {
-    table_.NoteBroken(
+    table_.RecordBroken(
       { kContent, aEndpoint, table_.IsKnown(kContent), At(aBroke) });
   }
 
@@ -53,7 +53,7 @@
 TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_CrashesAtOnce_CountOnce")
 {
   for (const char* endpoint : { "a", "b", "c" }) {
-    table_.NoteBroken({ kContent, endpoint, false, At(50) });
+    table_.RecordBroken({ kContent, endpoint, false, At(50) });
   }
   CHECK_FALSE(IsRefused(60));
   Break("d", 70);
@@ -76,11 +76,11 @@
   Break("a", 10);
   Break("b", 30);
   Break("c", 50);
-  table_.NoteAnswered(kContent, At(60));
+  table_.RecordAnswered(kContent, At(60));
   CHECK_FALSE(IsRefused(70));
   // A peer that doesn't know of the answer sends the old runs again.
   for (const char* endpoint : { "a", "b", "c" }) {
-    table_.NoteBroken({ kContent, endpoint, true, At(50) });
+    table_.RecordBroken({ kContent, endpoint, true, At(50) });
   }
   CHECK_FALSE(IsRefused(70));
 }
@@ -107,11 +107,11 @@
 
 TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_ManyContents_StaysBounded")
 {
-  for (std::uint64_t content = 0; content < 2 * SuspectTable::kMostContents;
+  for (std::uint64_t content = 0; content < 2 * SuspectTable::kMaxContents;
        ++content) {
-    table_.NoteBroken({ content, "a", false, At(1) });
+    table_.RecordBroken({ content, "a", false, At(1) });
   }
-  CHECK(table_.Runs(At(2)).size() == SuspectTable::kMostContents);
+  CHECK(table_.Runs(At(2)).size() == SuspectTable::kMaxContents);
 }
 
 } // namespace pumiceturn::fleet
--- a/Tests/LibHttpStream/ClientConnectionTest.cpp
+++ b/Tests/LibHttpStream/ClientConnectionTest.cpp
@@ -88,7 +88,7 @@
   const auto connection = Connect();
   REQUIRE(connection);
   const RecordingObserver answer = Ask(connection, "1");
-  CHECK(answer.end_ == CallEnd::Complete);
+  CHECK(answer.end_ == CallOutcome::Complete);
   CHECK(answer.body_ == "hi");
   CHECK(connection->IsReusable());
 }
@@ -122,7 +122,7 @@
         true);
   const RecordingObserver answer = Ask(Connect(), "1");
   CHECK(answer.body_ == "hi");
-  CHECK(answer.end_ == CallEnd::Broken);
+  CHECK(answer.end_ == CallOutcome::Broken);
 }
 
 TEST_CASE_METHOD(ClientConnectionFixture,
@@ -132,7 +132,7 @@
   const auto connection = Connect();
   const RecordingObserver answer = Ask(connection, "1");
   CHECK(answer.body_ == "hi");
-  CHECK(answer.end_ == CallEnd::Complete);
+  CHECK(answer.end_ == CallOutcome::Complete);
   CHECK_FALSE(connection->IsReusable());
 }
 
@@ -140,7 +140,7 @@
                  "ClientConnection_BytesThatAreNoAnswer_AreReported")
 {
   Serve("nonsense\r\n\r\n", false);
-  CHECK(Ask(Connect(), "1").end_ == CallEnd::Unintelligible);
+  CHECK(Ask(Connect(), "1").end_ == CallOutcome::Malformed);
 }
 
 // One archive gets another archive's surname. A server sends a second answer to
@@ -152,7 +152,7 @@
         "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 3\r\n\r\nnew",
         false);
   const RecordingObserver answer = Ask(Connect(), "2");
-  CHECK(answer.end_ == CallEnd::Complete);
+  CHECK(answer.end_ == CallOutcome::Complete);
   CHECK(answer.echoed_ == "2");
   CHECK(answer.body_ == "new");
 }
@@ -179,7 +179,7 @@
   call.firstByteTimeout_ = std::chrono::milliseconds(50);
   connection->Start(std::move(call), observer);
   RunUntil([&observer] { return observer.end_.has_value(); });
-  CHECK(observer.end_ == CallEnd::Silent);
+  CHECK(observer.end_ == CallOutcome::TimedOut);
 }
 
 } // namespace pumiceturn::httpstream
--- a/Tests/LibHttpStream/HttpFixture.h
+++ b/Tests/LibHttpStream/HttpFixture.h
@@ -22,12 +22,12 @@
     echoed_ = ValueOf(aHead, "X-Id");
   }
   void OnBody(std::string_view aBytes) override { body_.append(aBytes); }
-  void OnEnd(CallEnd aEnd) override { end_ = aEnd; }
+  void OnEnd(CallOutcome aEnd) override { end_ = aEnd; }
 
   unsigned status_ = 0;
   std::string echoed_;
   std::string body_;
-  std::optional<CallEnd> end_;
+  std::optional<CallOutcome> end_;
 };
 
 /// Runs an event loop on loopback until something has happened.
--- a/Tests/LibHttpStream/ListenerTest.cpp
+++ b/Tests/LibHttpStream/ListenerTest.cpp
@@ -82,9 +82,9 @@
 {
   Send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
-  exchanges_[0]->Answer(MakeResponse(200, "one", "text/plain"));
+  exchanges_[0]->Respond(MakeResponse(200, "one", "text/plain"));
   RunUntil([this] { return exchanges_.size() == 2; });
-  exchanges_[1]->Answer(MakeResponse(200, "two", "text/plain"));
+  exchanges_[1]->Respond(MakeResponse(200, "two", "text/plain"));
   ReadUntil("two");
   CHECK(received_.find("one") < received_.find("two"));
 }
@@ -130,7 +130,7 @@
   ResponseHead head;
   head.result(200);
   exchanges_[0]->BeginStream(head);
-  exchanges_[0]->SendPiece("half");
+  exchanges_[0]->SendChunk("half");
   exchanges_[0]->Abort();
   ReadUntilClosed();
   CHECK(received_.find("half") != std::string::npos);
@@ -144,7 +144,7 @@
   ResponseHead head;
   head.result(200);
   exchanges_[0]->BeginStream(head);
-  exchanges_[0]->SendPiece("whole");
+  exchanges_[0]->SendChunk("whole");
   exchanges_[0]->EndStream();
   ReadUntil(std::string(kLastChunk));
 }
@@ -154,17 +154,17 @@
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
   bool isGone = false;
-  exchanges_[0]->OnCallerGone([&isGone] { isGone = true; });
+  exchanges_[0]->OnCallerDisconnected([&isGone] { isGone = true; });
   caller_.close();
   RunUntil([&isGone] { return isGone; });
 }
 
 TEST_CASE_METHOD(ListenerFixture, "Listener_Leaving_TellsCallersToClose")
 {
-  listener_.SetLeaving();
+  listener_.SetDraining();
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
-  exchanges_[0]->Answer(MakeResponse(200, "x", "text/plain"));
+  exchanges_[0]->Respond(MakeResponse(200, "x", "text/plain"));
   ReadUntilClosed();
   CHECK(received_.find("Connection: close") != std::string::npos);
 }
@@ -175,7 +175,7 @@
   RunUntil([this] { return exchanges_.size() == 1; });
   listener_.CloseIdle();
   CHECK(listener_.ConnectionCount() == 1);
-  exchanges_[0]->Answer(MakeResponse(200, "x", "text/plain"));
+  exchanges_[0]->Respond(MakeResponse(200, "x", "text/plain"));
   ReadUntil("x");
   listener_.CloseIdle();
   RunUntil([this] { return listener_.ConnectionCount() == 0; });
@@ -192,7 +192,7 @@
   CHECK(listener_.BusyCount() == 1);
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
-  exchanges_[0]->Answer(MakeResponse(200, "x", "text/plain"));
+  exchanges_[0]->Respond(MakeResponse(200, "x", "text/plain"));
   ReadUntil("x");
   listener_.CloseIdle();
   RunUntil([this] { return listener_.ConnectionCount() == 0; });
--- a/Tests/Platform/BatchJobSpoolTest.cpp
+++ b/Tests/Platform/BatchJobSpoolTest.cpp
@@ -47,13 +47,13 @@
   StartWorkerWithDisk("worker-1");
   StartWorkerWithDisk("worker-2");
   AwaitPeers(2);
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   CHECK(Submit(*entry_, 5) == 202);
   CHECK(FileCount("worker-1") + FileCount("worker-2") == 2);
   CHECK(store_.Get("pumiceturn/lot/lot1").empty());
   // Sent again, it is the same job.
   CHECK(Submit(*entry_, 5) == 202);
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   WaitForAll(*entry_, 5);
   CHECK(RequestCount() == 5);
   RunUntil(
@@ -67,10 +67,10 @@
   StartWorkerWithDisk("worker-1");
   StartWorker("worker-2");
   AwaitPeers(2);
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   // One worker may have it, and would run it: "not run" would be a lie.
   CHECK(Submit(*entry_, 2) == 504);
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   WaitForAll(*entry_, 2);
 }
 
@@ -79,9 +79,9 @@
   StartWorker("worker-1");
   StartWorker("worker-2");
   AwaitPeers(2);
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   CHECK(Submit(*entry_, 2) == 503);
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([this] { return Submit(*entry_, 2) == 202; });
   WaitForAll(*entry_, 2);
   CHECK(RequestCount() == 2);
@@ -176,7 +176,7 @@
   for (const auto& host : hosts_) {
     RunUntil([&] { return Ask(*host, "GET", "/capped/1")->status_ != 404; });
   }
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   // 99 of 100 tokens beyond the cap, on both disks.
   CHECK(Submit(*entry_, 11) == 202);
   CHECK(
@@ -185,7 +185,7 @@
       ->status_ == 503);
   // Sent again, the first is still accepted.
   CHECK(Submit(*entry_, 11) == 202);
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   WaitForAll(*entry_, 11);
 }
 
@@ -195,7 +195,7 @@
                  "HeldLots_BroughtTwiceAtOnce_BothAreAnswered")
 {
   TestHost& worker = StartWorkerWithDisk("worker-1");
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   batch::SpooledJob job;
   job.id_ = "lot1";
   job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
--- a/Tests/Platform/BatchJobsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -75,11 +75,11 @@
 // carried out the first write, and its answer was lost.
 TEST_CASE_METHOD(BatchJobsFixture, "Lots_AnswerOfTheStoreLost_LotIsKeptOnce")
 {
-  store_.SetMood(StoreMood::LosingWrites);
+  store_.SetBehaviour(StoreBehaviour::LosingWrites);
   const auto call = Send(
     entry_->callerPort_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
   RunUntil([this] { return !store_.Get("pumiceturn/lot/lot1").empty(); });
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([&call] { return call->IsOver(); });
   CHECK(call->status_ == 202);
   WaitForAll(*entry_, 2);
@@ -89,13 +89,13 @@
 TEST_CASE_METHOD(BatchJobsFixture,
                  "Lots_StoreRefuses_LotIsRefusedAndNothingRuns")
 {
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   const auto call =
     Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
   CHECK(call->status_ == 503);
   CHECK_FALSE(call->retryAfter_.empty());
   CHECK(Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 503);
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([this] {
     return Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 404;
   });
@@ -169,7 +169,7 @@
                  "Lots_WatchOvertakesTheAnswer_LastResultIsShown")
 {
   StartWorker("worker");
-  store_.SetMood(StoreMood::AnsweringLate);
+  store_.SetBehaviour(StoreBehaviour::AnsweringLate);
   CHECK(Submit(*entry_, 1) == 202);
   const json page = WaitForAll(*entry_, 1);
   CHECK(page["results"][0]["output"] == WholeOutput());
@@ -189,12 +189,12 @@
   RunUntil([this] { return RequestCount() == 1; });
   servers_[0]->ClearScripts();
   servers_[1]->ClearScripts();
-  store_.SetMood(StoreMood::LosingWrites);
+  store_.SetBehaviour(StoreBehaviour::LosingWrites);
   RunUntil([this] {
     return store_.Get("pumiceturn/lot/lot1").find("\"finished\":true") !=
            std::string::npos;
   });
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   const json page = WaitForAll(*entry_, 1);
   CHECK(page["results"][0]["output"] == WholeOutput());
 }
--- a/Tests/Platform/CallerCall.h
+++ b/Tests/Platform/CallerCall.h
@@ -19,7 +19,7 @@
     retryAfter_ = httpstream::ValueOf(aHead, "Retry-After");
   }
   void OnBody(std::string_view aBytes) override { body_.append(aBytes); }
-  void OnEnd(httpstream::CallEnd aEnd) override { end_ = aEnd; }
+  void OnEnd(httpstream::CallOutcome aEnd) override { end_ = aEnd; }
 
   [[nodiscard]] bool IsOver() const { return end_.has_value(); }
 
@@ -27,7 +27,7 @@
   std::string seal_;
   std::string retryAfter_;
   std::string body_;
-  std::optional<httpstream::CallEnd> end_;
+  std::optional<httpstream::CallOutcome> end_;
   std::shared_ptr<httpstream::ClientConnection> connection_;
 };
 
--- a/Tests/Platform/CallersTest.cpp
+++ b/Tests/Platform/CallersTest.cpp
@@ -163,7 +163,7 @@
 // A host that nobody told of it let a key run after it had been taken away.
 TEST_CASE_METHOD(CallersFixture, "Callers_StoreIsAway_RunOnlyWithinTheBound")
 {
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   const auto lostAt = std::chrono::steady_clock::now();
   Declare({ { "archive", { "key-a2" } } });
   RunUntil([this] { return StatusFor(Bearer("key-a1")) != 200; });
@@ -175,7 +175,7 @@
   CHECK(StatusFor(Bearer("key-new")) == 503);
   CHECK_FALSE(IsReady());
   CHECK(Call("/open/1", "")->status_ == 200);
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([this] { return IsReady(); });
   CHECK(StatusFor(Bearer("key-a1")) == 401);
   CHECK(StatusFor(Bearer("key-a2")) == 200);
@@ -190,7 +190,7 @@
     return Metrics(*host_).find("pumiceturn_peers_heard 1") !=
            std::string::npos;
   });
-  store_.SetDoorMood(host_->storePort_, StoreMood::Refusing);
+  store_.SetPortBehaviour(host_->storePort_, StoreBehaviour::Refusing);
   const auto lostAt = std::chrono::steady_clock::now();
   while (std::chrono::steady_clock::now() - lostAt < 6s) {
     REQUIRE(StatusFor(Bearer("key-a1")) == 200);
--- a/Tests/Platform/CallingFixture.h
+++ b/Tests/Platform/CallingFixture.h
@@ -59,7 +59,7 @@
       std::chrono::seconds(10),
       [raw = call.get(), bytes](bool aIsConnected) {
         if (!aIsConnected) {
-          raw->OnEnd(httpstream::CallEnd::NotConnected);
+          raw->OnEnd(httpstream::CallOutcome::NotConnected);
           return;
         }
         httpstream::Call request;
--- a/Tests/Platform/FollowingTest.cpp
+++ b/Tests/Platform/FollowingTest.cpp
@@ -119,7 +119,7 @@
 {
   for (const auto& host : hosts_) {
     if (FollowedBy(*host) > 0) {
-      store_.SetDoorMood(host->storePort_, StoreMood::Refusing);
+      store_.SetPortBehaviour(host->storePort_, StoreBehaviour::Refusing);
       break;
     }
   }
--- a/Tests/Platform/GatewayFixture.cpp
+++ b/Tests/Platform/GatewayFixture.cpp
@@ -28,7 +28,7 @@
 std::uint16_t
 GatewayFixture::FreePort()
 {
-  // Stays bound, without listening, so that neither the store's next door nor a
+  // Stays bound, without listening, so that neither the store's next port nor a
   // connection of another process is given the port before the host opens it.
   boost::asio::ip::tcp::socket holder(context_, boost::asio::ip::tcp::v4());
   holder.set_option(boost::asio::socket_base::reuse_address(true));
@@ -91,12 +91,12 @@
   settings.rateTolerance_.overage_ = capOverage_;
   host.forwardPort_ = FreePort();
   settings.forwardAddress_ = fmt::format("127.0.0.1:{}", host.forwardPort_);
-  host.storePort_ = store_.OpenDoor();
+  host.storePort_ = store_.OpenPort();
   const auto storeAddress = Loopback(host.storePort_);
   host.storeTransport_ = std::make_unique<gateway::StoreTransport>(
     context_, storeAddress, MakeStoreProtocol(storeAddress));
   host.store_ =
-    std::make_unique<StoreCalls>(*host.storeTransport_, storeAddress);
+    std::make_unique<HttpStoreClient>(*host.storeTransport_, storeAddress);
   host.gateway_ = std::make_unique<gateway::Gateway>(context_,
                                                      settings,
                                                      MakeStoreLayout(),
--- a/Tests/Platform/GatewayFixture.h
+++ b/Tests/Platform/GatewayFixture.h
@@ -2,11 +2,11 @@
 
 #include "LibGateway/Gateway.h"
 #include "Tests/Platform/CallingFixture.h"
+#include "platform/HttpStoreClient.h"
+#include "platform/PlatformStoreCodec.h"
 #include "platform/RequestCodec.h"
 #include "platform/Standin/ServerStandin.h"
 #include "platform/Standin/StoreStandin.h"
-#include "platform/StoreCalls.h"
-#include "platform/StoreEntries.h"
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -22,7 +22,7 @@
 struct TestHost
 {
   std::unique_ptr<gateway::StoreTransport> storeTransport_;
-  std::unique_ptr<StoreCalls> store_;
+  std::unique_ptr<HttpStoreClient> store_;
   std::unique_ptr<gateway::Gateway> gateway_;
   std::uint16_t callerPort_ = 0;
   std::uint16_t statusPort_ = 0;
@@ -69,7 +69,7 @@
 
   StoreStandin store_;
   RequestCodec requestCodec_;
-  StoreEntries storeEntries_;
+  PlatformStoreCodec storeEntries_;
   /// Of the next host; empty: it has no disk.
   std::string dataFolder_;
   std::vector<boost::asio::ip::tcp::socket> heldPorts_;
--- a/Tests/Platform/OnlineTest.cpp
+++ b/Tests/Platform/OnlineTest.cpp
@@ -46,7 +46,7 @@
   CHECK(call->status_ == 200);
   CHECK(call->seal_ == "seal");
   CHECK(call->body_ == WholeStream());
-  CHECK(call->end_ == httpstream::CallEnd::Complete);
+  CHECK(call->end_ == httpstream::CallOutcome::Complete);
   REQUIRE(RequestCount() == 1);
   const auto& server = servers_[servers_[0]->Requests().empty() ? 1 : 0];
   const auto& request = server->Requests().front();
@@ -73,7 +73,7 @@
 {
   EnqueueAtBoth({ ServerScript::Kind::Break, 1, 0 });
   const auto call = Stream("/resumable/1");
-  CHECK(call->end_ == httpstream::CallEnd::Broken);
+  CHECK(call->end_ == httpstream::CallOutcome::Broken);
   CHECK(RequestCount() == 2);
 }
 
@@ -91,7 +91,7 @@
 {
   EnqueueAtBoth({ ServerScript::Kind::Break, 2, 0 });
   const auto call = Stream("/stream/1");
-  CHECK(call->end_ == httpstream::CallEnd::Broken);
+  CHECK(call->end_ == httpstream::CallOutcome::Broken);
   CHECK(RequestCount() == 1);
 }
 
@@ -213,7 +213,7 @@
 
 TEST_CASE_METHOD(OnlineFixture, "Online_StoreAway_GoesOnServing")
 {
-  store_.SetMood(StoreMood::Refusing);
+  store_.SetBehaviour(StoreBehaviour::Refusing);
   for (int call = 0; call < 5; ++call) {
     CHECK(Stream("/once/1")->status_ == 200);
   }
--- a/Tests/Platform/ResultWriterTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -38,7 +38,7 @@
     writer_.Tick(now_);
   }
 
-  void Answer(const metadata::TransactionResponse& aResponse)
+  void Respond(const metadata::TransactionResponse& aResponse)
   {
     REQUIRE_FALSE(store_.commits_.empty());
     metadata::FakeStore::Take(store_.commits_).second(aResponse);
@@ -78,7 +78,7 @@
   // A page each, and the state of the job that is finished by it.
   CHECK(store_.commits_.front().first.writes_.size() == 3);
   CHECK(store_.commits_.front().first.expectations_.size() == 4);
-  Answer({ StoreStatus::Ok, 9, {} });
+  Respond({ StoreStatus::Ok, 9, {} });
   CHECK(StoredCount("a") == 1);
   CHECK(StoredCount("b") == 2);
   CHECK(jobs_.Find("b")->state_.isFinished_);
@@ -105,10 +105,10 @@
   Pass(500ms);
   metadata::TransactionResponse conflict;
   conflict.status_ = StoreStatus::Conflict;
-  Answer(conflict);
+  Respond(conflict);
   REQUIRE(store_.commits_.size() == 2);
-  Answer(conflict);
-  Answer({ StoreStatus::Ok, 9, {} });
+  Respond(conflict);
+  Respond({ StoreStatus::Ok, 9, {} });
   CHECK(StoredCount("a") == 0);
   CHECK(StoredCount("b") == 1);
 }
@@ -122,7 +122,7 @@
   Finish("a", 0);
   Pass(500ms);
   const metadata::Transaction first = store_.commits_.front().first;
-  Answer({ StoreStatus::Unknown, 0, {} });
+  Respond({ StoreStatus::Unknown, 0, {} });
   CHECK(writer_.IsStoring("a"));
   Finish("a", 1);
   now_ = base::MonotonicNow() + 1s;
@@ -135,7 +135,7 @@
   isThere.status_ = StoreStatus::Conflict;
   isThere.current_.push_back(
     { first.writes_.front().key_, first.writes_.front().value_, 7 });
-  Answer(isThere);
+  Respond(isThere);
   CHECK(StoredCount("a") == 1);
   CHECK_FALSE(writer_.IsStoring("a"));
 }
--- a/Tests/Platform/SpoiledEntriesTest.cpp
+++ b/Tests/Platform/SpoiledEntriesTest.cpp
@@ -3,8 +3,8 @@
 #include "LibGateway/EndpointAddress.h"
 #include "LibGateway/HostRecord.h"
 #include "Tests/Platform/TestRoute.h"
+#include "platform/PlatformStoreCodec.h"
 #include "platform/RequestCodec.h"
-#include "platform/StoreEntries.h"
 
 #include <catch2/catch.hpp>
 
@@ -138,7 +138,7 @@
   }
 
   std::vector<std::string> whole_;
-  StoreEntries entries_;
+  PlatformStoreCodec entries_;
   RequestCodec requests_;
   std::mt19937_64 random_{ 20 };
 };
--- a/Tests/Platform/StorePathTest.cpp
+++ b/Tests/Platform/StorePathTest.cpp
@@ -9,12 +9,12 @@
 protected:
   void TurnAway(const TestHost& aHost)
   {
-    store_.SetDoorMood(aHost.storePort_, StoreMood::Refusing);
+    store_.SetPortBehaviour(aHost.storePort_, StoreBehaviour::Refusing);
   }
 
   void LetIn(const TestHost& aHost)
   {
-    store_.SetDoorMood(aHost.storePort_, StoreMood::Serving);
+    store_.SetPortBehaviour(aHost.storePort_, StoreBehaviour::Serving);
   }
 
   /// Starts a worker and waits until the entry host gives it jobs.
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -191,11 +191,11 @@
 // neither refused nor counted twice.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_AnswerLost_LotCountsOnce")
 {
-  store_.SetMood(StoreMood::LosingWrites);
+  store_.SetBehaviour(StoreBehaviour::LosingWrites);
   const auto call =
     Send(entry_->callerPort_, "POST", "/lots/1", Fields("a"), JobBody(6, "a-"));
   RunUntil([this] { return !store_.Get("pumiceturn/lot/a").empty(); });
-  store_.SetMood(StoreMood::Serving);
+  store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([&call] { return call->IsOver(); });
   CHECK(call->status_ == 202);
   CHECK(Waiting() == 54);
--- a/Tests/PlatformPath/PathTest.cpp
+++ b/Tests/PlatformPath/PathTest.cpp
@@ -25,7 +25,7 @@
 {
   const auto call = Look("entry-1", "/booking/break-3");
   CHECK(call->body_ != WholeStream());
-  CHECK(call->end_ != httpstream::CallEnd::Complete);
+  CHECK(call->end_ != httpstream::CallOutcome::Complete);
 }
 
 TEST_CASE_METHOD(PathFixture, "Path_Lot_IsAnsweredOnceAtEveryHost")
--- a/Tests/PlatformSoak/SoakFixture.cpp
+++ b/Tests/PlatformSoak/SoakFixture.cpp
@@ -158,7 +158,7 @@
     fmt::format("127.{}.{}", 20 + Draw(200), 1 + Draw(250));
   for (std::size_t index = 0; index < kEntries + kWorkers; ++index) {
     auto host = std::make_unique<Host>();
-    host->storePort_ = store_.OpenDoor();
+    host->storePort_ = store_.OpenPort();
     host->wayToStore_ =
       std::make_unique<FaultProxy>(context_, Loopback(host->storePort_));
     GatewayProcess::Place place;
@@ -211,7 +211,7 @@
 void
 SoakFixture::CheckOnline(const std::string& aId, const CallerCall& aCall)
 {
-  const bool isWhole = aCall.end_ == httpstream::CallEnd::Complete;
+  const bool isWhole = aCall.end_ == httpstream::CallOutcome::Complete;
   if (isWhole && aCall.status_ == kOk && aCall.body_ != WholeStream()) {
     Violate(aId + ": a complete answer isn't the server's");
   }
@@ -240,7 +240,7 @@
       fmt::format("Attempt-Id: p{}\r\nDeadline-Ms: 9000\r\n", ++nextId_),
       {},
       [this, &host, version, before](const CallerCall& aCall) {
-        if (aCall.end_ != httpstream::CallEnd::Complete) {
+        if (aCall.end_ != httpstream::CallOutcome::Complete) {
           return;
         }
         const bool isOlder = aCall.status_ == kNotFound && version <= before;
@@ -275,7 +275,7 @@
       "Attempt-Id: " + aJob.id_ + "\r\n",
       json{ { "items", std::move(items) } }.dump(),
       [this, &aJob](const CallerCall& aCall) {
-        const bool isWhole = aCall.end_ == httpstream::CallEnd::Complete;
+        const bool isWhole = aCall.end_ == httpstream::CallOutcome::Complete;
         if (isWhole && aCall.status_ == kAccepted) {
           aJob.isAccepted_ = true;
           aJob.acceptedAt_ = Clock::now();
@@ -306,7 +306,7 @@
       {},
       [this, &aJob, aPosition, mustBeKnown = MustBeKnown(aJob, aHost)](
         const CallerCall& aCall) {
-        if (aCall.end_ != httpstream::CallEnd::Complete) {
+        if (aCall.end_ != httpstream::CallOutcome::Complete) {
           return;
         }
         if (aCall.status_ == kNotFound && mustBeKnown) {
@@ -327,7 +327,7 @@
       {},
       [this, &aJob, mustBeKnown = MustBeKnown(aJob, aHost)](
         const CallerCall& aCall) {
-        if (aCall.end_ != httpstream::CallEnd::Complete) {
+        if (aCall.end_ != httpstream::CallOutcome::Complete) {
           return;
         }
         if ((aCall.status_ == kNotFound && mustBeKnown) ||
@@ -447,12 +447,12 @@
 void
 SoakFixture::HarmStore()
 {
-  constexpr std::array kMoods{ StoreMood::Refusing,
-                               StoreMood::LosingWrites,
-                               StoreMood::AnsweringLate };
-  store_.SetMood(kMoods.at(Draw(kMoods.size())));
+  constexpr std::array kBehaviours{ StoreBehaviour::Refusing,
+                                    StoreBehaviour::LosingWrites,
+                                    StoreBehaviour::AnsweringLate };
+  store_.SetBehaviour(kBehaviours.at(Draw(kBehaviours.size())));
   After(milliseconds(200 + Draw(4000)),
-        [this] { store_.SetMood(StoreMood::Serving); });
+        [this] { store_.SetBehaviour(StoreBehaviour::Serving); });
 }
 
 void
