--- a/Tests/LibBatch/BatchJobTableTest.cpp
+++ b/Tests/LibBatch/BatchJobTableTest.cpp
@@ -36,7 +36,8 @@
   BatchJobTable table_{ BatchJobKeySpace{ "s/", "d/" }, Decode };
 };
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_KeysInAnyOrder_JoinTheContent")
+TEST_CASE_METHOD(BatchJobTableFixture,
+                 "BatchJobTable_KeysInAnyOrder_JoinTheContent")
 {
   ApplyAll();
   const BatchJob* job = table_.Find("lot");
@@ -46,7 +47,8 @@
   CHECK(table_.OpenJobs() == std::vector<std::string>{ "lot" });
 }
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_StateUnknown_LotIsNotFound")
+TEST_CASE_METHOD(BatchJobTableFixture,
+                 "BatchJobTable_StateUnknown_JobIsNotFound")
 {
   table_.Apply("d/lot/content/000000", "abc", 2);
   CHECK(table_.Find("lot") == nullptr);
@@ -54,7 +56,8 @@
 
 // A society reads a result at another position than before: pages of results
 // came out of order, and the later one was listed first.
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_PagesOutOfOrder_KeepPositions")
+TEST_CASE_METHOD(BatchJobTableFixture,
+                 "BatchJobTable_PagesOutOfOrder_KeepPositions")
 {
   ApplyAll();
   const std::vector<ItemResult> first = { { "x", ItemState::Completed, "1" } };
@@ -68,7 +71,8 @@
   CHECK(table_.Find("lot")->results_[1] == second[0]);
 }
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_Unloaded_KeepsTheStateAlone")
+TEST_CASE_METHOD(BatchJobTableFixture,
+                 "BatchJobTable_Unloaded_KeepsTheStateAlone")
 {
   ApplyAll();
   CHECK(table_.FinishLoading("lot"));
@@ -80,14 +84,15 @@
   CHECK(table_.Find("lot")->state_ == MakeState());
 }
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_ContentNotWhole_IsNotLoaded")
+TEST_CASE_METHOD(BatchJobTableFixture,
+                 "BatchJobTable_ContentNotWhole_IsNotLoaded")
 {
   table_.Apply("s/lot", EncodeState(MakeState()), 2);
   table_.Apply("d/lot/content/000000", "abc", 2);
   CHECK_FALSE(table_.FinishLoading("lot"));
 }
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_FinishedState_IsNotOpen")
+TEST_CASE_METHOD(BatchJobTableFixture, "BatchJobTable_FinishedState_IsNotOpen")
 {
   BatchJobState finished = MakeState();
   finished.isFinished_ = true;
@@ -96,7 +101,7 @@
   CHECK(table_.AllJobs().size() == 1);
 }
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotKeySpace_AnyKey_IsParsedBack")
+TEST_CASE_METHOD(BatchJobTableFixture, "BatchJobKeySpace_AnyKey_IsParsedBack")
 {
   for (const KeyPart part : { KeyPart::State,
                               KeyPart::Content,
@@ -111,7 +116,7 @@
   CHECK_FALSE(table_.Keys().ParseKey("elsewhere"));
 }
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_OlderState_IsIgnored")
+TEST_CASE_METHOD(BatchJobTableFixture, "BatchJobTable_OlderState_IsIgnored")
 {
   ApplyAll();
   BatchJobState ended = MakeState();
@@ -121,7 +126,8 @@
   CHECK(table_.Find("lot")->state_.isEnded_);
 }
 
-TEST_CASE_METHOD(BatchJobTableFixture, "LotTable_MalformedValues_ChangeNothing")
+TEST_CASE_METHOD(BatchJobTableFixture,
+                 "BatchJobTable_MalformedValues_ChangeNothing")
 {
   ApplyAll();
   CHECK_FALSE(table_.Apply("nonsense", "x", 9));
@@ -138,7 +144,7 @@
   base::Instant now_{ base::Duration{ 1h } };
 };
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_WorkersLive_LotsGoToWorkers")
+TEST_CASE_METHOD(HostSetFixture, "HostSet_WorkersLive_JobsGoToWorkers")
 {
   hosts_.Put(
     "entry", "entry/1", BatchPreference::IfNoOther, "127.0.0.1:1", now_);
--- a/Tests/LibBatch/HostSetTest.cpp
+++ b/Tests/LibBatch/HostSetTest.cpp
@@ -28,7 +28,7 @@
   CHECK(hosts_.IsPreferred(BatchPreference::IfNoOther));
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_WithWorkers_EntryHostsGetNoLots")
+TEST_CASE_METHOD(HostSetFixture, "HostSet_WithWorkers_EntryHostsGetNoJobs")
 {
   PutEntry("e1");
   CHECK(hosts_.OwnerFor("lot") == "e1/1");
@@ -43,7 +43,7 @@
 
 // All jobs of a fleet move when one host comes or goes, and each loses its
 // runs.
-TEST_CASE_METHOD(HostSetFixture, "HostSet_HostLeaves_OtherLotsStay")
+TEST_CASE_METHOD(HostSetFixture, "HostSet_HostLeaves_OtherJobsStay")
 {
   for (const char* host : { "w1", "w2", "w3" }) {
     PutWorker(host);
--- a/Tests/LibBatch/SpoolFilesTest.cpp
+++ b/Tests/LibBatch/SpoolFilesTest.cpp
@@ -35,7 +35,7 @@
                                  "lots" };
 };
 
-TEST_CASE_METHOD(SpoolFilesFixture, "HeldLotFiles_Written_IsThereAfterRestart")
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_Written_IsThereAfterRestart")
 {
   CHECK_FALSE(SpoolFiles(folder_).Write(BatchJob("../a lot")).error_);
   const auto jobs = SpoolFiles(folder_).ReadAll();
@@ -43,7 +43,7 @@
   CHECK(jobs.front() == BatchJob("../a lot"));
 }
 
-TEST_CASE_METHOD(SpoolFilesFixture, "HeldLotFiles_Removed_IsGone")
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_Removed_IsGone")
 {
   SpoolFiles files(folder_);
   CHECK_FALSE(files.Write(BatchJob("a")).error_);
@@ -56,7 +56,7 @@
 
 // Half a job runs: the host lost power while it wrote the file, and took what
 // was there for the whole.
-TEST_CASE_METHOD(SpoolFilesFixture, "HeldLotFiles_TornFile_IsNoLot")
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_TornFile_IsNoJob")
 {
   CHECK_FALSE(SpoolFiles(folder_).Write(BatchJob("a")).error_);
   const auto path = OnlyFile();
@@ -76,7 +76,7 @@
 }
 
 // A disk that refuses writes: the job must not count as kept.
-TEST_CASE_METHOD(SpoolFilesFixture, "HeldLotFiles_NoFolder_WriteSaysWhy")
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_NoFolder_WriteSaysWhy")
 {
   std::ofstream(folder_) << "a file where the folder should be";
   const WriteOutcome outcome = SpoolFiles(folder_).Write(BatchJob("a"));
@@ -86,7 +86,7 @@
 
 // A partner is told that its job was refused, and it runs after a restart: the
 // file had its name when the disk began to refuse writes.
-TEST_CASE_METHOD(SpoolFilesFixture, "HeldLotFiles_RenameFails_MayBeThere")
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_RenameFails_MayBeThere")
 {
   SpoolFiles files(folder_);
   CHECK_FALSE(files.Write(BatchJob("a")).error_);
--- a/Tests/LibBatch/TokenLedgerTest.cpp
+++ b/Tests/LibBatch/TokenLedgerTest.cpp
@@ -64,7 +64,7 @@
   CHECK(cache_.Of("route").ledger_.Total() == 0);
 }
 
-TEST_CASE_METHOD(LedgerFixture, "LedgerBook_OlderRevision_IsIgnored")
+TEST_CASE_METHOD(LedgerFixture, "LedgerCache_OlderRevision_IsIgnored")
 {
   ledger_.Set("a", 400);
   CHECK(Update(ledger_, 5) == LedgerUpdateOutcome::Newer);
@@ -75,7 +75,7 @@
 
 // A sender is told to come back at once, again and again, although the fleet
 // needs seconds to finish what waits.
-TEST_CASE_METHOD(LedgerFixture, "LedgerBook_FullRoute_TellsWhenThereIsRoom")
+TEST_CASE_METHOD(LedgerFixture, "LedgerCache_FullRoute_TellsWhenThereIsRoom")
 {
   CHECK(RoomAfter(100) >= 300ms);
   ledger_.Set("a", 1000);
--- a/Tests/LibFleet/CallerAuthenticationTest.cpp
+++ b/Tests/LibFleet/CallerAuthenticationTest.cpp
@@ -45,7 +45,8 @@
   DeclarationsAge age_;
 };
 
-TEST_CASE_METHOD(CallerAuthenticationFixture, "CallerCheck_AnyKeyOfOne_NamesIt")
+TEST_CASE_METHOD(CallerAuthenticationFixture,
+                 "CallerAuthentication_AnyKeyOfOne_NamesIt")
 {
   CHECK(NameFor(Key("a1")) == "archive");
   CHECK(NameFor(Key("a2")) == "archive");
@@ -54,7 +55,7 @@
 
 // A request ran although nobody had ever been given its key.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerCheck_NoValidKey_IsUnauthorised")
+                 "CallerAuthentication_NoValidKey_IsUnauthorised")
 {
   CHECK(IsJudged<UnauthorisedCaller>(Key("a3")));
   CHECK(IsJudged<UnauthorisedCaller>(NoCredential{}));
@@ -64,7 +65,7 @@
 // A key that was taken away still ran requests at hosts that had not heard of
 // it: nothing tells such a host that its copy is old.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerCheck_CopyIsOld_AdmitsNobody")
+                 "CallerAuthentication_CopyIsOld_AdmitsNobody")
 {
   age_.age_ = 4499ms;
   CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
@@ -75,7 +76,7 @@
 }
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerCheck_NoRevocationBound_AgeIsFine")
+                 "CallerAuthentication_NoRevocationBound_AgeIsFine")
 {
   age_ = { 1h, std::nullopt, 3s };
   CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
@@ -84,7 +85,7 @@
 // A caller with a new key was told for good that it has none, by a host that
 // had not heard of the key.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerCheck_UnknownKeyAndOldCopy_IsNotDenied")
+                 "CallerAuthentication_UnknownKeyAndOldCopy_IsNotDenied")
 {
   age_.age_ = 3s;
   CHECK(IsJudged<UnconfirmedCaller>(Key("a3")));
@@ -92,14 +93,14 @@
 }
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerCheck_OpenRoute_NeedsNoKey")
+                 "CallerAuthentication_OpenRoute_NeedsNoKey")
 {
   CHECK(std::holds_alternative<AnonymousCaller>(
     AuthenticateCaller(organisations_, Key("a3"), false, age_)));
 }
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerCheck_NoneDeclared_NeedsNoKey")
+                 "CallerAuthentication_NoneDeclared_NeedsNoKey")
 {
   organisations_.Install(std::nullopt);
   CHECK(IsJudged<AnonymousCaller>(NoCredential{}));
@@ -107,7 +108,7 @@
 
 // Operators took the last organisation out, and anyone could call.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerCheck_EmptyList_AdmitsNobody")
+                 "CallerAuthentication_EmptyList_AdmitsNobody")
 {
   organisations_.Install(std::vector<Organisation>{});
   CHECK(IsJudged<UnauthorisedCaller>(NoCredential{}));
--- a/Tests/LibFleet/CountPublisherTest.cpp
+++ b/Tests/LibFleet/CountPublisherTest.cpp
@@ -32,7 +32,7 @@
 // engine, as they hear of each other's runs only ten times a second, and one
 // of the two callers waits for half a second.
 TEST_CASE_METHOD(CountPublisherFixture,
-                 "CountNews_RunStarts_IsToldAtTheNextLook")
+                 "CountPublisher_RunStarts_IsToldAtTheNextLook")
 {
   const auto first = Next({ Online("a", 1), Online("b", 2) }, 0);
   REQUIRE(first);
@@ -45,7 +45,7 @@
 }
 
 // The last run at an endpoint ends, and peers go on avoiding it.
-TEST_CASE_METHOD(CountPublisherFixture, "CountNews_LastRunEnds_ZeroIsTold")
+TEST_CASE_METHOD(CountPublisherFixture, "CountPublisher_LastRunEnds_ZeroIsTold")
 {
   CHECK(Next({ Online("a", 1) }, 0));
   const auto change = Next({}, 10);
@@ -56,7 +56,7 @@
 
 // A datagram with a change is lost: peers would believe the old count for good.
 TEST_CASE_METHOD(CountPublisherFixture,
-                 "CountNews_NothingChanges_AllAreToldAgain")
+                 "CountPublisher_NothingChanges_AllAreToldAgain")
 {
   CHECK(Next({ Online("a", 1) }, 0));
   const auto again = Next({ Online("a", 1) }, 100);
@@ -66,7 +66,8 @@
 }
 
 // A fleet grows, and each host spends its processor on hearing the others.
-TEST_CASE_METHOD(CountPublisherFixture, "CountNews_ManyPeers_AreToldLessOften")
+TEST_CASE_METHOD(CountPublisherFixture,
+                 "CountPublisher_ManyPeers_AreToldLessOften")
 {
   CHECK(CountPublisher::Interval(1) == milliseconds(10));
   CHECK(CountPublisher::Interval(8) == milliseconds(20));
--- a/Tests/LibFleet/PeerReachabilityTest.cpp
+++ b/Tests/LibFleet/PeerReachabilityTest.cpp
@@ -38,7 +38,8 @@
   std::mt19937_64 random_{ 1 };
 };
 
-TEST_CASE_METHOD(PeerReachabilityFixture, "PeerHearing_AllHeard_AsksNobody")
+TEST_CASE_METHOD(PeerReachabilityFixture,
+                 "PeerReachability_AllHeard_AsksNobody")
 {
   PassWithout("", milliseconds(1000));
   CHECK(RelayRequests().empty());
@@ -49,7 +50,7 @@
 // hosts that run jobs: it takes their runs for none, and its requests to let
 // batch give way are lost, though the other entry hosts reach both.
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerHearing_PeerSilent_IsHeardThroughOne")
+                 "PeerReachability_PeerSilent_IsHeardThroughOne")
 {
   PassWithout("worker", milliseconds(400));
   const auto requests = RelayRequests();
@@ -67,7 +68,7 @@
 
 // The relay is lost as well: the host would go on asking it alone.
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerHearing_RelayFallsSilent_AsksAnother")
+                 "PeerReachability_RelayFallsSilent_AsksAnother")
 {
   PassWithout("worker", milliseconds(400));
   reachability_.RecordRelayed("worker", "other", now_);
@@ -81,7 +82,7 @@
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerHearing_PeerIsHeardAgain_NeedsNoRelay")
+                 "PeerReachability_PeerIsHeardAgain_NeedsNoRelay")
 {
   PassWithout("worker", milliseconds(400));
   reachability_.RecordRelayed("worker", "other", now_);
@@ -91,7 +92,7 @@
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerHearing_NewPeer_IsSilentUntilHeard")
+                 "PeerReachability_NewPeer_IsSilentUntilHeard")
 {
   CHECK(reachability_.ReachableCount(now_) == 3);
   reachability_.Add("new");
@@ -104,7 +105,7 @@
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerHearing_AskedFor_PassesOnForAWhile")
+                 "PeerReachability_AskedFor_PassesOnForAWhile")
 {
   reachability_.RecordRelayRequest("cut-off", "worker", now_);
   CHECK(reachability_.RelayRequesters("worker", now_) ==
@@ -117,7 +118,7 @@
 // A large fleet splits, and the few hosts that reach both halves spend all
 // their time on passing messages on.
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerHearing_AskedByMany_PassesOnBounded")
+                 "PeerReachability_AskedByMany_PassesOnBounded")
 {
   for (int asker = 0; asker < 500; ++asker) {
     reachability_.RecordRelayRequest(
--- a/Tests/LibFleet/RateLimiterTest.cpp
+++ b/Tests/LibFleet/RateLimiterTest.cpp
@@ -266,7 +266,7 @@
 
 // Load: an organisation within its limit, its callers spread unevenly. With a
 // fixed share of the limit at each host it was refused at the busy ones.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimits_WithinLimit_NobodyIsRefused")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_WithinLimit_NobodyIsRefused")
 {
   Build(20, { 30, 30 });
   Play(20s, 18);
@@ -275,7 +275,7 @@
 }
 
 // Load: one organisation sends seven times its usual.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimits_FarBeyondLimit_LimitIsUsedUp")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_FarBeyondLimit_LimitIsUsedUp")
 {
   Build(20, { 30, 30 });
   Play(5s, 18);
@@ -285,7 +285,7 @@
   CHECK(ran_.size() >= 420);
 }
 
-TEST_CASE_METHOD(RateFleetFixture, "RateLimits_LossesAndDoubles_BoundHolds")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_LossesAndDoubles_BoundHolds")
 {
   Build(20, { 30, 30 });
   lossShare_ = 0.1;
@@ -296,7 +296,7 @@
 }
 
 // Each half of a split fleet let the whole limit run.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimits_FleetIsSplit_HalvesShareLimit")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_FleetIsSplit_HalvesShareLimit")
 {
   Build(20, { 30, 30 });
   Play(5s, 130);
@@ -306,7 +306,7 @@
 }
 
 // All hosts started anew with full credit right after it had been spent.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimits_AllRestart_BeginWithNothing")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_AllRestart_BeginWithNothing")
 {
   Build(20, { 30, 30 });
   Play(5s, 130);
@@ -316,7 +316,7 @@
 }
 
 // The owner of an account is lost while its organisation is at its limit.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimits_KeeperIsLost_AnotherGoesOn")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_OwnerIsLost_AnotherGoesOn")
 {
   Build(20, { 30, 30 });
   Play(5s, 130);
@@ -334,7 +334,7 @@
 
 // Load: a limit far below what is sent comes into force.
 TEST_CASE_METHOD(RateFleetFixture,
-                 "RateLimits_LimitIsLowered_BindsAWindowLater")
+                 "RateLimiter_LimitIsLowered_BindsAWindowLater")
 {
   Build(20, { 60, 60 });
   Play(5s, 55);
@@ -346,7 +346,7 @@
 }
 
 // Load: 400 hosts, one organisation within its limit and far beyond it.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimits_400Hosts_BoundAndService")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_400Hosts_BoundAndService")
 {
   Build(400, { 200, 200 });
   Play(3s, 120);
@@ -358,7 +358,7 @@
 }
 
 // A request that never ran must not cost its organisation another.
-TEST_CASE("RateLimits_CertainlyNotRun_GivesCreditBack")
+TEST_CASE("RateLimiter_CertainlyNotRun_GivesCreditBack")
 {
   RateLimiter limits("host", true, { 5s, 0.1, 20.0 });
   base::Instant now{ 24h };
@@ -373,7 +373,7 @@
   }
 }
 
-TEST_CASE("RateLimits_NoLimit_IsNotCounted")
+TEST_CASE("RateLimiter_NoLimit_IsNotCounted")
 {
   RateLimiter limits("host", true, {});
   std::mt19937_64 random{ 1 };
@@ -385,7 +385,7 @@
 }
 
 // The time that is told with a refusal is when there may be credit.
-TEST_CASE("RateLimits_Refused_TellsWhenToComeBack")
+TEST_CASE("RateLimiter_Refused_TellsWhenToComeBack")
 {
   RateLimiter limits("host", true, {});
   base::Instant now{ 24h };
--- a/Tests/LibMetadata/FollowerSelectorTest.cpp
+++ b/Tests/LibMetadata/FollowerSelectorTest.cpp
@@ -75,7 +75,7 @@
 };
 
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerChoice_400HostsHearEachOther_OneWorkerFollows")
+                 "FollowerSelector_400HostsHearEachOther_OneWorkerFollows")
 {
   AddHosts(400);
   Pass(300ms);
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerChoice_SeveralPrefixes_AreSpreadOverHosts")
+                 "FollowerSelector_SeveralPrefixes_AreSpreadOverHosts")
 {
   AddHosts(400);
   Pass(300ms);
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerChoice_NobodyElseIsHeard_FollowsItself")
+                 "FollowerSelector_NobodyElseIsHeard_FollowsItself")
 {
   AddHosts(1);
   CHECK(Followers("lots/").size() == 1);
@@ -106,7 +106,7 @@
 // A configuration reaches nobody: the host that followed the store for all is
 // down, or frozen without knowing it, and the others wait for its word.
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerChoice_FollowerFallsSilent_OneOtherFollowsSoon")
+                 "FollowerSelector_FollowerFallsSilent_OneOtherFollowsSoon")
 {
   AddHosts(400);
   Pass(300ms);
@@ -127,7 +127,7 @@
 
 // A follower that the store turns away lets all others grow stale.
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerChoice_FollowerLosesTheStore_AnotherFollows")
+                 "FollowerSelector_FollowerLosesTheStore_AnotherFollows")
 {
   AddHosts(40);
   Pass(300ms);
@@ -141,7 +141,7 @@
 
 // Two halves of the fleet don't hear each other; each needs its own follower.
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerChoice_FleetSplit_EachHalfHasAFollower")
+                 "FollowerSelector_FleetSplit_EachHalfHasAFollower")
 {
   AddHosts(40);
   std::map<std::string, int> half;
--- a/Tests/Platform/BatchJobSpoolTest.cpp
+++ b/Tests/Platform/BatchJobSpoolTest.cpp
@@ -42,7 +42,7 @@
 // A partner's job is refused for as long as the store is down, and comes again
 // too late: nobody but the store could keep it.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "HeldLots_StoreAway_LotIsKeptAndRunAfterwards")
+                 "BatchJobSpool_StoreAway_JobIsKeptAndRunAfterwards")
 {
   StartWorkerWithDisk("worker-1");
   StartWorkerWithDisk("worker-2");
@@ -62,7 +62,7 @@
 
 // A job is lost: it was acknowledged with a single copy on a disk, and that
 // host was lost next.
-TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_OneDiskAlone_IsNotEnough")
+TEST_CASE_METHOD(BatchJobSpoolFixture, "BatchJobSpool_OneDiskAlone_IsNotEnough")
 {
   StartWorkerWithDisk("worker-1");
   StartWorker("worker-2");
@@ -74,7 +74,8 @@
   WaitForAll(*entry_, 2);
 }
 
-TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_NoDisk_LotIsRefusedAsNotRun")
+TEST_CASE_METHOD(BatchJobSpoolFixture,
+                 "BatchJobSpool_NoDisk_JobIsRefusedAsNotRun")
 {
   StartWorker("worker-1");
   StartWorker("worker-2");
@@ -90,7 +91,7 @@
 // Power fails while the store is down: the jobs that were accepted meanwhile
 // are on the disk of a host that starts anew.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "HeldLots_HostStartsAnew_StoresWhatItsDiskHas")
+                 "BatchJobSpool_HostStartsAnew_StoresWhatItsDiskHas")
 {
   batch::SpooledJob job;
   job.id_ = "lot1";
@@ -108,7 +109,8 @@
 
 // An organisation is told that its job is accepted, under an id that another's
 // job has.
-TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_IdOfAnothersLot_IsNotTaken")
+TEST_CASE_METHOD(BatchJobSpoolFixture,
+                 "BatchJobSpool_IdOfAnothersJob_IsNotTaken")
 {
   StartWorkerWithDisk("worker-1");
   batch::SpooledJob job;
@@ -139,7 +141,8 @@
 
 // A job runs a second time: a host that was off for long still had it on its
 // disk, and the store had forgotten that it was finished.
-TEST_CASE_METHOD(BatchJobSpoolFixture, "HeldLots_OlderThanRetention_IsDropped")
+TEST_CASE_METHOD(BatchJobSpoolFixture,
+                 "BatchJobSpool_OlderThanRetention_IsDropped")
 {
   batch::SpooledJob job;
   job.id_ = "lot1";
@@ -159,7 +162,7 @@
 // Jobs pile up on the workers' disks while the store is away, and exceed their
 // route's cap together once it is back: the ledger could not be asked.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "HeldLots_RouteIsCapped_DisksTakeTheirPart")
+                 "BatchJobSpool_RouteIsCapped_DisksTakeTheirPart")
 {
   capOverage_ = 0.1;
   StartWorkerWithDisk("worker-1");
@@ -192,7 +195,7 @@
 // A sender brings its job to two entry hosts at once, and both to the same
 // worker: one of the two is never told that the job is on the disk.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "HeldLots_BroughtTwiceAtOnce_BothAreAnswered")
+                 "BatchJobSpool_BroughtTwiceAtOnce_BothAreAnswered")
 {
   TestHost& worker = StartWorkerWithDisk("worker-1");
   store_.SetBehaviour(StoreBehaviour::Refusing);
--- a/Tests/Platform/BatchJobsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -7,7 +7,8 @@
 
 using nlohmann::json;
 
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_CalmLot_IsAnsweredOnceAtEveryHost")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_CalmJob_IsAnsweredOnceAtEveryHost")
 {
   StartWorker("worker");
   TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
@@ -24,7 +25,7 @@
   CHECK(Results(other, 3)["results"].size() == 2);
 }
 
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_SentAgain_IsAcceptedOnce")
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_SentAgain_IsAcceptedOnce")
 {
   TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   CHECK(Submit(*entry_, 3) == 202);
@@ -35,7 +36,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_ItemStreamBreaks_GoesOnWithoutGapOrDouble")
+                 "BatchJobs_ItemStreamBreaks_GoesOnWithoutGapOrDouble")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Break, 2, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Break, 4, 0 });
@@ -45,7 +46,8 @@
   CHECK(page["results"][1]["output"] == WholeOutput());
 }
 
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_ImpossibleItem_IsErroredAndOthersGoOn")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_ImpossibleItem_IsErroredAndOthersGoOn")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Status, 0, 422 });
   servers_[1]->Enqueue({ ServerScript::Kind::Status, 0, 422 });
@@ -59,7 +61,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_ItemFailsAtEachRun_IsErroredAfterTheLimit")
+                 "BatchJobs_ItemFailsAtEachRun_IsErroredAfterTheLimit")
 {
   for (int run = 0; run < 2; ++run) {
     servers_[0]->Enqueue({ ServerScript::Kind::Status, 0, 500 });
@@ -73,7 +75,8 @@
 
 // A society sends its job again and both reports are billed. The store had
 // carried out the first write, and its answer was lost.
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_AnswerOfTheStoreLost_LotIsKeptOnce")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_AnswerOfTheStoreLost_JobIsKeptOnce")
 {
   store_.SetBehaviour(StoreBehaviour::LosingWrites);
   const auto call = Send(
@@ -87,7 +90,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_StoreRefuses_LotIsRefusedAndNothingRuns")
+                 "BatchJobs_StoreRefuses_JobIsRefusedAndNothingRuns")
 {
   store_.SetBehaviour(StoreBehaviour::Refusing);
   const auto call =
@@ -102,7 +105,8 @@
   CHECK(RequestCount() == 0);
 }
 
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_ReadAtAHostThatHasNotHeard_IsFound")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_ReadAtAHostThatHasNotHeard_IsFound")
 {
   TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   CHECK(Submit(*entry_, 1) == 202);
@@ -118,7 +122,7 @@
 // the host that runs them had jumped ahead of that of the host that accepted
 // them.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_ClocksOfDayDiffer_NothingIsGivenUpSooner")
+                 "BatchJobs_ClocksOfDayDiffer_NothingIsGivenUpSooner")
 {
   constexpr std::chrono::seconds kGiveUpAfter{ 120 };
   constexpr std::chrono::seconds kJump{ 5 };
@@ -141,7 +145,8 @@
 
 // A society sees two results at one host and none at another a second later:
 // the other host's own copy of the results had fallen behind.
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_ReadElsewhere_ShowsWhatWasReadBefore")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_ReadElsewhere_ShowsWhatWasReadBefore")
 {
   StartWorker("worker");
   TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
@@ -151,7 +156,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_OwnerDoesNotAnswer_ResultsComeFromTheStore")
+                 "BatchJobs_OwnerDoesNotAnswer_ResultsComeFromTheStore")
 {
   StartWorker("worker");
   CHECK(Submit(*entry_, 2) == 202);
@@ -166,7 +171,7 @@
 // that the job is finished before the answer to the write of its last result
 // arrives, and the host that ran it forgets the write.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_WatchOvertakesTheAnswer_LastResultIsShown")
+                 "BatchJobs_WatchOvertakesTheAnswer_LastResultIsShown")
 {
   StartWorker("worker");
   store_.SetBehaviour(StoreBehaviour::AnsweringLate);
@@ -179,7 +184,7 @@
 // answer is lost. The watch tells of the finished job while the host waits to
 // try again.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_AnswerToTheLastWriteLost_ResultIsShown")
+                 "BatchJobs_AnswerToTheLastWriteLost_ResultIsShown")
 {
   StartWorker("worker");
   // The run that falls silent gives the host's watch time to be waiting again.
@@ -200,7 +205,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_ReaderWaits_IsAnsweredWithTheFirstResult")
+                 "BatchJobs_ReaderWaits_IsAnsweredWithTheFirstResult")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
@@ -219,7 +224,8 @@
 // Each request is refused for the rest of a host's grace: it has nothing left
 // to finish, but readers of jobs come and wait there all the time, as the
 // balancer knows no other host, and so it never ends and starts anew.
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_ReadersKeepComing_LeavingHostEnds")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_ReadersKeepComing_LeavingHostEnds")
 {
   StartWorker("worker");
   for (int run = 0; run < 40; ++run) {
@@ -246,7 +252,7 @@
   CHECK(base::MonotonicNow() - begin < std::chrono::seconds(6));
 }
 
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_Ended_RunsNoMore")
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_Ended_RunsNoMore")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
@@ -262,7 +268,8 @@
 
 // A job stays half done. The host that ran it leaves; another goes on where its
 // runs were, and lists each item once.
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_OwnerLeaves_AnotherGoesOnWhereItWas")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_OwnerLeaves_AnotherGoesOnWhereItWas")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
@@ -282,7 +289,7 @@
 
 // A job never ends: the host that ran it lost its power, and its registration
 // went with it.
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_OwnerVanishes_AnotherTakesOver")
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_OwnerVanishes_AnotherTakesOver")
 {
   StartWorker("worker");
   for (int run = 0; run < 2; ++run) {
@@ -300,7 +307,7 @@
 // A job is late: the host that ran it lost its power, and items of several
 // seconds run from their beginning, once more for each host that fails.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_OwnerVanishes_ItsRunsGoOnWhereTheyWere")
+                 "BatchJobs_OwnerVanishes_ItsRunsGoOnWhereTheyWere")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
@@ -325,7 +332,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_HostIsToBeEmptied_ReportsWhenItsLotsAreGone")
+                 "BatchJobs_HostIsToBeEmptied_ReportsWhenItsJobsAreGone")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
@@ -342,7 +349,7 @@
 // A whole job comes back as failed, without one run. The host that is to run it
 // has an older configuration than the host that accepted it, or none yet after
 // its start, and took the missing route for one that operators had removed.
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_RouteNotKnownYet_ItemsWaitForIt")
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_RouteNotKnownYet_ItemsWaitForIt")
 {
   CHECK(Submit(*entry_, 2) == 202);
   WaitForAll(*entry_, 2);
@@ -365,7 +372,8 @@
 }
 
 // The store fills up over weeks, and one day refuses every new job.
-TEST_CASE_METHOD(BatchJobsFixture, "Lots_RetentionOver_NothingIsLeftInTheStore")
+TEST_CASE_METHOD(BatchJobsFixture,
+                 "BatchJobs_RetentionOver_NothingIsLeftInTheStore")
 {
   CHECK(Submit(*entry_, 3) == 202);
   WaitForAll(*entry_, 3);
@@ -381,7 +389,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "Lots_MalformedLots_Are400AndNothingIsStored")
+                 "BatchJobs_MalformedJobs_Are400AndNothingIsStored")
 {
   const auto submit = [this](const std::string& aBody) {
     return Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", aBody)
--- a/Tests/Platform/CallersTest.cpp
+++ b/Tests/Platform/CallersTest.cpp
@@ -201,7 +201,7 @@
   CHECK(std::chrono::steady_clock::now() - takenAway < 5s);
 }
 
-TEST_CASE_METHOD(CallersFixture, "Callers_Lot_BelongsToItsOrganisation")
+TEST_CASE_METHOD(CallersFixture, "Callers_Job_BelongsToItsOrganisation")
 {
   StartHost("worker", batch::BatchPreference::Worker);
   CHECK(SubmitJob("", JobBody(1)) == 401);
--- a/Tests/Platform/ResultWriterTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -64,7 +64,7 @@
 
 // Load: results of several jobs within a short while. Each was a call, most of
 // all calls to the store.
-TEST_CASE_METHOD(ResultWriterFixture, "ResultKeeper_SeveralLots_AreOneCall")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_SeveralJobs_AreOneCall")
 {
   Begin("a");
   Begin("b");
@@ -86,7 +86,7 @@
 }
 
 // A report was late, as its last line had waited for others.
-TEST_CASE_METHOD(ResultWriterFixture, "ResultKeeper_DueSoon_DoesNotWait")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_DueSoon_DoesNotWait")
 {
   Begin("a");
   Finish("a", 0, 1s);
@@ -96,7 +96,7 @@
 
 // One job's sender had ended it, and the others' results were not stored.
 TEST_CASE_METHOD(ResultWriterFixture,
-                 "ResultKeeper_OneLotConflicts_OthersAreStoredAlone")
+                 "ResultWriter_OneJobConflicts_OthersAreStoredAlone")
 {
   Begin("a");
   Begin("b");
@@ -116,7 +116,7 @@
 // A call without an answer was carried out; made again with more results, it
 // gave one position two contents.
 TEST_CASE_METHOD(ResultWriterFixture,
-                 "ResultKeeper_AnswerIsLost_SamePageGoesAgain")
+                 "ResultWriter_AnswerIsLost_SamePageGoesAgain")
 {
   Begin("a");
   Finish("a", 0);
@@ -141,7 +141,7 @@
 }
 
 // A host that leaves hands over what it has gathered, and doesn't lose it.
-TEST_CASE_METHOD(ResultWriterFixture, "ResultKeeper_HandedOver_IsInThatCall")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_HandedOver_IsInThatCall")
 {
   Begin("a");
   Finish("a", 0);
--- a/Tests/Platform/StorePathTest.cpp
+++ b/Tests/Platform/StorePathTest.cpp
@@ -52,7 +52,7 @@
 // A job is late. The store turns away the host that runs it and serves the
 // others; nothing that the host makes can be stored, its registration lapses,
 // and another host runs the items once more.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_WorkerTurnedAway_FinishesItsLot")
+TEST_CASE_METHOD(StorePathFixture, "StorePath_WorkerTurnedAway_FinishesItsJob")
 {
   TestHost& worker = StartKnownWorker();
   TurnAway(worker);
@@ -65,7 +65,7 @@
 
 // A partner's job is refused by a host that the store turns away, although its
 // peers could have it stored.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_EntryTurnedAway_AcceptsALot")
+TEST_CASE_METHOD(StorePathFixture, "StorePath_EntryTurnedAway_AcceptsAJob")
 {
   StartKnownWorker();
   TurnAway(*entry_);
--- a/Tests/Platform/StoreReportTest.cpp
+++ b/Tests/Platform/StoreReportTest.cpp
@@ -50,7 +50,7 @@
   CHECK(read.views_.front().view_.age_ == 120ms);
 }
 
-TEST_CASE_METHOD(StoreReportFixture, "StoreNews_SentAndRead_IsTheSame")
+TEST_CASE_METHOD(StoreReportFixture, "StoreDelta_SentAndRead_IsTheSame")
 {
   const StoreDelta delta = MakeDelta(3);
   const auto row = EncodeStoreDelta(delta);
@@ -65,7 +65,7 @@
 }
 
 // A large configuration fills every host's link, once for each peer.
-TEST_CASE_METHOD(StoreReportFixture, "StoreNews_TooLarge_IsNotSent")
+TEST_CASE_METHOD(StoreReportFixture, "StoreDelta_TooLarge_IsNotSent")
 {
   CHECK_FALSE(EncodeStoreDelta(MakeDelta(100000)));
 }
@@ -88,7 +88,7 @@
 
 // A host ends: a datagram of a stranger, or one that was damaged, got past the
 // reader.
-TEST_CASE_METHOD(StoreReportFixture, "StoreNews_BytesAreDamaged_NeverGetsPast")
+TEST_CASE_METHOD(StoreReportFixture, "StoreDelta_BytesAreDamaged_NeverGetsPast")
 {
   constexpr int kInputs = 5000;
   constexpr int kMostChanges = 4;
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -90,7 +90,7 @@
 // The foreman's overnight reports fill the fleet for minutes, although the
 // operators bound what may wait: 176 jobs came in ten seconds, all were
 // accepted, and two of three were late.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LotDoesNotFit_IsRefusedWithATime")
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_JobDoesNotFit_IsRefusedWithATime")
 {
   CHECK(SubmitAs(*entry_, "a", 6) == 202);
   CHECK(SubmitAs(*entry_, "b", 5) == 202);
@@ -152,7 +152,7 @@
 }
 
 // A sender ends its job: what it had waiting is free again.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LotIsEnded_ThereIsRoomAgain")
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_JobIsEnded_ThereIsRoomAgain")
 {
   StartWorker("worker");
   SetCap(100);
@@ -189,7 +189,7 @@
 
 // The answer to the transaction is lost: the sender comes again and must be
 // neither refused nor counted twice.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_AnswerLost_LotCountsOnce")
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_AnswerLost_JobCountsOnce")
 {
   store_.SetBehaviour(StoreBehaviour::LosingWrites);
   const auto call =
--- a/Tests/PlatformPath/PathTest.cpp
+++ b/Tests/PlatformPath/PathTest.cpp
@@ -28,7 +28,7 @@
   CHECK(call->end_ != httpstream::CallOutcome::Complete);
 }
 
-TEST_CASE_METHOD(PathFixture, "Path_Lot_IsAnsweredOnceAtEveryHost")
+TEST_CASE_METHOD(PathFixture, "Path_Job_IsAnsweredOnceAtEveryHost")
 {
   CHECK(Submit("entry-1", "lot1", "/lots/1", 12) == 202);
   CHECK(Submit("entry-2", "lot1", "/lots/1", 12) == 202);
@@ -102,7 +102,7 @@
 
 // A job never ends, or an item is listed twice: its worker is killed while it
 // runs, and the other takes over when the registration lapses.
-TEST_CASE_METHOD(PathFixture, "Path_WorkerKilled_OtherEndsItsLot")
+TEST_CASE_METHOD(PathFixture, "Path_WorkerKilled_OtherEndsItsJob")
 {
   constexpr std::size_t kItems = 4;
   const SpooledJob held = SubmitSpooledJob("killed", kItems);
