--- a/Benchmarks/Gateway/Main.cpp
+++ b/Benchmarks/Gateway/Main.cpp
@@ -3,11 +3,11 @@
 #include "LibGateway/EndpointAddress.h"
 #include "LibGateway/Gateway.h"
 #include "LibHttpStream/ClientConnection.h"
+#include "platform/HttpStoreClient.h"
 #include "platform/Names.h"
+#include "platform/PlatformStoreCodec.h"
 #include "platform/RequestCodec.h"
 #include "platform/Standin/StoreStandin.h"
-#include "platform/StoreCalls.h"
-#include "platform/StoreEntries.h"
 
 #include <boost/asio/ip/address.hpp>
 #include <boost/asio/post.hpp>
@@ -56,7 +56,7 @@
   explicit PlatformThread(PacedServer::Pace aPace)
     : server_(context_, aPace)
     , store_(context_)
-    , storePort_(store_.OpenDoor())
+    , storePort_(store_.OpenPort())
   {
     const nlohmann::json route = {
       { "name", "r" },       { "hostname", "a.example" }, { "prefix", "/" },
@@ -106,15 +106,15 @@
 {
 public:
   explicit GatewayThread(const asio::ip::tcp::endpoint& aStore)
-    : paths_(context_, aStore, adapter::MakeStoreProtocol(aStore))
-    , store_(paths_, aStore)
+    : transport_(context_, aStore, adapter::MakeStoreProtocol(aStore))
+    , store_(transport_, aStore)
     , gateway_(context_,
                MakeSettings(),
                adapter::MakeStoreLayout(),
                requests_,
                entries_,
                store_,
-               paths_)
+               transport_)
   {
     if (!gateway_.Start()) {
       throw std::runtime_error("the gateway's address is taken");
@@ -143,16 +143,16 @@
     settings.host_ = "bench";
     settings.incarnation_ = "1";
     settings.failureDomain_ = "a";
-    settings.lotPreference_ = lots::LotPreference::IfNoOther;
+    settings.batchPreference_ = batch::BatchPreference::IfNoOther;
     settings.callerAddress_ = kCallersAddress;
     return settings;
   }
 
   asio::io_context context_;
   adapter::RequestCodec requests_;
-  adapter::StoreEntries entries_;
-  StorePaths paths_;
-  adapter::StoreCalls store_;
+  adapter::PlatformStoreCodec entries_;
+  StoreTransport transport_;
+  adapter::HttpStoreClient store_;
   Gateway gateway_;
   std::thread thread_;
 };
@@ -175,7 +175,7 @@
       std::chrono::seconds(10),
       [this](bool aIsConnected) {
         if (!aIsConnected) {
-          OnEnd(httpstream::CallEnd::NotConnected);
+          OnEnd(httpstream::CallOutcome::NotConnected);
           return;
         }
         httpstream::Call call;
@@ -190,9 +190,9 @@
     isOk_ = aHead.result_int() == 200;
   }
   void OnBody(std::string_view) override {}
-  void OnEnd(httpstream::CallEnd aEnd) override
+  void OnEnd(httpstream::CallOutcome aEnd) override
   {
-    isOk_ = isOk_ && aEnd == httpstream::CallEnd::Complete;
+    isOk_ = isOk_ && aEnd == httpstream::CallOutcome::Complete;
     --left_;
   }
 
--- a/Libraries/LibLots/ItemPace.cpp
+++ b/Libraries/LibBatch/ItemPace.cpp
@@ -1,8 +1,8 @@
-#include "LibLots/ItemPace.h"
+#include "LibBatch/ItemPace.h"
 
 #include <algorithm>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
@@ -24,7 +24,7 @@
 }
 
 void
-ItemPace::NoteRun(std::uint64_t aEvents, base::Duration aDuration)
+ItemPace::RecordRun(std::uint64_t aEvents, base::Duration aDuration)
 {
   if (aEvents >= kLeastEvents) {
     const std::chrono::duration<double> seconds = aDuration;
@@ -33,7 +33,7 @@
 }
 
 void
-ItemPace::NoteCompleted(std::uint64_t aTokens, std::uint64_t aEvents)
+ItemPace::RecordCompleted(std::uint64_t aTokens, std::uint64_t aEvents)
 {
   if (aTokens > 0) {
     eventsAToken_.Add(static_cast<double>(aEvents) /
@@ -52,4 +52,4 @@
     std::chrono::duration<double>(events * secondsAnEvent_.value_));
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/ItemSchedule.h
+++ b/Libraries/LibBatch/ItemSchedule.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibLots/Lot.h"
+#include "LibBatch/BatchJob.h"
 
 #include <cstdint>
 #include <functional>
@@ -11,10 +11,10 @@
 #include <unordered_set>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// How a run of an item ended.
-enum class ItemRunEnd : std::uint8_t
+enum class ItemAttemptOutcome : std::uint8_t
 {
   Completed,
   Failed,     ///< The endpoint reported an error of its own.
@@ -24,7 +24,7 @@
   Preempted,  ///< Cancelled here, for online work.
 };
 
-/// What a lot's route says of its items.
+/// What a job's route says of its items.
 struct ItemLimits
 {
   std::uint32_t maxAttempts_ = 1; ///< Failures after which an item is given up.
@@ -32,8 +32,8 @@
   base::Instant giveUpAt_ = base::Instant::max();
 };
 
-/// Decides which item of a lot runs next, and what becomes of it when its run
-/// ends. For the lot's owner alone; takes the time as an argument. Not
+/// Decides which item of a job runs next, and what becomes of it when its run
+/// ends. For the job's owner alone; takes the time as an argument. Not
 /// thread-safe.
 class ItemSchedule
 {
@@ -45,7 +45,7 @@
   static constexpr std::size_t kMaxCrashes = 3;
 
   /// Tells whether an endpoint lived on after a moment.
-  using HasLivedOn =
+  using HasSurvived =
     std::function<bool(const std::string& aEndpoint, base::Instant aMoment)>;
 
   /// Pause after a break or an error, so that an item doesn't go straight back
@@ -54,10 +54,10 @@
     200 } };
 
   /// Pause after an endpoint had no place.
-  static constexpr base::Duration kNoPlacePause{ std::chrono::milliseconds{
+  static constexpr base::Duration kNoSlotPause{ std::chrono::milliseconds{
     100 } };
 
-  ItemSchedule(const Lot& aLot, ItemLimits aLimits);
+  ItemSchedule(const BatchJob& aJob, ItemLimits aLimits);
 
   void SetLimits(const ItemLimits& aLimits) { limits_ = aLimits; }
   [[nodiscard]] const ItemLimits& Limits() const { return limits_; }
@@ -65,7 +65,7 @@
   /// @return the indices of the items that may start now.
   [[nodiscard]] std::vector<std::size_t> StartableItems(
     base::Instant aNow,
-    const HasLivedOn& aHasLivedOn);
+    const HasSurvived& aHasLivedOn);
 
   [[nodiscard]] std::uint64_t TokensOf(std::size_t aItem) const
   {
@@ -73,7 +73,7 @@
   }
 
   /// @return what a run of the item goes on from.
-  [[nodiscard]] const PartialRun& ProgressOf(std::size_t aItem) const
+  [[nodiscard]] const PartialOutput& ProgressOf(std::size_t aItem) const
   {
     return items_[aItem].progress_;
   }
@@ -84,8 +84,8 @@
   /// @param aProgress All events so far, those of earlier runs included.
   /// @return the item's result, if it now has one.
   std::optional<ItemResult> End(std::size_t aItem,
-                                ItemRunEnd aEnd,
-                                PartialRun aProgress,
+                                ItemAttemptOutcome aEnd,
+                                PartialOutput aProgress,
                                 base::Instant aNow);
 
   /// Gives up what has waited too long and doesn't run.
@@ -95,7 +95,7 @@
   [[nodiscard]] std::uint64_t WaitingTokens() const;
 
   /// @return partial runs of items without a result, for the next owner.
-  [[nodiscard]] std::unordered_map<std::string, PartialRun> Progress() const;
+  [[nodiscard]] std::unordered_map<std::string, PartialOutput> Progress() const;
 
 private:
   enum class Phase : std::uint8_t
@@ -114,7 +114,7 @@
     std::string id_;
     std::uint64_t tokens_ = 0;
     Phase phase_ = Phase::Waiting;
-    PartialRun progress_;
+    PartialOutput progress_;
     std::uint32_t failures_ = 0;
     std::string endpoint_;       ///< Of the run.
     std::vector<Break> crashes_; ///< Not disproved yet.
@@ -128,4 +128,4 @@
   std::vector<Item> items_;
 };
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/LedgerBook.cpp
+++ b/Libraries/LibBatch/LedgerCache.cpp
@@ -1,13 +1,13 @@
-#include "LibLots/LedgerBook.h"
+#include "LibBatch/LedgerCache.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
-/// Over which the freed tokens are counted: an item takes up to 8 s, and a lot
+/// Over which the freed tokens are counted: an item takes up to 8 s, and a job
 /// of ten frees some each second.
 constexpr std::chrono::seconds kRateWindow{ 5 };
 
@@ -29,8 +29,8 @@
 ReleasedBetween(const TokenLedger& aOld, const TokenLedger& aNew)
 {
   std::uint64_t released = 0;
-  for (const auto& [lot, tokens] : aOld.Rows()) {
-    const std::uint64_t left = aNew.Of(lot).value_or(0);
+  for (const auto& [job, tokens] : aOld.Entries()) {
+    const std::uint64_t left = aNew.Of(job).value_or(0);
     released += tokens > left ? tokens - left : 0;
   }
   return released;
@@ -39,25 +39,26 @@
 } // namespace
 
 const LedgerView&
-LedgerBook::Of(const std::string& aLedger) const
+LedgerCache::Of(const std::string& aLedger) const
 {
   static const LedgerView kNone;
   const auto entry = entries_.find(aLedger);
   return entry == entries_.end() ? kNone : entry->second.view_;
 }
 
-LedgerNews
-LedgerBook::Learn(const std::string& aLedger,
-                  std::string_view aValue,
-                  std::uint64_t aRevision,
-                  base::Instant aNow)
+LedgerUpdateOutcome
+LedgerCache::Update(const std::string& aLedger,
+                    std::string_view aValue,
+                    std::uint64_t aRevision,
+                    base::Instant aNow)
 {
   Entry& entry = entries_[aLedger];
   if (aRevision <= entry.view_.revision_) {
-    return LedgerNews::Old;
+    return LedgerUpdateOutcome::Old;
   }
   auto ledger = DecodeLedger(aValue);
-  const LedgerNews news = ledger ? LedgerNews::Newer : LedgerNews::Unreadable;
+  const LedgerUpdateOutcome outcome =
+    ledger ? LedgerUpdateOutcome::Newer : LedgerUpdateOutcome::Unreadable;
   LedgerView view{ aRevision, std::move(ledger).value_or(TokenLedger{}) };
   if (const auto released =
         ReleasedBetween(entry.view_.ledger_, view.ledger_)) {
@@ -68,15 +69,15 @@
     entry.releases_.pop_front();
   }
   entry.view_ = std::move(view);
-  return news;
+  return outcome;
 }
 
 base::Duration
-LedgerBook::RoomExpectedAfter(const std::string& aLedger,
-                              std::uint64_t aTokens,
-                              std::uint64_t aCap,
-                              base::Instant aNow,
-                              double aRandom) const
+LedgerCache::RoomExpectedAfter(const std::string& aLedger,
+                               std::uint64_t aTokens,
+                               std::uint64_t aCap,
+                               base::Instant aNow,
+                               double aRandom) const
 {
   const std::uint64_t wanted = Of(aLedger).ledger_.Total() + aTokens;
   const std::uint64_t excess = wanted > aCap ? wanted - aCap : 0;
@@ -99,4 +100,4 @@
                                                     (1.0 + kSpread * aRandom));
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/LedgerBook.h
+++ b/Libraries/LibBatch/LedgerCache.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibBase/Time.h"
-#include "LibLots/TokenLedger.h"
+#include "LibBatch/TokenLedger.h"
 
 #include <cstdint>
 #include <deque>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <unordered_map>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// A ledger as the store had it at a revision.
 struct LedgerView
@@ -19,29 +19,29 @@
 };
 
 /// What a learned key was.
-enum class LedgerNews : std::uint8_t
+enum class LedgerUpdateOutcome : std::uint8_t
 {
   Newer,
   Old,        ///< As known, or older.
-  Unreadable, ///< Taken as empty: the hosts that run lots add their rows anew.
+  Unreadable, ///< Taken as empty: the hosts that run jobs add their rows anew.
 };
 
 /// The ledgers as this host last saw them, and how fast tokens leave
 /// them. A view may be old: a change is made under the condition that it is
 /// not, and the store's refusal brings the present one. Takes the time as an
 /// argument, does no I/O, is not thread-safe.
-class LedgerBook
+class LedgerCache
 {
 public:
   [[nodiscard]] const LedgerView& Of(const std::string& aLedger) const;
 
   /// Takes over a ledger as the store has it.
-  LedgerNews Learn(const std::string& aLedger,
-                   std::string_view aValue,
-                   std::uint64_t aRevision,
-                   base::Instant aNow);
+  LedgerUpdateOutcome Update(const std::string& aLedger,
+                             std::string_view aValue,
+                             std::uint64_t aRevision,
+                             base::Instant aNow);
 
-  /// @return when room for a lot that doesn't fit now is expected, by how fast
+  /// @return when room for a job that doesn't fit now is expected, by how fast
   ///         tokens were freed of late.
   /// @param aRandom Uniform in [0, 1): spreads the returns of senders.
   [[nodiscard]] base::Duration RoomExpectedAfter(const std::string& aLedger,
@@ -65,4 +65,4 @@
   std::unordered_map<std::string, Entry> entries_; ///< By ledger.
 };
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/StartOrder.cpp
+++ b/Libraries/LibBatch/StartOrder.cpp
@@ -1,9 +1,9 @@
-#include "LibLots/StartOrder.h"
+#include "LibBatch/StartOrder.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 namespace {
 
@@ -60,7 +60,7 @@
 void
 LeaveOutOldest(std::vector<Ranked>& aRanked, const StartConditions& aConditions)
 {
-  const double places = std::max(aConditions.places_, 1.0);
+  const double places = std::max(aConditions.slots_, 1.0);
   // Work in place-seconds that is done before an item can start, from the
   // present runs on.
   std::vector<double> workBefore;
@@ -125,9 +125,9 @@
 }
 
 bool
-GivesWayBefore(const ItemUrgency& aOne,
-               const ItemUrgency& aOther,
-               base::Instant aNow)
+IsPreemptedBefore(const ItemUrgency& aOne,
+                  const ItemUrgency& aOther,
+                  base::Instant aNow)
 {
   const bool isOneInReach = aOne.IsInReach(aNow);
   const bool isOtherInReach = aOther.IsInReach(aNow);
@@ -137,4 +137,4 @@
   return aOne.LatestStart() > aOther.LatestStart();
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Libraries/LibLots/StartOrder.h
+++ b/Libraries/LibBatch/StartOrder.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 /// When an item is due, and how long it still runs.
 struct ItemUrgency
@@ -27,7 +27,7 @@
 /// An item that may start.
 struct StartCandidate
 {
-  std::string lot_;
+  std::string job_;
   std::size_t item_ = 0;
   ItemUrgency urgency_;
   bool hasStarted_ = false; ///< It was interrupted, and goes on from there.
@@ -37,7 +37,7 @@
 struct StartConditions
 {
   base::Instant now_;
-  double places_ = 1.0; ///< Runs that the host had at a time of late.
+  double slots_ = 1.0; ///< Runs that the host had at a time of late.
   /// What the present runs still take, all together.
   base::Duration runningWork_{ 0 };
 };
@@ -52,7 +52,7 @@
 ///    flood each place goes to an item whose time is just over.
 /// 3. what is left out, then what is out of reach, the oldest due time first.
 ///
-/// Six times the lots for 15 s on 12 engines: 36 in 100 items that were owed
+/// Six times the jobs for 15 s on 12 engines: 36 in 100 items that were owed
 /// were on time by due time alone, 45 with this order (three plays each).
 [[nodiscard]] std::vector<StartCandidate>
 OrderStarts(std::vector<StartCandidate> aCandidates,
@@ -61,8 +61,8 @@
 /// @return whether a run should give way sooner than another one: out of reach
 /// first, where the delay costs least, and then the one with most laxity.
 [[nodiscard]] bool
-GivesWayBefore(const ItemUrgency& aOne,
-               const ItemUrgency& aOther,
-               base::Instant aNow);
+IsPreemptedBefore(const ItemUrgency& aOne,
+                  const ItemUrgency& aOther,
+                  base::Instant aNow);
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- /dev/null
+++ b/Libraries/LibBatch/TokenLedger.cpp
@@ -0,0 +1,60 @@
+#include "LibBatch/TokenLedger.h"
+
+#include <nlohmann/json.hpp>
+
+namespace pumiceturn::batch {
+
+using nlohmann::json;
+
+namespace {
+
+/// More tokens than any job has; keeps sums of spoiled rows from wrapping.
+constexpr std::uint64_t kMaxTokensPerJob = 1ULL << 40;
+
+} // namespace
+
+std::optional<std::uint64_t>
+TokenLedger::Of(const std::string& aJob) const
+{
+  const auto row = entries_.find(aJob);
+  return row == entries_.end() ? std::nullopt : std::optional(row->second);
+}
+
+void
+TokenLedger::Set(const std::string& aJob, std::uint64_t aTokens)
+{
+  total_ -= Of(aJob).value_or(0);
+  total_ += aTokens;
+  if (aTokens == 0) {
+    entries_.erase(aJob);
+  } else {
+    entries_[aJob] = aTokens;
+  }
+}
+
+std::string
+EncodeLedger(const TokenLedger& aLedger)
+{
+  return json(aLedger.Entries())
+    .dump(-1, ' ', false, json::error_handler_t::replace);
+}
+
+std::optional<TokenLedger>
+DecodeLedger(std::string_view aText)
+{
+  const json rows = json::parse(aText, nullptr, false);
+  if (!rows.is_object()) {
+    return std::nullopt;
+  }
+  TokenLedger ledger;
+  for (const auto& [job, tokens] : rows.items()) {
+    if (!tokens.is_number_unsigned() ||
+        tokens.get<std::uint64_t>() > kMaxTokensPerJob) {
+      return std::nullopt;
+    }
+    ledger.Set(job, tokens.get<std::uint64_t>());
+  }
+  return ledger;
+}
+
+} // namespace pumiceturn::batch
--- a/Libraries/LibFleet/AdmissionControl.h
+++ b/Libraries/LibFleet/AdmissionControl.h
@@ -20,14 +20,14 @@
   /// Time to the first event that the route aims at; zero: none is declared.
   base::Duration objective_{ 0 };
   /// What the caller says it will wait; nothing: it doesn't say.
-  std::optional<base::Duration> patience_;
+  std::optional<base::Duration> clientTimeout_;
 };
 
 struct Admission
 {
   base::Duration expectedWait_{ 0 }; ///< For a place at the endpoint.
   /// Set: refuse the request, and tell its caller to come back then.
-  std::optional<base::Duration> comeBackAfter_;
+  std::optional<base::Duration> retryAfter_;
 };
 
 /// Refuses online requests that would wait too long in an engine's queue.
@@ -40,20 +40,20 @@
 {
 public:
   /// Records how long a run kept its place.
-  void NoteRun(std::string_view aService, base::Duration aDuration);
+  void RecordRun(std::string_view aService, base::Duration aDuration);
 
   /// Judges a request before it is sent for the first time.
   /// @param aRandom Uniform in [0, 1): spreads the returns of callers.
-  [[nodiscard]] Admission Judge(const AdmissionRequest& aRequest,
+  [[nodiscard]] Admission Check(const AdmissionRequest& aRequest,
                                 double aRandom);
 
   /// @return when a caller that gets no place should come back.
-  [[nodiscard]] static base::Duration ComeBackAfter(
-    std::optional<base::Duration> aPatience,
+  [[nodiscard]] static base::Duration RetryAfter(
+    std::optional<base::Duration> aClientTimeout,
     double aRandom);
 
   /// Forgets what was learned of routes: another configuration is in force.
-  void ForgetRoutes() { longestPatience_.clear(); }
+  void ForgetRoutes() { maxClientTimeout_.clear(); }
 
 private:
   /// How long a run keeps its place, as an average that forgets.
@@ -68,7 +68,8 @@
   [[nodiscard]] bool HasBeenHereBefore(const AdmissionRequest& aRequest);
 
   std::unordered_map<std::string, RunTime> runTimes_; ///< By service.
-  std::unordered_map<std::string, base::Duration> longestPatience_; ///< Routes.
+  std::unordered_map<std::string, base::Duration>
+    maxClientTimeout_; ///< Routes.
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/Declarations.h
+++ b/Libraries/LibFleet/Declarations.h
@@ -16,7 +16,7 @@
   Idempotent,    ///< May run more than once.
   NonIdempotent, ///< May run at most once for each attempt of the caller.
   Stream,        ///< A series of events; may run again only if resumable.
-  Lot,           ///< Many items, accepted at once and run later.
+  BatchJob,      ///< Many items, accepted at once and run later.
 };
 
 /// One service that a route leads to, with its share of the requests.
@@ -40,12 +40,12 @@
   /// Within which the answer, or a stream's first event, is on time; zero:
   /// nothing is declared.
   base::Duration objective_{ 0 };
-  base::Duration dueAfter_{ 0 };    ///< Of a lot, from its first submission.
-  base::Duration giveUpAfter_{ 0 }; ///< When a lot's item may be abandoned.
-  /// Tokens that accepted items of an organisation's lots may have waiting at a
+  base::Duration dueAfter_{ 0 };    ///< Of a job, from its first submission.
+  base::Duration giveUpAfter_{ 0 }; ///< When a job's item may be abandoned.
+  /// Tokens that accepted items of an organisation's jobs may have waiting at a
   /// time; zero: no bound.
   std::uint64_t waitingTokenCap_ = 0;
-  bool isOpen_ = false; ///< Callers need no key.
+  bool allowsAnonymous_ = false; ///< Callers need no key.
 };
 
 /// How many requests may run, for all hosts together.
@@ -90,7 +90,7 @@
 struct EndpointIncarnation
 {
   std::string id_;
-  std::int64_t bornMs_ = 0; ///< Unix time of the start; 0: not said.
+  std::int64_t startedAtMs_ = 0; ///< Unix time of the start; 0: not said.
 
   bool operator==(const EndpointIncarnation&) const = default;
 };
@@ -104,11 +104,11 @@
   std::string failureDomain_;
   std::uint32_t slots_ = 1;
   bool isDraining_ = false;
-  std::int64_t bornMs_ = 0; ///< Unix time of its start; 0: not said.
+  std::int64_t startedAtMs_ = 0; ///< Unix time of its start; 0: not said.
 
   [[nodiscard]] EndpointIncarnation Incarnation() const
   {
-    return { id_, bornMs_ };
+    return { id_, startedAtMs_ };
   }
 
   bool operator==(const EndpointRecord&) const = default;
--- /dev/null
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -0,0 +1,397 @@
+#include "LibGateway/BatchSubmissionHandler.h"
+
+#include "LibGateway/BatchJobCreation.h"
+#include "LibGateway/Events.h"
+#include "LibGateway/LedgerChange.h"
+#include "LibHttpStream/Status.h"
+
+#include <boost/asio/steady_timer.hpp>
+
+#include <optional>
+#include <utility>
+#include <variant>
+
+namespace pumiceturn::gateway {
+
+namespace {
+
+/// How long a job is tried to be stored; its sender comes again afterwards.
+constexpr std::chrono::milliseconds kSubmitTimeout{ 2500 };
+
+/// Silence of the store after which a job is kept on workers' disks: the store
+/// answers within 10 ms, on a slow day within 250 ms, and senders count an
+/// answer after half a second as late.
+constexpr std::chrono::milliseconds kSpoolAfter{ 250 };
+
+constexpr std::chrono::milliseconds kRetryAfter{ 300 };
+
+/// The store's first revision belongs to a key that is older than any route.
+constexpr std::uint64_t kNeverALedgersRevision = 1;
+
+/// @return a job's state, if the response to a refused transaction shows one.
+std::optional<batch::BatchJobState>
+FindState(const metadata::TransactionResponse& aResponse,
+          const std::string& aKey)
+{
+  for (const metadata::StoreItem& item : aResponse.current_) {
+    if (item.key_ == aKey && item.revision_ != 0 && !item.removed_) {
+      return batch::DecodeState(item.value_).value_or(batch::BatchJobState{});
+    }
+  }
+  return std::nullopt;
+}
+
+} // namespace
+
+/// A job on its way into the store or onto disks.
+struct BatchSubmissionHandler::Submission
+{
+  enum class SpoolState : std::uint8_t
+  {
+    NotTried,
+    UnderWay,
+    Failed,
+  };
+
+  explicit Submission(const boost::asio::any_io_executor& aExecutor)
+    : spoolTimer_(aExecutor)
+  {
+  }
+
+  std::shared_ptr<httpstream::Exchange> exchange_;
+  batch::SpooledJob job_;
+  metadata::Transaction creation_;
+  std::string ledger_;
+  std::uint64_t cap_ = 0; ///< Of tokens in the ledger; 0: none.
+  std::uint64_t tokens_ = 0;
+  boost::asio::steady_timer spoolTimer_;
+  base::Instant giveUpAt_;
+  bool isCommitting_ = false;
+  SpoolState spoolState_ = SpoolState::NotTried;
+  bool mayBeStored_ = false; ///< A try had no answer.
+  bool isOverCap_ = false;   ///< The store shows that it doesn't fit.
+  bool isAnswered_ = false;
+};
+
+BatchSubmissionHandler::BatchSubmissionHandler(
+  SharedState& aShared,
+  metadata::StoreClient& aStore,
+  const batch::BatchJobTable& aJobs,
+  const batch::HostSet& aHosts,
+  std::string aOwnName,
+  boost::asio::any_io_executor aExecutor,
+  PeerClients& aClients,
+  std::size_t aCopies)
+  : shared_(aShared)
+  , store_(aStore)
+  , jobs_(aJobs)
+  , hosts_(aHosts)
+  , ownName_(std::move(aOwnName))
+  , executor_(std::move(aExecutor))
+  , spoolClient_(aClients, aCopies)
+{
+}
+
+batch::SpooledJob
+BatchSubmissionHandler::MakeJob(const httpstream::Request& aRequest,
+                                const std::string& aJob,
+                                std::size_t aItems) const
+{
+  batch::SpooledJob job;
+  job.id_ = aJob;
+  job.content_ = aRequest.body();
+  job.state_.owner_ = hosts_.OwnerFor(aJob);
+  if (job.state_.owner_.empty()) {
+    job.state_.owner_ = ownName_;
+  }
+  job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
+  job.state_.itemCount_ = static_cast<std::uint32_t>(aItems);
+  job.state_.hostName_ = httpstream::ValueOf(aRequest, "Host");
+  job.state_.path_ = std::string(aRequest.target());
+  return job;
+}
+
+void
+BatchSubmissionHandler::Submit(std::shared_ptr<httpstream::Exchange> aExchange,
+                               const std::string& aJob,
+                               const fleet::Route& aRoute,
+                               const CallerName& aCaller)
+{
+  const httpstream::Request& request = aExchange->GetRequest();
+  const auto content = shared_.codec_.ReadBatchJobContent(request.body());
+  if (const auto* unreadable = std::get_if<MalformedCall>(&content)) {
+    aExchange->Respond(httpstream::MakeResponse(
+      httpstream::kStatusBadRequest, unreadable->reason_, "text/plain"));
+    return;
+  }
+  const auto& items = std::get<std::vector<batch::BatchItem>>(content);
+  auto submission = std::make_shared<Submission>(executor_);
+  submission->job_ = MakeJob(request, aJob, items.size());
+  submission->job_.state_.organisation_ = aCaller.value_or(std::string());
+  submission->creation_ = MakeCreation(jobs_.Keys(), submission->job_);
+  submission->ledger_ =
+    batch::LedgerName(aRoute.name_, submission->job_.state_.organisation_);
+  submission->cap_ = aRoute.waitingTokenCap_;
+  submission->tokens_ = batch::TokensOf(items);
+  submission->giveUpAt_ = aExchange->ReceivedAt() + kSubmitTimeout;
+  submission->exchange_ = std::move(aExchange);
+  if (const batch::BatchJob* existing = jobs_.Find(aJob)) {
+    AcceptExisting(*submission, existing->state_);
+    return;
+  }
+  Commit(submission);
+  SpoolLater(submission);
+}
+
+void
+BatchSubmissionHandler::Commit(const SubmissionPtr& aSubmission)
+{
+  aSubmission->isCommitting_ = true;
+  store_.Commit(
+    MakeTransaction(*aSubmission),
+    [this, aSubmission](const metadata::TransactionResponse& aResponse) {
+      OnCommitted(aSubmission, aResponse);
+    });
+}
+
+bool
+BatchSubmissionHandler::Fits(const Submission& aSubmission) const
+{
+  return aSubmission.cap_ == 0 ||
+         shared_.ledgers_.Of(aSubmission.ledger_)
+           .ledger_.Fits(aSubmission.tokens_, aSubmission.cap_);
+}
+
+metadata::Transaction
+BatchSubmissionHandler::MakeTransaction(const Submission& aSubmission) const
+{
+  metadata::Transaction transaction = aSubmission.creation_;
+  if (aSubmission.cap_ == 0) {
+    return transaction;
+  }
+  if (Fits(aSubmission)) {
+    AddLedgerEntry(transaction,
+                   shared_,
+                   jobs_.Keys(),
+                   aSubmission.ledger_,
+                   aSubmission.job_.id_,
+                   aSubmission.tokens_);
+    return transaction;
+  }
+  // By what is known here, the job doesn't fit. That may be old, or the job may
+  // be there already: an expectation that can't hold makes the store tell both
+  // in one call.
+  const std::string key = jobs_.Keys().LedgerOf(aSubmission.ledger_);
+  transaction.expectations_.push_back({ key, kNeverALedgersRevision });
+  transaction.writes_.clear();
+  transaction.writes_.push_back({ key, {}, 0 });
+  return transaction;
+}
+
+void
+BatchSubmissionHandler::OnCommitted(
+  const SubmissionPtr& aSubmission,
+  const metadata::TransactionResponse& aResponse)
+{
+  using metadata::StoreStatus;
+  Submission& submission = *aSubmission;
+  const StoreStatus status = aResponse.status_;
+  submission.isCommitting_ = false;
+  if (status == StoreStatus::Ok) {
+    if (submission.cap_ > 0) {
+      batch::TokenLedger ledger =
+        shared_.ledgers_.Of(submission.ledger_).ledger_;
+      ledger.Set(submission.job_.id_, submission.tokens_);
+      shared_.ledgers_.Update(submission.ledger_,
+                              batch::EncodeLedger(ledger),
+                              aResponse.revision_,
+                              base::MonotonicNow());
+    }
+    Accept(submission, "store");
+    return;
+  }
+  if (status == StoreStatus::Conflict) {
+    OnConflict(aSubmission, aResponse);
+    return;
+  }
+  submission.mayBeStored_ |= status == StoreStatus::Unknown;
+  if (submission.isAnswered_) {
+    return;
+  }
+  const bool hasTime = base::MonotonicNow() < submission.giveUpAt_;
+  if (status == StoreStatus::Unknown && hasTime) {
+    Commit(aSubmission);
+  }
+  Spool(aSubmission);
+  GiveUpIfOver(submission);
+}
+
+void
+BatchSubmissionHandler::OnConflict(
+  const SubmissionPtr& aSubmission,
+  const metadata::TransactionResponse& aResponse)
+{
+  Submission& submission = *aSubmission;
+  // The job is there already, by this call's earlier try or by another host: it
+  // is accepted once either way.
+  const auto existing =
+    FindState(aResponse, jobs_.Keys().StateOf(submission.job_.id_));
+  if (existing) {
+    AcceptExisting(submission, *existing);
+    return;
+  }
+  if (submission.cap_ == 0) {
+    Accept(submission, "store before");
+    return;
+  }
+  UpdateCachedLedger(shared_, jobs_.Keys(), submission.ledger_, aResponse);
+  if (submission.isAnswered_) {
+    return;
+  }
+  if (!Fits(submission)) {
+    submission.isOverCap_ = true;
+    RefuseOverCap(submission);
+  } else if (base::MonotonicNow() < submission.giveUpAt_) {
+    Commit(aSubmission);
+  } else {
+    Spool(aSubmission);
+    GiveUpIfOver(submission);
+  }
+}
+
+void
+BatchSubmissionHandler::RefuseOverCap(Submission& aSubmission)
+{
+  // A worker that may have the job on its disk will store it.
+  if (aSubmission.isAnswered_ ||
+      aSubmission.spoolState_ == Submission::SpoolState::UnderWay) {
+    return;
+  }
+  aSubmission.isAnswered_ = true;
+  aSubmission.spoolTimer_.cancel();
+  const base::Duration comeBack =
+    shared_.ledgers_.RoomExpectedAfter(aSubmission.ledger_,
+                                       aSubmission.tokens_,
+                                       aSubmission.cap_,
+                                       base::MonotonicNow(),
+                                       NextRandom(shared_.random_));
+  const batch::LedgerView& view = shared_.ledgers_.Of(aSubmission.ledger_);
+  base::Log(kBatchJobOverCap,
+            { { "lot", aSubmission.job_.id_ },
+              { "ledger", aSubmission.ledger_ },
+              { "tokens", aSubmission.tokens_ },
+              { "waiting", view.ledger_.Total() },
+              { "cap", aSubmission.cap_ },
+              { "revision", view.revision_ },
+              { "may_be_stored", aSubmission.mayBeStored_ },
+              { "come_back_ms", base::ToMs(comeBack) } });
+  // A refusal says that nothing runs: not where an earlier try had no answer.
+  aSubmission.exchange_->Respond(
+    aSubmission.mayBeStored_
+      ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
+      : shared_.codec_.MakeRateLimited(comeBack));
+}
+
+void
+BatchSubmissionHandler::SpoolLater(const SubmissionPtr& aSubmission)
+{
+  aSubmission->spoolTimer_.expires_after(kSpoolAfter);
+  aSubmission->spoolTimer_.async_wait(
+    [this, aSubmission](const boost::system::error_code& aError) {
+      if (!aError) {
+        Spool(aSubmission);
+      }
+    });
+}
+
+void
+BatchSubmissionHandler::Spool(const SubmissionPtr& aSubmission)
+{
+  if (aSubmission->isAnswered_ ||
+      aSubmission->spoolState_ != Submission::SpoolState::NotTried) {
+    return;
+  }
+  aSubmission->spoolState_ = Submission::SpoolState::UnderWay;
+  spoolClient_.Spool(aSubmission->job_,
+                     hosts_.PeersBut(ownName_),
+                     [this, aSubmission](SpoolOutcome aOutcome) {
+                       OnSpooled(aSubmission, aOutcome);
+                     });
+}
+
+void
+BatchSubmissionHandler::OnSpooled(const SubmissionPtr& aSubmission,
+                                  SpoolOutcome aOutcome)
+{
+  if (aOutcome.isSpooled_) {
+    Accept(*aSubmission, "disks");
+    return;
+  }
+  aSubmission->spoolState_ = Submission::SpoolState::Failed;
+  aSubmission->mayBeStored_ |= aOutcome.mayBeSpooled_;
+  if (aSubmission->isOverCap_) {
+    RefuseOverCap(*aSubmission);
+  } else {
+    GiveUpIfOver(*aSubmission);
+  }
+}
+
+void
+BatchSubmissionHandler::Accept(Submission& aSubmission, std::string_view aWhere)
+{
+  if (std::exchange(aSubmission.isAnswered_, true)) {
+    return;
+  }
+  aSubmission.spoolTimer_.cancel();
+  httpstream::Exchange& exchange = *aSubmission.exchange_;
+  base::Log(
+    kBatchJobAccepted,
+    { { "lot", aSubmission.job_.id_ },
+      { "items", aSubmission.job_.state_.itemCount_ },
+      { "where", aWhere },
+      { "ms", base::ToMs(base::MonotonicNow() - exchange.ReceivedAt()) } });
+  exchange.Respond(httpstream::MakeResponse(httpstream::kStatusAccepted, {}));
+}
+
+void
+BatchSubmissionHandler::AcceptExisting(Submission& aSubmission,
+                                       const batch::BatchJobState& aExisting)
+{
+  const std::string& organisation = aSubmission.job_.state_.organisation_;
+  if (aExisting.organisation_ == organisation) {
+    Accept(aSubmission, "store before");
+    return;
+  }
+  if (std::exchange(aSubmission.isAnswered_, true)) {
+    return;
+  }
+  aSubmission.spoolTimer_.cancel();
+  base::Log(kBatchJobNotAccepted,
+            { { "lot", aSubmission.job_.id_ },
+              { "organisation", organisation },
+              { "reason", "id of another organisation's lot" } });
+  aSubmission.exchange_->Respond(
+    httpstream::MakeResponse(httpstream::kStatusConflict, {}));
+}
+
+void
+BatchSubmissionHandler::GiveUpIfOver(Submission& aSubmission)
+{
+  if (aSubmission.isAnswered_ || aSubmission.isCommitting_ ||
+      aSubmission.spoolState_ != Submission::SpoolState::Failed) {
+    return;
+  }
+  aSubmission.isAnswered_ = true;
+  aSubmission.spoolTimer_.cancel();
+  base::Log(kBatchJobNotAccepted,
+            { { "lot", aSubmission.job_.id_ },
+              { "may_be_stored", aSubmission.mayBeStored_ } });
+  // "Not run" must be true: a call without an answer may still take effect, or
+  // a worker may have the job, and it would then run.
+  aSubmission.exchange_->Respond(
+    aSubmission.mayBeStored_
+      ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
+      : shared_.codec_.MakeNotRun(kRetryAfter));
+}
+
+} // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -26,8 +26,8 @@
 /// Pause before operators are told again that a host is empty.
 constexpr std::chrono::milliseconds kRetireRetry{ 300 };
 
-/// A peer's call to the store may hold the largest lot, in base64 twice.
-constexpr std::uint64_t kLongestPeerBody = 16777216;
+/// A peer's call to the store may hold the largest job, in base64 twice.
+constexpr std::uint64_t kMaxPeerBody = 16777216;
 
 constexpr std::chrono::milliseconds kRetryAfter{ 300 };
 
@@ -43,18 +43,17 @@
   return aTarget.substr(0, aTarget.find('?'));
 }
 
-lots::LotTable::Decoder
+batch::BatchJobTable::Decoder
 MakeDecoder(const Codec& aCodec)
 {
-  return
-    [&aCodec](
-      std::string_view aContent) -> std::optional<std::vector<lots::LotItem>> {
-      auto content = aCodec.ReadLotContent(aContent);
-      if (auto* items = std::get_if<std::vector<lots::LotItem>>(&content)) {
-        return std::move(*items);
-      }
-      return std::nullopt;
-    };
+  return [&aCodec](std::string_view aContent)
+           -> std::optional<std::vector<batch::BatchItem>> {
+    auto content = aCodec.ReadBatchJobContent(aContent);
+    if (auto* items = std::get_if<std::vector<batch::BatchItem>>(&content)) {
+      return std::move(*items);
+    }
+    return std::nullopt;
+  };
 }
 
 HostRecord
@@ -62,8 +61,8 @@
 {
   return { aOwnName,
            aSettings.peerAddress_,
-           aSettings.passOnAddress_,
-           aSettings.lotPreference_ };
+           aSettings.forwardAddress_,
+           aSettings.batchPreference_ };
 }
 
 } // namespace
@@ -74,13 +73,13 @@
                  const Codec& aCodec,
                  const StoreCodec& aStoreCodec,
                  metadata::StoreClient& aStore,
-                 StorePaths& aStorePaths)
+                 StoreTransport& aStoreTransport)
   : context_(aContext)
   , settings_(std::move(aSettings))
   , layout_(std::move(aLayout))
   , storeCodec_(aStoreCodec)
   , store_(aStore)
-  , storePaths_(aStorePaths)
+  , storeTransport_(aStoreTransport)
   , shared_{ aCodec,
              {},
              fleet::EndpointTable(settings_.failureDomain_, {}),
@@ -90,53 +89,54 @@
              {},
              {},
              {},
-             fleet::RateLimits(settings_.host_,
-                               !settings_.callerAddress_.empty(),
-                               settings_.rateTolerance_) }
-  , lots_(layout_.lots_, MakeDecoder(aCodec))
-  , following_(aContext,
-               aStore,
-               health_,
-               settings_.host_,
-               settings_.lotPreference_ == lots::LotPreference::Worker,
-               FollowedPrefixes(),
-               shared_.random_)
+             fleet::RateLimiter(settings_.host_,
+                                !settings_.callerAddress_.empty(),
+                                settings_.rateTolerance_) }
+  , jobs_(layout_.jobs_, MakeDecoder(aCodec))
+  , mirrors_(aContext,
+             aStore,
+             health_,
+             settings_.host_,
+             settings_.batchPreference_ == batch::BatchPreference::Worker,
+             FollowedPrefixes(),
+             shared_.random_)
   , lease_(aContext,
            aStore,
            health_,
            { layout_.hostPrefix_ + settings_.host_,
              EncodeHostRecord(MakeHostRecord(OwnName(), settings_)) })
-  , loader_(aStore, lots_)
-  , peerCallers_(aContext.get_executor())
-  , desk_(shared_,
-          aStore,
-          lots_,
-          loader_,
-          hosts_,
-          health_,
-          OwnName(),
-          peerCallers_)
-  , intake_(shared_,
-            aStore,
-            lots_,
-            hosts_,
-            OwnName(),
-            aContext.get_executor(),
-            peerCallers_,
-            settings_.lotCopies_)
-  , worker_(aContext, shared_, aStore, lots_, loader_, hosts_, OwnName())
-  , ledgerKeeper_(shared_, aStore, lots_, hosts_, OwnName())
-  , retention_(aStore, lots_, hosts_, OwnName(), settings_.lotRetention_)
+  , loader_(aStore, jobs_)
+  , peerClients_(aContext.get_executor())
+  , batchJobHandler_(shared_,
+                     aStore,
+                     jobs_,
+                     loader_,
+                     hosts_,
+                     health_,
+                     OwnName(),
+                     peerClients_)
+  , batchSubmissionHandler_(shared_,
+                            aStore,
+                            jobs_,
+                            hosts_,
+                            OwnName(),
+                            aContext.get_executor(),
+                            peerClients_,
+                            settings_.jobCopies_)
+  , worker_(aContext, shared_, aStore, jobs_, loader_, hosts_, OwnName())
+  , ledgerWriter_(shared_, aStore, jobs_, hosts_, OwnName())
+  , retention_(aStore, jobs_, hosts_, OwnName(), settings_.jobRetention_)
   , peers_(aContext,
            shared_,
            settings_.host_,
-           following_,
+           mirrors_,
            [this](const std::string& aEndpoint) { worker_.Preempt(aEndpoint); })
-  , callerGate_(aContext.get_executor(),
-                shared_,
-                following_,
-                peers_,
-                { settings_.revocationBound_, settings_.configurationBound_ })
+  , accessControl_(
+      aContext.get_executor(),
+      shared_,
+      mirrors_,
+      peers_,
+      { settings_.revocationBound_, settings_.configurationBound_ })
   , preemptBatch_(
       [this](const fleet::EndpointChoice& aChoice) { Preempt(aChoice); })
   , callers_(aContext, [this](const auto& aExchange) { OnRequest(aExchange); })
@@ -145,34 +145,35 @@
   , metricsListener_(
       aContext,
       [this](const auto& aExchange) { OnStatusRequest(*aExchange); })
-  , passedOn_(aContext,
-              [this](const auto& aExchange) { OnPassedOn(aExchange); })
+  , forwarded_(aContext,
+               [this](const auto& aExchange) { OnForwarded(aExchange); })
   , tickTimer_(aContext)
   , stopTimer_(aContext)
 {
   if (!settings_.dataFolder_.empty()) {
-    heldLots_.emplace(aContext,
-                      shared_,
-                      aStore,
-                      health_,
-                      lots_,
-                      hosts_,
-                      OwnName(),
-                      settings_.dataFolder_,
-                      settings_.lotRetention_,
-                      settings_.capOverage_,
-                      settings_.lotCopies_);
+    spool_.emplace(aContext,
+                   shared_,
+                   aStore,
+                   health_,
+                   jobs_,
+                   hosts_,
+                   OwnName(),
+                   settings_.dataFolder_,
+                   settings_.jobRetention_,
+                   settings_.capOverage_,
+                   settings_.jobCopies_);
   }
   AddGauges();
   httpstream::ServerLimits peerLimits;
-  peerLimits.maxBodyBytes_ = kLongestPeerBody;
-  passedOn_.SetLimits(peerLimits);
-  storePaths_.SetIsHeard(
-    [this](const std::string& aHost) { return peers_.IsHeard(aHost); });
-  following_.SetOnNews(
-    [this](const StoreNews& aNews) { peers_.SendStoreNews(aNews); });
-  desk_.SetOnStateRead([this](const std::string& aLot) { OnLotChanged(aLot); });
-  worker_.SetOnResults([this](const std::string& aLot) { OnLotChanged(aLot); });
+  peerLimits.maxBodyBytes_ = kMaxPeerBody;
+  forwarded_.SetLimits(peerLimits);
+  storeTransport_.SetIsReachable(
+    [this](const std::string& aHost) { return peers_.IsReachable(aHost); });
+  mirrors_.SetOnDelta(
+    [this](const StoreDelta& aDelta) { peers_.SendStoreDelta(aDelta); });
+  batchJobHandler_.SetOnStateRead(
+    [this](const std::string& aJob) { OnJobChanged(aJob); });
+  worker_.SetOnResults([this](const std::string& aJob) { OnJobChanged(aJob); });
 }
 
 void
@@ -182,7 +183,7 @@
     "pumiceturn_store_prefixes_followed",
     "Prefixes of the store that this host follows for its peers.",
     {},
-    [this] { return following_.FollowedCount(); });
+    [this] { return mirrors_.FollowedCount(); });
   shared_.metrics_.AddGauge("pumiceturn_endpoint_connections_made_total",
                             "Connections opened to endpoints.",
                             {},
@@ -204,11 +205,11 @@
     "pumiceturn_held_lots",
     "Lots on this host's disk that the store doesn't have yet.",
     {},
-    [this] { return heldLots_ ? heldLots_->Count() : 0; });
+    [this] { return spool_ ? spool_->Count() : 0; });
   shared_.metrics_.AddGauge("pumiceturn_peers_heard",
                             "Other hosts whose own messages arrive here.",
                             {},
-                            [this] { return peers_.HeardCount(); });
+                            [this] { return peers_.ReachableCount(); });
   shared_.metrics_.AddGauge("pumiceturn_configuration_version",
                             "Version in force.",
                             {},
@@ -245,7 +246,7 @@
   if (!Listen(callers_, settings_.callerAddress_) ||
       !Listen(status_, settings_.statusAddress_) ||
       !Listen(metricsListener_, settings_.metricsAddress_) ||
-      !Listen(passedOn_, settings_.passOnAddress_)) {
+      !Listen(forwarded_, settings_.forwardAddress_)) {
     return false;
   }
   if (const auto address = ParseAddress(settings_.peerAddress_)) {
@@ -260,10 +261,10 @@
   base::Log(kGatewayStarted,
             { { "callers", settings_.callerAddress_ },
               { "incarnation", settings_.incarnation_ } });
-  if (heldLots_) {
-    heldLots_->Start();
+  if (spool_) {
+    spool_->Start();
   }
-  following_.Start();
+  mirrors_.Start();
   lease_.Start();
   TickLater();
   return true;
@@ -273,8 +274,8 @@
 Gateway::IsReady() const
 {
   return !stopping_ && shared_.routes_.Version() > 0 &&
-         following_.IsComplete(StorePrefix::Endpoints) &&
-         !shared_.endpoints_.IsEmpty() && callerGate_.IsConfirmed();
+         mirrors_.IsComplete(StorePrefix::Endpoints) &&
+         !shared_.endpoints_.IsEmpty() && accessControl_.IsConfirmed();
 }
 
 void
@@ -293,43 +294,44 @@
   const httpstream::Request& request = aExchange->GetRequest();
   // A host that is leaving can't promise to finish what it takes late. The
   // balancer still sends requests where most of a failure domain's hosts are
-  // leaving at once. Readers of lots too: one of them always waits for a
+  // leaving at once. Readers of jobs too: one of them always waits for a
   // result, and kept the host from ending until the end of its grace, 5 to 7 s
   // in which each request here was refused instead of 3 to 4.
   if (IsPastNotice()) {
-    aExchange->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
   if (shared_.routes_.Version() == 0) {
-    aExchange->Answer(shared_.codec_.MakeNotRun(kRetryAfter));
+    aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
     return;
   }
-  if (const auto call = shared_.codec_.ReadLotCall(request)) {
-    OnLotCall(aExchange, *call);
+  if (const auto call = shared_.codec_.ReadBatchJobCall(request)) {
+    OnBatchJobCall(aExchange, *call);
     return;
   }
   const fleet::Route* route =
     shared_.routes_.Find(WithoutPort(httpstream::ValueOf(request, "Host")),
                          WithoutQuery(httpstream::TargetOf(request)));
   if (route == nullptr) {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
     return;
   }
-  const auto caller = callerGate_.Identify(aExchange, *route);
+  const auto caller = accessControl_.Identify(aExchange, *route);
   if (!caller) {
     return;
   }
-  if (route->kind_ == fleet::RequestKind::Lot) {
-    intake_.Submit(aExchange,
-                   shared_.codec_.ReadOnline(request).requestId_,
-                   *route,
-                   *caller);
+  if (route->kind_ == fleet::RequestKind::BatchJob) {
+    batchSubmissionHandler_.Submit(
+      aExchange,
+      shared_.codec_.ReadOnline(request).requestId_,
+      *route,
+      *caller);
     return;
   }
-  callerGate_.RunWithinLimit(
+  accessControl_.RunWithinLimit(
     aExchange, *caller, [this, aExchange, route = *route, caller = *caller] {
-      std::make_shared<OnlineRelay>(shared_,
+      std::make_shared<OnlineProxy>(shared_,
                                     context_.get_executor(),
                                     aExchange,
                                     route,
@@ -340,28 +342,29 @@
 }
 
 void
-Gateway::OnLotCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
-                   const LotCall& aCall)
+Gateway::OnBatchJobCall(const std::shared_ptr<httpstream::Exchange>& aExchange,
+                        const BatchJobCall& aCall)
 {
-  if (const auto caller = callerGate_.IdentifyReader(aExchange)) {
-    desk_.Handle(aExchange, aCall, *caller);
+  if (const auto caller = accessControl_.IdentifyReader(aExchange)) {
+    batchJobHandler_.Handle(aExchange, aCall, *caller);
   }
 }
 
 void
-Gateway::OnPassedOn(const std::shared_ptr<httpstream::Exchange>& aExchange)
+Gateway::OnForwarded(const std::shared_ptr<httpstream::Exchange>& aExchange)
 {
-  if (const auto call = shared_.codec_.ReadLotCall(aExchange->GetRequest())) {
-    desk_.HandlePassedOn(aExchange, *call);
+  if (const auto call =
+        shared_.codec_.ReadBatchJobCall(aExchange->GetRequest())) {
+    batchJobHandler_.HandleForwarded(aExchange, *call);
     return;
   }
   const std::string_view target = httpstream::TargetOf(aExchange->GetRequest());
-  if (!target.starts_with(HeldLots::kTargetPrefix)) {
-    storePaths_.CallForPeer(aExchange);
-  } else if (heldLots_) {
-    heldLots_->Hold(aExchange);
+  if (!target.starts_with(BatchJobSpool::kTargetPrefix)) {
+    storeTransport_.CallForPeer(aExchange);
+  } else if (spool_) {
+    spool_->Spool(aExchange);
   } else {
-    aExchange->Answer(
+    aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
   }
 }
@@ -371,28 +374,29 @@
 {
   const httpstream::Request& request = aExchange.GetRequest();
   if (storeCodec_.IsReadinessProbe(request)) {
-    aExchange.Answer(httpstream::MakeResponse(
+    aExchange.Respond(httpstream::MakeResponse(
       IsReady() ? httpstream::kStatusOk : httpstream::kStatusUnavailable, {}));
     return;
   }
   if (request.target() == "/metrics") {
-    aExchange.Answer(httpstream::MakeResponse(httpstream::kStatusOk,
-                                              shared_.metrics_.Write(),
-                                              "text/plain; version=0.0.4"));
+    aExchange.Respond(httpstream::MakeResponse(httpstream::kStatusOk,
+                                               shared_.metrics_.Write(),
+                                               "text/plain; version=0.0.4"));
     return;
   }
-  aExchange.Answer(httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
+  aExchange.Respond(httpstream::MakeResponse(httpstream::kStatusNotFound, {}));
 }
 
 void
 Gateway::Preempt(const fleet::EndpointChoice& aChoice)
 {
-  if (aChoice.yieldingPeer_.empty()) {
+  if (aChoice.preemptedPeer_.empty()) {
     worker_.Preempt(aChoice.endpoint_.id_);
     return;
   }
-  peers_.AskToYield(aChoice.yieldingPeer_, aChoice.endpoint_.id_);
-  shared_.endpoints_.AssumeYield(aChoice.endpoint_.id_, aChoice.yieldingPeer_);
+  peers_.RequestPreemption(aChoice.preemptedPeer_, aChoice.endpoint_.id_);
+  shared_.endpoints_.AssumePreemption(aChoice.endpoint_.id_,
+                                      aChoice.preemptedPeer_);
 }
 
 void
@@ -402,8 +406,8 @@
     return;
   }
   retiring_ = true;
-  if (heldLots_) {
-    heldLots_->SetLeaving();
+  if (spool_) {
+    spool_->SetDraining();
   }
   base::Log(kGatewayRetiring, { { "runs", worker_.RunCount() } });
   worker_.HandOver([this] { lease_.End([this] { ReportRetired(); }); });
@@ -413,13 +417,13 @@
 Gateway::ReportRetired()
 {
   // Operators take the host away with its disk once they are told.
-  if (heldLots_ && !heldLots_->IsEmpty()) {
+  if (spool_ && !spool_->IsEmpty()) {
     ReportRetiredLater();
     return;
   }
   store_.Commit(storeCodec_.MakeRetirementDone(settings_.host_),
-                [this](const metadata::TransactionReply& aReply) {
-                  if (aReply.status_ == metadata::StoreStatus::Ok) {
+                [this](const metadata::TransactionResponse& aResponse) {
+                  if (aResponse.status_ == metadata::StoreStatus::Ok) {
                     return;
                   }
                   ReportRetiredLater();
@@ -456,22 +460,23 @@
 Gateway::Tick()
 {
   const base::Instant now = base::MonotonicNow();
-  callerGate_.Tick(hosts_.PeersBut(OwnName()), now);
+  accessControl_.Tick(hosts_.PeersBut(OwnName()), now);
   NoteReadiness();
-  following_.Tick(!stopping_ && !retiring_ && !storePaths_.IsOwnLost(), now);
+  mirrors_.Tick(!stopping_ && !retiring_ && !storeTransport_.IsDirectPathLost(),
+                now);
   for (const std::string& id : shared_.endpoints_.Expire(now)) {
     shared_.pool_.Forget(id);
     base::Log(kEndpointChanged, { { "endpoint", id }, { "state", "expired" } });
   }
   const base::WallTime wallNow = base::WallNow();
   worker_.Tick(now);
-  ledgerKeeper_.Tick(worker_.TakeWaitingLots(), now);
+  ledgerWriter_.Tick(worker_.CollectWaitingJobs(), now);
   if (!stopping_) {
     retention_.Tick(now, wallNow);
   }
-  desk_.Tick(now);
-  if (heldLots_) {
-    heldLots_->Tick(now, wallNow);
+  batchJobHandler_.Tick(now);
+  if (spool_) {
+    spool_->Tick(now, wallNow);
   }
   shared_.suspects_.Expire(now);
   shared_.pool_.Sweep(now);
@@ -488,7 +493,7 @@
   stopped_ = std::move(aStopped);
   stopBegan_ = base::MonotonicNow();
   NoteReadiness();
-  callers_.SetLeaving();
+  callers_.SetDraining();
   base::Log(kGatewayStopping, { { "busy", callers_.BusyCount() } });
   if (retiring_) {
     handedOver_ = true;
--- a/Libraries/LibGateway/LedgerChange.cpp
+++ b/Libraries/LibGateway/LedgerChange.cpp
@@ -7,19 +7,19 @@
 namespace pumiceturn::gateway {
 
 void
-LearnLedger(Shared& aShared,
-            const lots::LotKeySpace& aKeys,
-            const std::string& aLedger,
-            const metadata::TransactionReply& aReply)
+UpdateCachedLedger(SharedState& aShared,
+                   const batch::BatchJobKeySpace& aKeys,
+                   const std::string& aLedger,
+                   const metadata::TransactionResponse& aResponse)
 {
   const std::string key = aKeys.LedgerOf(aLedger);
-  for (const metadata::StoreItem& item : aReply.current_) {
+  for (const metadata::StoreItem& item : aResponse.current_) {
     if (item.key_ != key || item.revision_ == 0) {
       continue;
     }
-    const lots::LedgerNews news = aShared.ledgers_.Learn(
+    const batch::LedgerUpdateOutcome outcome = aShared.ledgers_.Update(
       aLedger, item.value_, item.revision_, base::MonotonicNow());
-    if (news == lots::LedgerNews::Unreadable) {
+    if (outcome == batch::LedgerUpdateOutcome::Unreadable) {
       base::Log(kLedgerUnreadable,
                 { { "ledger", aLedger }, { "revision", item.revision_ } });
     }
@@ -27,28 +27,31 @@
 }
 
 bool
-ShowsKey(const metadata::TransactionReply& aReply, const std::string& aKey)
+ContainsKey(const metadata::TransactionResponse& aResponse,
+            const std::string& aKey)
 {
-  return std::any_of(
-    aReply.current_.begin(), aReply.current_.end(), [&aKey](const auto& aItem) {
-      return aItem.key_ == aKey && aItem.revision_ != 0 && !aItem.removed_;
-    });
+  return std::any_of(aResponse.current_.begin(),
+                     aResponse.current_.end(),
+                     [&aKey](const auto& aItem) {
+                       return aItem.key_ == aKey && aItem.revision_ != 0 &&
+                              !aItem.removed_;
+                     });
 }
 
 void
-AddRow(metadata::Transaction& aCreation,
-       const Shared& aShared,
-       const lots::LotKeySpace& aKeys,
-       const std::string& aLedger,
-       const std::string& aLot,
-       std::uint64_t aTokens)
+AddLedgerEntry(metadata::Transaction& aCreation,
+               const SharedState& aShared,
+               const batch::BatchJobKeySpace& aKeys,
+               const std::string& aLedger,
+               const std::string& aJob,
+               std::uint64_t aTokens)
 {
-  const lots::LedgerView& view = aShared.ledgers_.Of(aLedger);
-  lots::TokenLedger ledger = view.ledger_;
-  ledger.Set(aLot, aTokens);
+  const batch::LedgerView& view = aShared.ledgers_.Of(aLedger);
+  batch::TokenLedger ledger = view.ledger_;
+  ledger.Set(aJob, aTokens);
   const std::string key = aKeys.LedgerOf(aLedger);
   aCreation.expectations_.push_back({ key, view.revision_ });
-  aCreation.writes_.push_back({ key, lots::EncodeLedger(ledger), 0 });
+  aCreation.writes_.push_back({ key, batch::EncodeLedger(ledger), 0 });
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LedgerChange.h
+++ b/Libraries/LibGateway/LedgerChange.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "LibGateway/Shared.h"
-#include "LibLots/LotKeys.h"
+#include "LibBatch/BatchJobKeys.h"
+#include "LibGateway/SharedState.h"
 #include "LibMetadata/StoreClient.h"
 
 #include <cstdint>
@@ -11,23 +11,25 @@
 
 /// Takes over the ledger that a refused transaction brought.
 void
-LearnLedger(Shared& aShared,
-            const lots::LotKeySpace& aKeys,
-            const std::string& aLedger,
-            const metadata::TransactionReply& aReply);
+UpdateCachedLedger(SharedState& aShared,
+                   const batch::BatchJobKeySpace& aKeys,
+                   const std::string& aLedger,
+                   const metadata::TransactionResponse& aResponse);
 
-/// @return whether the reply to a refused transaction shows that a key exists.
+/// @return whether the response to a refused transaction shows that a key
+/// exists.
 bool
-ShowsKey(const metadata::TransactionReply& aReply, const std::string& aKey);
+ContainsKey(const metadata::TransactionResponse& aResponse,
+            const std::string& aKey);
 
-/// Adds a lot's row to its ledger, in the transaction that creates the
-/// lot, under the condition that the ledger is as known here.
+/// Adds a job's row to its ledger, in the transaction that creates the
+/// job, under the condition that the ledger is as known here.
 void
-AddRow(metadata::Transaction& aCreation,
-       const Shared& aShared,
-       const lots::LotKeySpace& aKeys,
-       const std::string& aLedger,
-       const std::string& aLot,
-       std::uint64_t aTokens);
+AddLedgerEntry(metadata::Transaction& aCreation,
+               const SharedState& aShared,
+               const batch::BatchJobKeySpace& aKeys,
+               const std::string& aLedger,
+               const std::string& aJob,
+               std::uint64_t aTokens);
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibHttpStream/HttpCaller.cpp
+++ b/Libraries/LibHttpStream/HttpClient.cpp
@@ -1,4 +1,4 @@
-#include "LibHttpStream/HttpCaller.h"
+#include "LibHttpStream/HttpClient.h"
 
 #include <algorithm>
 #include <memory>
@@ -39,7 +39,7 @@
   {
     result_.body_.append(aBytes);
   }
-  void OnEnd(CallEnd aEnd) override
+  void OnEnd(CallOutcome aEnd) override
   {
     const std::unique_ptr<WholeCall> self(this);
     result_.end_ = aEnd;
@@ -57,7 +57,7 @@
 } // namespace
 
 void
-HttpCaller::Call(const Request& aRequest,
+HttpClient::Call(const Request& aRequest,
                  base::Duration aTimeout,
                  std::function<void(CallResult)> aDone)
 {
--- a/Tests/LibLots/ItemScheduleTest.cpp
+++ b/Tests/LibBatch/ItemScheduleTest.cpp
@@ -1,8 +1,8 @@
-#include "LibLots/ItemSchedule.h"
+#include "LibBatch/ItemSchedule.h"
 
 #include <catch2/catch.hpp>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using namespace std::chrono_literals;
 
@@ -11,15 +11,15 @@
 protected:
   ItemScheduleFixture()
   {
-    lot_.state_.itemCount_ = 2;
-    lot_.items_ = std::vector<LotItem>(2);
-    (*lot_.items_)[0].id_ = "first";
-    (*lot_.items_)[1].id_ = "second";
+    job_.state_.itemCount_ = 2;
+    job_.items_ = std::vector<BatchItem>(2);
+    (*job_.items_)[0].id_ = "first";
+    (*job_.items_)[1].id_ = "second";
     limits_.maxAttempts_ = 2;
     limits_.giveUpAt_ = now_ + 1min;
   }
 
-  ItemSchedule Make() const { return { lot_, limits_ }; }
+  ItemSchedule Make() const { return { job_, limits_ }; }
 
   std::optional<std::size_t> Next(ItemSchedule& aSchedule)
   {
@@ -29,8 +29,8 @@
   }
 
   std::optional<ItemResult> Run(ItemSchedule& aSchedule,
-                                ItemRunEnd aEnd,
-                                const PartialRun& aProgress = {})
+                                ItemAttemptOutcome aEnd,
+                                const PartialOutput& aProgress = {})
   {
     now_ += 1s;
     const auto item = Next(aSchedule);
@@ -39,7 +39,7 @@
     return aSchedule.End(*item, aEnd, aProgress, now_);
   }
 
-  Lot lot_;
+  BatchJob job_;
   ItemLimits limits_;
   base::Instant now_{ base::Duration{ 1h } };
   bool livedOn_ = false;
@@ -49,7 +49,8 @@
                  "ItemSchedule_CompletedRun_GivesTheWholeOutput")
 {
   ItemSchedule schedule = Make();
-  const auto result = Run(schedule, ItemRunEnd::Completed, { 2, "a\nb" });
+  const auto result =
+    Run(schedule, ItemAttemptOutcome::Completed, { 2, "a\nb" });
   REQUIRE(result);
   CHECK(*result == ItemResult{ "first", ItemState::Completed, "a\nb" });
   CHECK(Next(schedule) == 1);
@@ -59,17 +60,17 @@
                  "ItemSchedule_PreemptedRun_GoesOnAfterItsLastEvent")
 {
   ItemSchedule schedule = Make();
-  CHECK_FALSE(Run(schedule, ItemRunEnd::Preempted, { 3, "a\nb\nc" }));
+  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Preempted, { 3, "a\nb\nc" }));
   CHECK(Next(schedule) == 0);
-  CHECK(schedule.ProgressOf(0) == PartialRun{ 3, "a\nb\nc" });
+  CHECK(schedule.ProgressOf(0) == PartialOutput{ 3, "a\nb\nc" });
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
                  "ItemSchedule_FailuresReachTheLimit_GivesUpTheItem")
 {
   ItemSchedule schedule = Make();
-  CHECK_FALSE(Run(schedule, ItemRunEnd::Failed));
-  const auto result = Run(schedule, ItemRunEnd::Failed);
+  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Failed));
+  const auto result = Run(schedule, ItemAttemptOutcome::Failed);
   REQUIRE(result);
   CHECK(result->state_ == ItemState::Errored);
   CHECK(result->item_ == "first");
@@ -79,7 +80,7 @@
                  "ItemSchedule_ImpossibleItem_IsGivenUpAtOnce")
 {
   ItemSchedule schedule = Make();
-  const auto result = Run(schedule, ItemRunEnd::Impossible);
+  const auto result = Run(schedule, ItemAttemptOutcome::Impossible);
   REQUIRE(result);
   CHECK(result->state_ == ItemState::Errored);
 }
@@ -91,7 +92,7 @@
 {
   ItemSchedule schedule = Make();
   for (std::size_t crash = 0; crash < ItemSchedule::kMaxCrashes; ++crash) {
-    CHECK_FALSE(Run(schedule, ItemRunEnd::Broken));
+    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken));
   }
   now_ += 1min;
   CHECK(Next(schedule) == 1);
@@ -107,7 +108,7 @@
 {
   ItemSchedule schedule = Make();
   for (std::size_t reset = 0; reset < ItemSchedule::kMaxCrashes; ++reset) {
-    CHECK_FALSE(Run(schedule, ItemRunEnd::Broken));
+    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken));
   }
   now_ += 1s;
   livedOn_ = true;
@@ -119,7 +120,7 @@
 {
   ItemSchedule schedule = Make();
   for (std::uint64_t event = 1; event <= 6; ++event) {
-    CHECK_FALSE(Run(schedule, ItemRunEnd::Broken, { event, "x" }));
+    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken, { event, "x" }));
   }
   now_ += 1s;
   CHECK(Next(schedule) == 0);
@@ -127,27 +128,27 @@
 
 TEST_CASE_METHOD(ItemScheduleFixture, "ItemSchedule_ItemsEnd_WaitingTokensFall")
 {
-  (*lot_.items_)[0].tokens_ = 300;
-  (*lot_.items_)[1].tokens_ = 20;
+  (*job_.items_)[0].tokens_ = 300;
+  (*job_.items_)[1].tokens_ = 20;
   ItemSchedule schedule = Make();
   CHECK(schedule.WaitingTokens() == 320);
-  CHECK_FALSE(Run(schedule, ItemRunEnd::Preempted, { 3, "x" }));
+  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Preempted, { 3, "x" }));
   CHECK(schedule.WaitingTokens() == 320);
-  CHECK(Run(schedule, ItemRunEnd::Completed, { 4, "x" }));
+  CHECK(Run(schedule, ItemAttemptOutcome::Completed, { 4, "x" }));
   CHECK(schedule.WaitingTokens() == 20);
-  CHECK(Run(schedule, ItemRunEnd::Impossible));
+  CHECK(Run(schedule, ItemAttemptOutcome::Impossible));
   CHECK(schedule.WaitingTokens() == 0);
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
                  "ItemSchedule_TakenOver_SkipsListedAndKeepsProgress")
 {
-  lot_.results_.push_back({ "first", ItemState::Completed, "a" });
-  lot_.progress_["second"] = { 4, "w\nx\ny\nz" };
+  job_.results_.push_back({ "first", ItemState::Completed, "a" });
+  job_.progress_["second"] = { 4, "w\nx\ny\nz" };
   ItemSchedule schedule = Make();
   CHECK(Next(schedule) == 1);
   CHECK(schedule.ProgressOf(1).lastEvent_ == 4);
   CHECK(schedule.Progress().size() == 1);
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Tests/LibLots/StartOrderTest.cpp
+++ b/Tests/LibBatch/StartOrderTest.cpp
@@ -1,5 +1,5 @@
-#include "LibLots/StartOrder.h"
-#include "LibLots/ItemPace.h"
+#include "LibBatch/StartOrder.h"
+#include "LibBatch/ItemPace.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-namespace pumiceturn::lots {
+namespace pumiceturn::batch {
 
 using namespace std::chrono_literals;
 
@@ -106,7 +106,7 @@
       for (Item& item : items_) {
         if (item.isRunning_ &&
             (chosen == nullptr ||
-             GivesWayBefore(UrgencyOf(item), UrgencyOf(*chosen), aNow))) {
+             IsPreemptedBefore(UrgencyOf(item), UrgencyOf(*chosen), aNow))) {
           chosen = &item;
         }
       }
@@ -150,7 +150,7 @@
       if (!candidates.empty()) {
         usual += (static_cast<double>(RunningCount()) - usual) * 0.02;
       }
-      conditions.places_ = usual;
+      conditions.slots_ = usual;
       for (const Item& item : items_) {
         conditions.runningWork_ +=
           item.isRunning_ ? UrgencyOf(item).remaining_ : base::Duration::zero();
@@ -172,7 +172,7 @@
   std::mt19937_64 random_{ 4 };
 };
 
-// A partner sends six times its lots for a quarter of a minute: what the fleet
+// A partner sends six times its jobs for a quarter of a minute: what the fleet
 // can finish in time must be in time, although most items can't be. By due time
 // alone each place goes to an item whose time is just over. 16 places on
 // average finish 4.4 items a second; from the flood's begin until the last due
@@ -217,12 +217,12 @@
                   { "old", 2, { now + 9s, 4s } },
                   { "begun", 3, { now + 12s, 2s }, true } },
                 { now, 8.0, base::Duration::zero() });
-  std::vector<std::string> lots;
-  lots.reserve(ordered.size());
+  std::vector<std::string> jobs;
+  jobs.reserve(ordered.size());
   for (const StartCandidate& candidate : ordered) {
-    lots.push_back(candidate.lot_);
+    jobs.push_back(candidate.job_);
   }
-  CHECK(lots == std::vector<std::string>{ "begun", "old", "fresh", "late" });
+  CHECK(jobs == std::vector<std::string>{ "begun", "old", "fresh", "late" });
 }
 
 TEST_CASE("StartOrder_RunsOutOfReach_GiveWayFirst")
@@ -231,23 +231,23 @@
   const ItemUrgency late{ now + 1s, 4s };
   const ItemUrgency tight{ now + 6s, 4s };
   const ItemUrgency relaxed{ now + 18s, 4s };
-  CHECK(GivesWayBefore(late, relaxed, now));
-  CHECK(GivesWayBefore(relaxed, tight, now));
-  CHECK_FALSE(GivesWayBefore(tight, late, now));
+  CHECK(IsPreemptedBefore(late, relaxed, now));
+  CHECK(IsPreemptedBefore(relaxed, tight, now));
+  CHECK_FALSE(IsPreemptedBefore(tight, late, now));
 }
 
 TEST_CASE("ItemPace_RunsSeen_RemainingTimeFollows")
 {
   ItemPace pace;
   CHECK(pace.Remaining(1000, 0) == base::Duration::zero());
-  pace.NoteRun(200, 4s);
-  pace.NoteCompleted(1000, 250);
+  pace.RecordRun(200, 4s);
+  pace.RecordCompleted(1000, 250);
   // A run of a few events tells more of the wait for a place.
-  pace.NoteRun(2, 4s);
+  pace.RecordRun(2, 4s);
   CHECK(base::ToMs(pace.Remaining(1000, 0)) == 5000);
   CHECK(base::ToMs(pace.Remaining(1000, 200)) == 1000);
   // Longer than expected: it may end with each event.
   CHECK(base::ToMs(pace.Remaining(1000, 300)) == 20);
 }
 
-} // namespace pumiceturn::lots
+} // namespace pumiceturn::batch
--- a/Tests/Platform/FollowingTest.cpp
+++ b/Tests/Platform/FollowingTest.cpp
@@ -18,7 +18,7 @@
     WriteConfiguration(3);
     AddServer("i-1");
     for (const char* name : { "a", "b", "c" }) {
-      StartHost(name, lots::LotPreference::IfNoOther);
+      StartHost(name, batch::BatchPreference::IfNoOther);
     }
     // Followers change while the hosts begin to hear each other.
     constexpr int kLooks = 20;
@@ -119,7 +119,7 @@
 {
   for (const auto& host : hosts_) {
     if (FollowedBy(*host) > 0) {
-      store_.SetDoorMood(host->storePort_, StoreMood::Refusing);
+      store_.SetPortBehaviour(host->storePort_, StoreBehaviour::Refusing);
       break;
     }
   }
--- a/Tests/Platform/GatewayFixture.cpp
+++ b/Tests/Platform/GatewayFixture.cpp
@@ -28,7 +28,7 @@
 std::uint16_t
 GatewayFixture::FreePort()
 {
-  // Stays bound, without listening, so that neither the store's next door nor a
+  // Stays bound, without listening, so that neither the store's next port nor a
   // connection of another process is given the port before the host opens it.
   boost::asio::ip::tcp::socket holder(context_, boost::asio::ip::tcp::v4());
   holder.set_option(boost::asio::socket_base::reuse_address(true));
@@ -70,7 +70,7 @@
 
 TestHost&
 GatewayFixture::StartHost(const std::string& aName,
-                          lots::LotPreference aPreference)
+                          batch::BatchPreference aPreference)
 {
   hosts_.push_back(std::make_unique<TestHost>());
   TestHost& host = *hosts_.back();
@@ -80,29 +80,30 @@
   settings.host_ = aName;
   settings.incarnation_ = "1";
   settings.failureDomain_ = "a";
-  settings.lotPreference_ = aPreference;
+  settings.batchPreference_ = aPreference;
   settings.callerAddress_ = fmt::format("127.0.0.1:{}", host.callerPort_);
   settings.statusAddress_ = fmt::format("127.0.0.1:{}", host.statusPort_);
   settings.peerAddress_ = fmt::format("127.0.0.1:{}", FreePort());
-  settings.lotRetention_ = lotRetention_;
+  settings.jobRetention_ = jobRetention_;
   settings.dataFolder_ = dataFolder_;
   settings.capOverage_ = capOverage_;
   settings.revocationBound_ = revocationBound_;
   settings.rateTolerance_.overage_ = capOverage_;
-  host.passOnPort_ = FreePort();
-  settings.passOnAddress_ = fmt::format("127.0.0.1:{}", host.passOnPort_);
-  host.storePort_ = store_.OpenDoor();
+  host.forwardPort_ = FreePort();
+  settings.forwardAddress_ = fmt::format("127.0.0.1:{}", host.forwardPort_);
+  host.storePort_ = store_.OpenPort();
   const auto storeAddress = Loopback(host.storePort_);
-  host.storePaths_ = std::make_unique<gateway::StorePaths>(
+  host.storeTransport_ = std::make_unique<gateway::StoreTransport>(
     context_, storeAddress, MakeStoreProtocol(storeAddress));
-  host.store_ = std::make_unique<StoreCalls>(*host.storePaths_, storeAddress);
+  host.store_ =
+    std::make_unique<HttpStoreClient>(*host.storeTransport_, storeAddress);
   host.gateway_ = std::make_unique<gateway::Gateway>(context_,
                                                      settings,
                                                      MakeStoreLayout(),
                                                      requestCodec_,
                                                      storeEntries_,
                                                      *host.store_,
-                                                     *host.storePaths_);
+                                                     *host.storeTransport_);
   REQUIRE(host.gateway_->Start());
   RunUntil([&] {
     return !store_.Get(std::string("pumiceturn/host/") + aName).empty();
@@ -137,7 +138,7 @@
 }
 
 std::string
-GatewayFixture::LotBody(int aItems, const std::string& aPrefix)
+GatewayFixture::JobBody(int aItems, const std::string& aPrefix)
 {
   json items = json::array();
   for (int item = 0; item < aItems; ++item) {
--- a/Tests/Platform/GatewayFixture.h
+++ b/Tests/Platform/GatewayFixture.h
@@ -2,11 +2,11 @@
 
 #include "LibGateway/Gateway.h"
 #include "Tests/Platform/CallingFixture.h"
+#include "platform/HttpStoreClient.h"
+#include "platform/PlatformStoreCodec.h"
 #include "platform/RequestCodec.h"
 #include "platform/Standin/ServerStandin.h"
 #include "platform/Standin/StoreStandin.h"
-#include "platform/StoreCalls.h"
-#include "platform/StoreEntries.h"
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -21,12 +21,12 @@
 /// A host of the system with its own address.
 struct TestHost
 {
-  std::unique_ptr<gateway::StorePaths> storePaths_;
-  std::unique_ptr<StoreCalls> store_;
+  std::unique_ptr<gateway::StoreTransport> storeTransport_;
+  std::unique_ptr<HttpStoreClient> store_;
   std::unique_ptr<gateway::Gateway> gateway_;
   std::uint16_t callerPort_ = 0;
   std::uint16_t statusPort_ = 0;
-  std::uint16_t passOnPort_ = 0;
+  std::uint16_t forwardPort_ = 0;
   std::uint16_t storePort_ = 0; ///< Where the store takes this host's calls.
 };
 
@@ -41,11 +41,11 @@
 
   /// Starts a host and waits until it is ready.
   TestHost& StartHost(const std::string& aName,
-                      lots::LotPreference aPreference);
+                      batch::BatchPreference aPreference);
 
   /// Writes a configuration with a resumable stream, a stream that may run
   /// once, one that may not wait for a place, a service call that may run once,
-  /// and lots.
+  /// and jobs.
   void WriteConfiguration(std::uint64_t aVersion);
 
   ServerStandin& AddServer(const std::string& aInstance);
@@ -65,17 +65,17 @@
                                   const std::string& aBody = {});
 
   /// @param aPrefix Begins the items' ids.
-  static std::string LotBody(int aItems, const std::string& aPrefix = {});
+  static std::string JobBody(int aItems, const std::string& aPrefix = {});
 
   StoreStandin store_;
   RequestCodec requestCodec_;
-  StoreEntries storeEntries_;
+  PlatformStoreCodec storeEntries_;
   /// Of the next host; empty: it has no disk.
   std::string dataFolder_;
   std::vector<boost::asio::ip::tcp::socket> heldPorts_;
   double capOverage_ = 0.0;                       ///< Of the next host.
   std::optional<base::Duration> revocationBound_; ///< Of the next host.
-  base::Duration lotRetention_{ std::chrono::minutes{ 10 } };
+  base::Duration jobRetention_{ std::chrono::minutes{ 10 } };
   std::vector<std::unique_ptr<TestHost>> hosts_;
   std::vector<std::unique_ptr<ServerStandin>> servers_;
 };
--- a/Tests/Platform/ResultKeeperTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -1,4 +1,4 @@
-#include "LibGateway/ResultKeeper.h"
+#include "LibGateway/ResultWriter.h"
 #include "Tests/LibMetadata/FakeStore.h"
 
 #include <catch2/catch.hpp>
@@ -8,26 +8,26 @@
 using namespace std::chrono_literals;
 using metadata::StoreStatus;
 
-/// Lots of two items each that this host runs, and a store whose answers the
+/// Jobs of two items each that this host runs, and a store whose answers the
 /// test gives.
-class ResultKeeperFixture
+class ResultWriterFixture
 {
 protected:
-  void Begin(const std::string& aLot)
+  void Begin(const std::string& aJob)
   {
-    lots::LotState state;
+    batch::BatchJobState state;
     state.itemCount_ = 2;
-    lots_.Apply(keys_.StateOf(aLot), lots::EncodeState(state), 5);
-    keeper_.Begin(*lots_.Find(aLot));
+    jobs_.Apply(keys_.StateOf(aJob), batch::EncodeState(state), 5);
+    writer_.Begin(*jobs_.Find(aJob));
   }
 
-  void Finish(const std::string& aLot,
+  void Finish(const std::string& aJob,
               int aItem,
               base::Duration aDueAfter = 10s)
   {
-    keeper_.Add(
-      aLot,
-      { aLot + std::to_string(aItem), lots::ItemState::Completed, "output" },
+    writer_.Add(
+      aJob,
+      { aJob + std::to_string(aItem), batch::ItemState::Completed, "output" },
       now_ + aDueAfter,
       now_);
   }
@@ -35,35 +35,36 @@
   void Pass(base::Duration aTime)
   {
     now_ += aTime;
-    keeper_.Tick(now_);
+    writer_.Tick(now_);
   }
 
-  void Answer(const metadata::TransactionReply& aReply)
+  void Respond(const metadata::TransactionResponse& aResponse)
   {
     REQUIRE_FALSE(store_.commits_.empty());
-    metadata::FakeStore::Take(store_.commits_).second(aReply);
+    metadata::FakeStore::Take(store_.commits_).second(aResponse);
   }
 
-  [[nodiscard]] std::size_t StoredCount(const std::string& aLot) const
+  [[nodiscard]] std::size_t StoredCount(const std::string& aJob) const
   {
-    return lots_.Find(aLot)->results_.size();
+    return jobs_.Find(aJob)->results_.size();
   }
 
   base::Instant now_ = base::MonotonicNow();
-  lots::LotKeySpace keys_{ "lot/", "data/" };
-  lots::LotTable lots_{ keys_, [](std::string_view) {
-                         return std::optional(std::vector<lots::LotItem>{});
-                       } };
+  batch::BatchJobKeySpace keys_{ "lot/", "data/" };
+  batch::BatchJobTable jobs_{ keys_, [](std::string_view) {
+                               return std::optional(
+                                 std::vector<batch::BatchItem>{});
+                             } };
   metadata::FakeStore store_;
   std::vector<std::string> told_;
-  ResultKeeper keeper_{ store_, lots_, [this](const std::string& aLot) {
-                         told_.push_back(aLot);
+  ResultWriter writer_{ store_, jobs_, [this](const std::string& aJob) {
+                         told_.push_back(aJob);
                        } };
 };
 
-// Load: results of several lots within a short while. Each was a call, most of
+// Load: results of several jobs within a short while. Each was a call, most of
 // all calls to the store.
-TEST_CASE_METHOD(ResultKeeperFixture, "ResultKeeper_SeveralLots_AreOneCall")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_SeveralJobs_AreOneCall")
 {
   Begin("a");
   Begin("b");
@@ -74,18 +75,18 @@
   CHECK(store_.commits_.empty());
   Pass(300ms);
   REQUIRE(store_.commits_.size() == 1);
-  // A page each, and the state of the lot that is finished by it.
+  // A page each, and the state of the job that is finished by it.
   CHECK(store_.commits_.front().first.writes_.size() == 3);
   CHECK(store_.commits_.front().first.expectations_.size() == 4);
-  Answer({ StoreStatus::Ok, 9, {} });
+  Respond({ StoreStatus::Ok, 9, {} });
   CHECK(StoredCount("a") == 1);
   CHECK(StoredCount("b") == 2);
-  CHECK(lots_.Find("b")->state_.isFinished_);
+  CHECK(jobs_.Find("b")->state_.isFinished_);
   CHECK(told_ == std::vector<std::string>{ "a", "b" });
 }
 
 // A report was late, as its last line had waited for others.
-TEST_CASE_METHOD(ResultKeeperFixture, "ResultKeeper_DueSoon_DoesNotWait")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_DueSoon_DoesNotWait")
 {
   Begin("a");
   Finish("a", 0, 1s);
@@ -93,36 +94,36 @@
   CHECK(store_.commits_.size() == 1);
 }
 
-// One lot's sender had ended it, and the others' results were not stored.
-TEST_CASE_METHOD(ResultKeeperFixture,
-                 "ResultKeeper_OneLotConflicts_OthersAreStoredAlone")
+// One job's sender had ended it, and the others' results were not stored.
+TEST_CASE_METHOD(ResultWriterFixture,
+                 "ResultWriter_OneJobConflicts_OthersAreStoredAlone")
 {
   Begin("a");
   Begin("b");
   Finish("a", 0);
   Finish("b", 0);
   Pass(500ms);
-  metadata::TransactionReply conflict;
+  metadata::TransactionResponse conflict;
   conflict.status_ = StoreStatus::Conflict;
-  Answer(conflict);
+  Respond(conflict);
   REQUIRE(store_.commits_.size() == 2);
-  Answer(conflict);
-  Answer({ StoreStatus::Ok, 9, {} });
+  Respond(conflict);
+  Respond({ StoreStatus::Ok, 9, {} });
   CHECK(StoredCount("a") == 0);
   CHECK(StoredCount("b") == 1);
 }
 
 // A call without an answer was carried out; made again with more results, it
 // gave one position two contents.
-TEST_CASE_METHOD(ResultKeeperFixture,
-                 "ResultKeeper_AnswerIsLost_SamePageGoesAgain")
+TEST_CASE_METHOD(ResultWriterFixture,
+                 "ResultWriter_AnswerIsLost_SamePageGoesAgain")
 {
   Begin("a");
   Finish("a", 0);
   Pass(500ms);
   const metadata::Transaction first = store_.commits_.front().first;
-  Answer({ StoreStatus::Unknown, 0, {} });
-  CHECK(keeper_.IsStoring("a"));
+  Respond({ StoreStatus::Unknown, 0, {} });
+  CHECK(writer_.IsStoring("a"));
   Finish("a", 1);
   now_ = base::MonotonicNow() + 1s;
   Pass(0ms);
@@ -130,27 +131,27 @@
   const metadata::Transaction& again = store_.commits_.front().first;
   CHECK(again.writes_.front().key_ == first.writes_.front().key_);
   CHECK(again.writes_.front().value_ == first.writes_.front().value_);
-  metadata::TransactionReply isThere;
+  metadata::TransactionResponse isThere;
   isThere.status_ = StoreStatus::Conflict;
   isThere.current_.push_back(
     { first.writes_.front().key_, first.writes_.front().value_, 7 });
-  Answer(isThere);
+  Respond(isThere);
   CHECK(StoredCount("a") == 1);
-  CHECK_FALSE(keeper_.IsStoring("a"));
+  CHECK_FALSE(writer_.IsStoring("a"));
 }
 
 // A host that leaves hands over what it has gathered, and doesn't lose it.
-TEST_CASE_METHOD(ResultKeeperFixture, "ResultKeeper_HandedOver_IsInThatCall")
+TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_HandedOver_IsInThatCall")
 {
   Begin("a");
   Finish("a", 0);
   metadata::Transaction transaction;
-  CHECK_FALSE(keeper_.AddTo(transaction, *lots_.Find("a")));
+  CHECK_FALSE(writer_.AddTo(transaction, *jobs_.Find("a")));
   CHECK(transaction.writes_.size() == 1);
   Begin("b");
   Finish("b", 0);
   Finish("b", 1);
-  CHECK(keeper_.AddTo(transaction, *lots_.Find("b")));
+  CHECK(writer_.AddTo(transaction, *jobs_.Find("b")));
 }
 
 } // namespace pumiceturn::gateway
