--- a/Libraries/LibKeeper/KeeperMetrics.h
+++ b/Libraries/LibKeeper/KeeperMetrics.h
@@ -9,14 +9,14 @@
 
 namespace pumiceturn::keeper {
 
-/// Carries the job service's counts into the metrics registry.
+/// Publishes the counts of the job service in the metrics registry.
 class KeeperMetrics
 {
 public:
   KeeperMetrics(metrics::Registry& aRegistry,
                 const std::shared_ptr<JobService>& aService);
 
-  /// Adds what was counted since the last call. Not thread-safe.
+  /// Adds the increments since the last call. Not thread-safe.
   void Update(const JobCounts& aCounts);
 
 private:
