--- a/Benchmarks/Jobs/Main.cpp
+++ b/Benchmarks/Jobs/Main.cpp
@@ -123,7 +123,7 @@
               1);
   }
   while (aState.KeepRunning()) {
-    const auto pick = queue.Take(kNow);
+    const auto pick = queue.Pop(kNow);
     queue.Add(pick->job_,
               pick->partner_,
               1,
@@ -150,7 +150,7 @@
   Accept(table, lot);
   queue.Add(lot.id_, lot.partner_, 1, lot.dueUnixMs_, items);
   while (aState.KeepRunning()) {
-    const auto pick = queue.Take(kNow);
+    const auto pick = queue.Pop(kNow);
     const auto dispatch = table.TakeItem(pick->job_);
     table.Requeue(dispatch->run_);
     queue.Add(pick->job_, lot.partner_, 1, lot.dueUnixMs_, 1);
@@ -269,8 +269,8 @@
   while (aState.KeepRunning()) {
     JobTable table;
     for (std::size_t index = 0; index < log.size(); ++index) {
-      auto record =
-        base::Capture([&] { return DecodeRecord(log[index], Payloads::Skip); });
+      auto record = base::Capture(
+        [&] { return DecodeRecord(log[index], PayloadMode::Skip); });
       table.Apply(std::get<Record>(record), { 1, 1, index }, index);
     }
     benchmark::DoNotOptimize(table);
--- a/Libraries/LibJobs/BatchScheduler.cpp
+++ b/Libraries/LibJobs/BatchScheduler.cpp
@@ -53,7 +53,7 @@
   if (credits == found->second.agents_.end()) {
     return;
   }
-  // Cumulative, so a repeated or late grant has no further effect.
+  // Grants are cumulative, so a repeated or delayed one has no effect.
   credits->second.granted_ = std::max(credits->second.granted_, aGranted);
 }
 
@@ -67,7 +67,7 @@
 }
 
 void
-BatchScheduler::LinkUp(const std::string& aAgent)
+BatchScheduler::OnLinkUp(const std::string& aAgent)
 {
   const auto found = agents_.find(aAgent);
   if (found == agents_.end()) {
@@ -84,7 +84,7 @@
 }
 
 void
-BatchScheduler::LinkLost(const std::string& aAgent)
+BatchScheduler::OnLinkLost(const std::string& aAgent)
 {
   const auto found = agents_.find(aAgent);
   if (found != agents_.end()) {
@@ -93,7 +93,7 @@
 }
 
 bool
-BatchScheduler::CanTake(const std::string& aAgent, base::Instant aNow) const
+BatchScheduler::IsAvailable(const std::string& aAgent, base::Instant aNow) const
 {
   const auto found = agents_.find(aAgent);
   return found != agents_.end() && found->second.up_ &&
@@ -101,9 +101,9 @@
 }
 
 std::optional<Assignment>
-BatchScheduler::Next(const std::string& aService,
-                     base::Instant aNow,
-                     std::int64_t aNowUnixMs)
+BatchScheduler::AssignNext(const std::string& aService,
+                           base::Instant aNow,
+                           std::int64_t aNowUnixMs)
 {
   const auto found = services_.find(aService);
   if (found == services_.end()) {
@@ -113,23 +113,24 @@
   std::pair<const std::string, Credits>* best = nullptr;
   for (auto& candidate : service.agents_) {
     const Credits& credits = candidate.second;
-    const bool isUsable =
-      credits.listed_ && credits.Left() > 0 && CanTake(candidate.first, aNow);
-    if (isUsable && (best == nullptr || credits.Left() > best->second.Left())) {
+    const bool isUsable = credits.listed_ && credits.Remaining() > 0 &&
+                          IsAvailable(candidate.first, aNow);
+    if (isUsable &&
+        (best == nullptr || credits.Remaining() > best->second.Remaining())) {
       best = &candidate;
     }
   }
   if (best == nullptr) {
     return std::nullopt;
   }
-  service.queue_.SetParallelism(service.running_ + 1);
-  const auto pick = service.queue_.Take(aNowUnixMs);
-  if (!pick) {
+  service.queue_.RecordParallelism(service.running_ + 1);
+  const auto selection = service.queue_.Pop(aNowUnixMs);
+  if (!selection) {
     return std::nullopt;
   }
   service.changed_ = true;
   ++best->second.used_;
-  return Assignment{ *pick, best->first, best->second.Left() };
+  return Assignment{ *selection, best->first, best->second.Remaining() };
 }
 
 void
@@ -147,8 +148,8 @@
 }
 
 std::optional<std::string>
-BatchScheduler::AgentForOnline(const std::string& aService,
-                               base::Instant aNow) const
+BatchScheduler::SelectOnlineAgent(const std::string& aService,
+                                  base::Instant aNow) const
 {
   const auto found = services_.find(aService);
   if (found == services_.end()) {
@@ -157,7 +158,8 @@
   std::optional<std::string> best;
   std::uint32_t fewest = std::numeric_limits<std::uint32_t>::max();
   for (const auto& [name, credits] : found->second.agents_) {
-    if (credits.listed_ && CanTake(name, aNow) && credits.running_ < fewest) {
+    if (credits.listed_ && IsAvailable(name, aNow) &&
+        credits.running_ < fewest) {
       best = name;
       fewest = credits.running_;
     }
@@ -182,7 +184,7 @@
 void
 BatchScheduler::AddRun(const base::RunId& aRun, RunInFlight aInFlight)
 {
-  EndRun(aRun, {});
+  RemoveRun(aRun, {});
   CountRun(aInFlight, 1);
   runs_.emplace(aRun, std::move(aInFlight));
 }
@@ -195,7 +197,7 @@
 }
 
 std::optional<RunInFlight>
-BatchScheduler::EndRun(const base::RunId& aRun, std::string_view aAgent)
+BatchScheduler::RemoveRun(const base::RunId& aRun, std::string_view aAgent)
 {
   const auto found = runs_.find(aRun);
   if (found == runs_.end() ||
@@ -216,7 +218,7 @@
 }
 
 std::vector<base::RunId>
-BatchScheduler::RunsAt(std::string_view aAgent) const
+BatchScheduler::RunsOnAgent(std::string_view aAgent) const
 {
   std::vector<base::RunId> runs;
   for (const auto& [id, run] : runs_) {
@@ -224,13 +226,13 @@
       runs.push_back(id);
     }
   }
-  // The table's own order differs from run to run of the program.
+  // The iteration order of the hash table is not deterministic.
   std::sort(runs.begin(), runs.end());
   return runs;
 }
 
 std::vector<base::RunId>
-BatchScheduler::RunsWhere(
+BatchScheduler::FindRuns(
   const std::function<bool(const base::RunId&)>& aMatches) const
 {
   std::vector<base::RunId> runs;
@@ -260,28 +262,28 @@
 }
 
 wire::BatchDemand
-BatchScheduler::DemandOf(const std::string& aName,
-                         const Service& aService,
-                         std::int64_t aNowUnixMs)
+BatchScheduler::MakeDemand(const std::string& aName,
+                           const Service& aService,
+                           std::int64_t aNowUnixMs)
 {
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint32_t>::max();
+  constexpr std::uint64_t kMax = std::numeric_limits<std::uint32_t>::max();
   wire::BatchDemand demand;
   demand.service_ = aName;
   demand.waiting_ =
-    static_cast<std::uint32_t>(std::min(aService.queue_.Waiting(), kMost));
-  demand.slackMs_ = aService.queue_.LeastLaxityMs(aNowUnixMs).value_or(0);
+    static_cast<std::uint32_t>(std::min(aService.queue_.Waiting(), kMax));
+  demand.slackMs_ = aService.queue_.MinLaxityMs(aNowUnixMs).value_or(0);
   return demand;
 }
 
 void
-BatchScheduler::Tell(const std::string& aName,
-                     Service& aService,
-                     std::int64_t aNowUnixMs,
-                     std::vector<DemandNotice>& aNotices)
+BatchScheduler::AppendNotices(const std::string& aName,
+                              Service& aService,
+                              std::int64_t aNowUnixMs,
+                              std::vector<DemandNotice>& aNotices)
 {
-  aService.toldWaiting_ = aService.queue_.Waiting();
+  aService.reportedWaiting_ = aService.queue_.Waiting();
   aService.changed_ = false;
-  const wire::BatchDemand demand = DemandOf(aName, aService, aNowUnixMs);
+  const wire::BatchDemand demand = MakeDemand(aName, aService, aNowUnixMs);
   for (const auto& [name, credits] : aService.agents_) {
     const auto agent = agents_.find(name);
     if (credits.listed_ && agent != agents_.end() && agent->second.up_) {
@@ -291,31 +293,31 @@
 }
 
 std::vector<DemandNotice>
-BatchScheduler::UrgentDemand(std::int64_t aNowUnixMs)
+BatchScheduler::CollectFirstDemand(std::int64_t aNowUnixMs)
 {
   std::vector<DemandNotice> notices;
   for (auto& [name, service] : services_) {
-    if (service.toldWaiting_ == 0 && service.queue_.Waiting() > 0) {
-      Tell(name, service, aNowUnixMs, notices);
+    if (service.reportedWaiting_ == 0 && service.queue_.Waiting() > 0) {
+      AppendNotices(name, service, aNowUnixMs, notices);
     }
   }
   return notices;
 }
 
 std::vector<DemandNotice>
-BatchScheduler::ChangedDemand(std::int64_t aNowUnixMs)
+BatchScheduler::CollectChangedDemand(std::int64_t aNowUnixMs)
 {
   std::vector<DemandNotice> notices;
   for (auto& [name, service] : services_) {
     if (service.changed_) {
-      Tell(name, service, aNowUnixMs, notices);
+      AppendNotices(name, service, aNowUnixMs, notices);
     }
   }
   return notices;
 }
 
 void
-BatchScheduler::RepeatDemand()
+BatchScheduler::MarkDemandChanged()
 {
   for (auto& [name, service] : services_) {
     service.changed_ = service.changed_ || service.queue_.Waiting() > 0;
@@ -330,7 +332,8 @@
 }
 
 std::vector<DemandNotice>
-BatchScheduler::DemandFor(const std::string& aAgent, std::int64_t aNowUnixMs)
+BatchScheduler::DemandForAgent(const std::string& aAgent,
+                               std::int64_t aNowUnixMs)
 {
   std::vector<DemandNotice> notices;
   for (const auto& [name, service] : services_) {
@@ -338,7 +341,7 @@
     const bool isServed =
       credits != service.agents_.end() && credits->second.listed_;
     if (isServed && service.queue_.Waiting() > 0) {
-      notices.push_back({ aAgent, DemandOf(name, service, aNowUnixMs) });
+      notices.push_back({ aAgent, MakeDemand(name, service, aNowUnixMs) });
     }
   }
   return notices;
--- a/Libraries/LibJobs/BatchScheduler.h
+++ b/Libraries/LibJobs/BatchScheduler.h
@@ -16,7 +16,7 @@
 
 namespace pumiceturn::jobs {
 
-/// A run that an agent was given, or is about to be.
+/// A run that was assigned to an agent and has not ended.
 struct RunInFlight
 {
   std::string agent_;
@@ -24,102 +24,111 @@
   std::string itemName_;
   base::Instant started_;
   bool online_ = false;
-  bool sent_ = false; ///< StartRun left; before that no agent knows it.
+  bool sent_ = false; ///< Whether StartRun was sent to the agent.
 };
 
-/// An item that may go to an agent now, with what was weighed.
+/// An item to be dispatched to an agent, with the inputs of the decision.
 struct Assignment
 {
-  Pick pick_;
+  Selection selection_;
   std::string agent_;
-  std::uint64_t credits_ = 0; ///< Left at that agent.
+  std::uint64_t remainingCredits_ = 0; ///< Unused credits of the agent.
 };
 
-/// Demand to tell one agent.
+/// A demand message to be sent to an agent.
 struct DemandNotice
 {
   std::string agent_;
   wire::BatchDemand demand_;
 };
 
-/// Matches waiting batch items of this owner with the credits of its agents,
-/// and remembers which run is where. An agent grants credits as a count since
-/// the link came up; each batch run uses one.
+/// Assigns waiting batch items of this owner to agents with unused credits, and
+/// tracks the runs at each agent. An agent grants credits as a cumulative count
+/// since its link came up; each batch run uses one credit.
 ///
 /// Not thread-safe, no I/O.
 class BatchScheduler
 {
 public:
-  /// Tells which agents serve a service. Agents no longer named stay until
-  /// their runs have ended, without new work.
+  /// Sets the agents that serve a service. An agent that is no longer listed
+  /// gets no new work; its runs are still tracked until they end.
   void SetAgents(const std::string& aService,
                  const std::vector<std::string>& aAgents);
 
   /// Adds waiting items of a job.
+  /// @param aWeight Share of the job's partner, at least 1.
   void AddWork(const wire::JobDescription& aJob,
                std::uint32_t aWeight,
                std::uint32_t aItems);
   void RemoveJob(const base::JobId& aJob, std::string_view aService);
 
+  /// Applies a credit grant. A repeated or delayed grant has no effect.
+  /// @param aGranted Credits granted in total since the link came up.
   void Grant(const std::string& aAgent,
              std::string_view aService,
              std::uint64_t aGranted);
 
-  /// Gives no work to an agent until a time: it refused.
+  /// Assigns no work to an agent that refused a run until the given time.
   void Pause(const std::string& aAgent, base::Instant aUntil);
 
-  /// A new connection: credits start from nothing on both ends.
-  void LinkUp(const std::string& aAgent);
-  void LinkLost(const std::string& aAgent);
+  /// Handles a new connection. Credits restart at zero on both ends.
+  void OnLinkUp(const std::string& aAgent);
+  void OnLinkLost(const std::string& aAgent);
 
-  /// Takes the next item of a service and a credit for it.
-  std::optional<Assignment> Next(const std::string& aService,
-                                 base::Instant aNow,
-                                 std::int64_t aNowUnixMs);
+  /// Removes the next item of a service from the queue and uses a credit for
+  /// it.
+  /// @return the assignment; nothing when no item waits or no agent that is
+  /// available has a credit.
+  std::optional<Assignment> AssignNext(const std::string& aService,
+                                       base::Instant aNow,
+                                       std::int64_t aNowUnixMs);
 
-  /// Gives back a credit that was taken but not used.
+  /// Returns the credit of an assignment that was not started.
   void ReturnCredit(const std::string& aAgent, std::string_view aService);
 
-  /// @return the agent for an online run: up, with the fewest runs of ours;
-  /// nothing where none is up.
-  [[nodiscard]] std::optional<std::string> AgentForOnline(
+  /// @return the available agent with the fewest runs of this owner; nothing
+  /// when no agent is available.
+  [[nodiscard]] std::optional<std::string> SelectOnlineAgent(
     const std::string& aService,
     base::Instant aNow) const;
 
   void AddRun(const base::RunId& aRun, RunInFlight aInFlight);
   RunInFlight* FindRun(const base::RunId& aRun);
 
-  /// Forgets a run that ended.
-  /// @param aAgent The run is taken out only if it is there; empty: wherever.
-  /// @return what was known of it.
-  std::optional<RunInFlight> EndRun(const base::RunId& aRun,
-                                    std::string_view aAgent);
+  /// Removes a run.
+  /// @param aAgent Only a run at this agent is removed; empty for any agent.
+  /// @return the removed run, or nothing.
+  std::optional<RunInFlight> RemoveRun(const base::RunId& aRun,
+                                       std::string_view aAgent);
 
-  /// Learns how long a successful run took.
+  /// Records the duration of a successful run.
   void RecordServiceTime(const std::string& aService, base::Duration aTime);
 
-  [[nodiscard]] std::vector<base::RunId> RunsAt(std::string_view aAgent) const;
-  [[nodiscard]] std::vector<base::RunId> RunsWhere(
+  [[nodiscard]] std::vector<base::RunId> RunsOnAgent(
+    std::string_view aAgent) const;
+  [[nodiscard]] std::vector<base::RunId> FindRuns(
     const std::function<bool(const base::RunId&)>& aMatches) const;
   [[nodiscard]] std::size_t RunCount() const { return runs_.size(); }
 
   [[nodiscard]] bool IsAgent(std::string_view aPeer) const;
   [[nodiscard]] std::vector<std::string> Services() const;
 
-  /// @return what agents must hear at once: demand where there was none.
-  std::vector<DemandNotice> UrgentDemand(std::int64_t aNowUnixMs);
+  /// @return demand of services whose last reported demand was zero. Marks it
+  /// as reported.
+  std::vector<DemandNotice> CollectFirstDemand(std::int64_t aNowUnixMs);
 
-  /// @return what changed since agents heard of it last.
-  std::vector<DemandNotice> ChangedDemand(std::int64_t aNowUnixMs);
+  /// @return demand that changed since the last report. Marks it as reported.
+  std::vector<DemandNotice> CollectChangedDemand(std::int64_t aNowUnixMs);
 
-  /// Lets ChangedDemand() tell all demand once more, for agents that missed it.
-  void RepeatDemand();
+  /// Makes CollectChangedDemand() return all demand above zero again, for
+  /// agents that missed a message.
+  void MarkDemandChanged();
 
   [[nodiscard]] bool IsUp(std::string_view aAgent) const;
 
-  /// @return demand for an agent whose link has come up.
-  std::vector<DemandNotice> DemandFor(const std::string& aAgent,
-                                      std::int64_t aNowUnixMs);
+  /// @return the current demand, for an agent whose link has come up.
+  std::vector<DemandNotice> DemandForAgent(const std::string& aAgent,
+                                           std::int64_t aNowUnixMs);
 
   [[nodiscard]] std::uint64_t Waiting(std::string_view aService) const;
   /// As LaxityQueue::ExpectedWorkMs().
@@ -133,9 +142,9 @@
     std::uint64_t granted_ = 0;
     std::uint64_t used_ = 0;
     std::uint32_t running_ = 0;
-    bool listed_ = true; ///< Still among the service's agents.
+    bool listed_ = true; ///< Whether the service still lists the agent.
 
-    [[nodiscard]] std::uint64_t Left() const
+    [[nodiscard]] std::uint64_t Remaining() const
     {
       return granted_ > used_ ? granted_ - used_ : 0;
     }
@@ -151,21 +160,21 @@
   {
     LaxityQueue queue_;
     std::map<std::string, Credits, std::less<>> agents_;
-    std::uint64_t toldWaiting_ = 0;
-    /// Agents count down what they were told with each run they get, so a
-    /// number that is the same again is told again.
+    std::uint64_t reportedWaiting_ = 0;
+    /// Whether demand changed since the last report. Agents count the reported
+    /// number down with each run, so an equal number is reported again too.
     bool changed_ = false;
     std::uint32_t running_ = 0;
   };
 
-  bool CanTake(const std::string& aAgent, base::Instant aNow) const;
-  static wire::BatchDemand DemandOf(const std::string& aName,
-                                    const Service& aService,
-                                    std::int64_t aNowUnixMs);
-  void Tell(const std::string& aName,
-            Service& aService,
-            std::int64_t aNowUnixMs,
-            std::vector<DemandNotice>& aNotices);
+  bool IsAvailable(const std::string& aAgent, base::Instant aNow) const;
+  static wire::BatchDemand MakeDemand(const std::string& aName,
+                                      const Service& aService,
+                                      std::int64_t aNowUnixMs);
+  void AppendNotices(const std::string& aName,
+                     Service& aService,
+                     std::int64_t aNowUnixMs,
+                     std::vector<DemandNotice>& aNotices);
   void CountRun(const RunInFlight& aRun, int aChange);
 
   std::map<std::string, Service, std::less<>> services_;
--- a/Libraries/LibJobs/Job.cpp
+++ b/Libraries/LibJobs/Job.cpp
@@ -16,19 +16,19 @@
   return ReceivedItems() > settled ? ReceivedItems() - settled : 0;
 }
 
-ItemPlace
-Job::PlaceOf(std::uint32_t aItem) const
+ItemLocation
+Job::LocateItem(std::uint32_t aItem) const
 {
   const auto after =
-    std::upper_bound(frames_.begin(),
-                     frames_.end(),
+    std::upper_bound(itemRanges_.begin(),
+                     itemRanges_.end(),
                      aItem,
-                     [](std::uint32_t aValue, const Frame& aFrame) {
-                       return aValue < aFrame.firstItem_;
+                     [](std::uint32_t aValue, const ItemRange& aRange) {
+                       return aValue < aRange.firstItem_;
                      });
-  assert(after != frames_.begin());
-  const Frame& frame = *std::prev(after);
-  return { frame.record_, aItem - frame.recordFirstItem_ };
+  assert(after != itemRanges_.begin());
+  const ItemRange& range = *std::prev(after);
+  return { range.record_, aItem - range.recordFirstItem_ };
 }
 
 ResultSource
--- a/Libraries/LibJobs/JobTable.cpp
+++ b/Libraries/LibJobs/JobTable.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::int64_t kAbandonedLotMs = 3'600'000;
+constexpr std::int64_t kAbandonedJobTimeoutMs = 3'600'000;
 constexpr std::size_t kMaxRememberedExpired = 65536;
 constexpr std::uint32_t kMaxReservedItems = 1U << 20U;
 constexpr auto kFirstRefusedCode = base::ResultCode::UnknownKey;
@@ -22,7 +22,7 @@
 }
 
 bool
-IsUnderway(Item::State aState)
+IsInProgress(Item::State aState)
 {
   return aState != Item::State::Waiting && !IsFinal(aState);
 }
@@ -30,16 +30,17 @@
 void
 SetState(Job& aJob, Item& aItem, Item::State aState)
 {
-  aJob.running_ -= IsUnderway(aItem.state_) ? 1 : 0;
-  aJob.running_ += IsUnderway(aState) ? 1 : 0;
-  aJob.ending_ -= aItem.state_ == Item::State::Ending ? 1 : 0;
-  aJob.ending_ += aState == Item::State::Ending ? 1 : 0;
+  aJob.running_ -= IsInProgress(aItem.state_) ? 1 : 0;
+  aJob.running_ += IsInProgress(aState) ? 1 : 0;
+  aJob.recording_ -= aItem.state_ == Item::State::Recording ? 1 : 0;
+  aJob.recording_ += aState == Item::State::Recording ? 1 : 0;
   aItem.state_ = aState;
 }
 
-/// A refusal that another agent would repeat, so that the item ends with it.
+/// @return whether every agent would refuse with this code, so that the item
+/// ends with it.
 bool
-IsLastingRefusal(base::ResultCode aCode)
+IsPermanentRefusal(base::ResultCode aCode)
 {
   return aCode == base::ResultCode::Quarantined ||
          (aCode >= kFirstRefusedCode && aCode <= kLastRefusedCode);
@@ -66,20 +67,20 @@
 }
 
 bool
-IsOverAndExpired(const Job& aJob, std::int64_t aUnixMs)
+IsClosedAndExpired(const Job& aJob, std::int64_t aUnixMs)
 {
-  return aJob.IsOver() && aUnixMs >= aJob.ExpiresUnixMs();
+  return aJob.IsClosed() && aUnixMs >= aJob.ExpiresUnixMs();
 }
 
-/// @return when a job may be dropped, or nothing while it has work left.
+/// @return when a job may be dropped; nothing while it has unfinished items.
 std::optional<std::int64_t>
 DropTimeOf(const Job& aJob)
 {
-  if (aJob.IsOver()) {
+  if (aJob.IsClosed()) {
     return aJob.ExpiresUnixMs();
   }
   if (aJob.phase_ == Job::Phase::Opening) {
-    return aJob.lastRecordUnixMs_ + kAbandonedLotMs;
+    return aJob.lastRecordUnixMs_ + kAbandonedJobTimeoutMs;
   }
   return std::nullopt;
 }
@@ -129,20 +130,21 @@
   std::int64_t wallUnixMs_;
   joblog::LogPosition position_;
   std::uint64_t sequence_;
-  Applied applied_;
+  RecordEffects effects_;
 
   void operator()(const JobOpened& aBody)
   {
     Job* job = table_.FindMutable(aBody.job_.id_);
     if (job != nullptr) {
-      if (job->IsAccepted() && !IsOverAndExpired(*job, wallUnixMs_)) {
+      if (job->IsAccepted() && !IsClosedAndExpired(*job, wallUnixMs_)) {
         return;
       }
       if (!job->IsAccepted() && HasSameContent(*job, aBody.job_)) {
-        // The lot was resent after an interruption: its items are here.
+        // The batch job is submitted again after an interruption; the items
+        // received so far are kept.
         job->description_ = aBody.job_;
         job->lastRecordUnixMs_ = wallUnixMs_;
-        table_.DropAt(aBody.job_.id_, jobs::DropTimeOf(*job));
+        table_.ScheduleDrop(aBody.job_.id_, jobs::DropTimeOf(*job));
         return;
       }
       table_.Erase(aBody.job_.id_);
@@ -159,7 +161,7 @@
     opened.lastRecordUnixMs_ = wallUnixMs_;
     opened.items_.reserve(std::min(aBody.job_.itemCount_, kMaxReservedItems));
     table_.firstSequences_.push_back({ sequence_, aBody.job_.id_ });
-    table_.DropAt(aBody.job_.id_, jobs::DropTimeOf(opened));
+    table_.ScheduleDrop(aBody.job_.id_, jobs::DropTimeOf(opened));
   }
 
   void operator()(const ItemsAccepted& aBody)
@@ -175,7 +177,7 @@
     if (isGap || end <= received || end > job->description_.itemCount_) {
       return;
     }
-    job->frames_.push_back({ received, aBody.firstItem_, position_ });
+    job->itemRanges_.push_back({ received, aBody.firstItem_, position_ });
     job->items_.resize(end);
   }
 
@@ -188,9 +190,9 @@
     }
     job->phase_ = Job::Phase::Accepted;
     job->lastRecordUnixMs_ = wallUnixMs_;
-    applied_.accepted_ = aBody.job_;
+    effects_.accepted_ = aBody.job_;
     if (job->description_.online_) {
-      // The entry runs it from here on.
+      // The entry runs the request from now on.
       for (Item& item : job->items_) {
         SetState(*job, item, Item::State::Running);
       }
@@ -203,7 +205,7 @@
     std::uint32_t index = 0;
     for (const ItemEnded& ended : aBody.ended_) {
       const bool isFirst = End(ended, index++);
-      applied_.ended_.push_back({ ended.run_, isFirst });
+      effects_.ended_.push_back({ ended.run_, isFirst });
     }
   }
 
@@ -216,8 +218,8 @@
     Job& job = table_.jobs_.at(aBody.run_.job_);
     item->lastRecordedStart_ = static_cast<std::uint16_t>(aBody.run_.attempt_);
     item->attempt_ = std::max(item->attempt_, item->lastRecordedStart_);
-    constexpr auto kMost = std::numeric_limits<std::uint8_t>::max();
-    item->recordedStarts_ += item->recordedStarts_ < kMost ? 1 : 0;
+    constexpr auto kMax = std::numeric_limits<std::uint8_t>::max();
+    item->recordedStarts_ += item->recordedStarts_ < kMax ? 1 : 0;
     if (job.description_.idempotent_) {
       item->failures_ = std::max(item->failures_, item->recordedStarts_);
     } else if (item->state_ == Item::State::Waiting) {
@@ -228,7 +230,7 @@
   void operator()(const JobCancelled& aBody)
   {
     Job* job = table_.FindMutable(aBody.job_);
-    if (job == nullptr || !job->IsAccepted() || job->IsOver()) {
+    if (job == nullptr || !job->IsAccepted() || job->IsClosed()) {
       return;
     }
     job->cancelling_ = false;
@@ -243,7 +245,7 @@
       }
     }
     table_.Close(*job, Job::Phase::Cancelled, wallUnixMs_);
-    applied_.cancelled_ = aBody.job_;
+    effects_.cancelled_ = aBody.job_;
   }
 
   void operator()(const EpochStarted& /*aBody*/) {}
@@ -260,7 +262,7 @@
       return false;
     }
     if (job.description_.online_ && aEnded.result_.ran_ == base::Ran::NotRun) {
-      applied_.withdrawn_.push_back(aEnded.run_.job_);
+      effects_.withdrawn_.push_back(aEnded.run_.job_);
       table_.Erase(aEnded.run_.job_);
       return true;
     }
@@ -270,7 +272,7 @@
     ++(isOk ? job.succeeded_ : job.failed_);
     CloseIfDone(job);
     if (job.description_.online_) {
-      table_.Shrink(aEnded.run_.job_, isOk);
+      table_.CompactFinished(aEnded.run_.job_, isOk);
     }
     return true;
   }
@@ -279,19 +281,19 @@
   {
     if (aJob.results_.size() == aJob.description_.itemCount_) {
       table_.Close(aJob, Job::Phase::Finished, wallUnixMs_);
-      applied_.finished_.push_back(aJob.description_.id_);
+      effects_.finished_.push_back(aJob.description_.id_);
     }
   }
 };
 
-Applied
+RecordEffects
 JobTable::Apply(const Record& aRecord,
                 joblog::LogPosition aPosition,
                 std::uint64_t aSequence)
 {
   Applier applier{ *this, aRecord.wallUnixMs_, aPosition, aSequence, {} };
   std::visit(applier, aRecord.body_);
-  return std::move(applier.applied_);
+  return std::move(applier.effects_);
 }
 
 AcceptDecision
@@ -308,11 +310,11 @@
   }
   const Job* job = Find(aRequest.job_);
   if (job != nullptr && job->IsAccepted() &&
-      !IsOverAndExpired(*job, aNowUnixMs)) {
+      !IsClosedAndExpired(*job, aNowUnixMs)) {
     if (job->description_.digest_ != aRequest.digest_) {
       return { Acceptance::Conflict, {} };
     }
-    return { job->IsOver() ? Acceptance::Finished : Acceptance::Running, {} };
+    return { job->IsClosed() ? Acceptance::Finished : Acceptance::Running, {} };
   }
   AcceptDecision decision;
   std::vector<Record>& records = decision.records_;
@@ -343,7 +345,7 @@
     return { *answer, {} };
   }
   const Job* job = Find(description.id_);
-  if (job != nullptr && IsOverAndExpired(*job, aNowUnixMs)) {
+  if (job != nullptr && IsClosedAndExpired(*job, aNowUnixMs)) {
     job = nullptr;
   }
   if (job != nullptr && job->IsAccepted()) {
@@ -351,7 +353,7 @@
     return { isSame ? Acceptance::Duplicate : Acceptance::Conflict, {} };
   }
   if (job != nullptr && !HasSameContent(*job, description)) {
-    // The other lot was never accepted, so this one may take its key.
+    // The other batch job was never accepted, so its key may be reused.
     job = nullptr;
   }
   const std::uint32_t received = job == nullptr ? 0 : job->ReceivedItems();
@@ -421,9 +423,9 @@
   if (found == pending_.end()) {
     return;
   }
-  // An acceptance whose append failed may come back in a replay. If another
-  // content were accepted under the key meanwhile, the replay would keep the
-  // first and lose the second; so the key stays bound to this content.
+  // An acceptance whose append failed may still be in the log. If different
+  // content were accepted under the key, a replay would keep the first and lose
+  // the second. So the key stays bound to this content.
   if (!aIsDurable && found->second.completesJob_) {
     found->second.failed_ = true;
     return;
@@ -443,7 +445,7 @@
                     const base::RunId& aRun,
                     wire::ItemResult aResult)
 {
-  SetState(aJob, aJob.items_[aRun.item_], Item::State::Ending);
+  SetState(aJob, aJob.items_[aRun.item_], Item::State::Recording);
   aResult.item_ = aRun.item_;
   return { EndAction::Record, ItemEnded{ aRun, std::move(aResult) } };
 }
@@ -453,13 +455,13 @@
 {
   const Item* item = FindItem(aRun);
   if (item == nullptr || IsFinal(item->state_)) {
-    return EndAction::Forget;
+    return EndAction::Discard;
   }
   const Job& job = jobs_.at(aRun.job_);
   if (!job.IsAccepted()) {
-    return EndAction::Forget;
+    return EndAction::Discard;
   }
-  if (item->state_ == Item::State::Ending || job.cancelling_) {
+  if (item->state_ == Item::State::Recording || job.cancelling_) {
     return EndAction::Wait;
   }
   return std::nullopt;
@@ -474,7 +476,7 @@
     return { *action, std::nullopt };
   }
   if (aResult.code_ != base::ResultCode::Ok && !aIsRunner) {
-    return { EndAction::Refuse, std::nullopt };
+    return { EndAction::Reject, std::nullopt };
   }
   return RecordEnd(jobs_.at(aRun.job_), aRun, aResult);
 }
@@ -493,7 +495,7 @@
   const bool isCurrent = item.attempt_ == aEnded.run_.attempt_ &&
                          item.state_ != Item::State::Waiting;
   if (!isCurrent) {
-    return { EndAction::Forget, std::nullopt };
+    return { EndAction::Discard, std::nullopt };
   }
   return DecideFailure(job, aEnded);
 }
@@ -505,7 +507,7 @@
   using base::ResultCode;
   Item& item = aJob.items_[aEnded.run_.item_];
   if (aEnded.ran_ == Ran::NotRun) {
-    if (IsLastingRefusal(aEnded.code_)) {
+    if (IsPermanentRefusal(aEnded.code_)) {
       return RecordEnd(aJob, aEnded.run_, ResultOf(aEnded));
     }
     Requeue(aEnded.run_);
@@ -545,17 +547,17 @@
 JobTable::Cancel(const base::JobId& aJob, std::int64_t aNowUnixMs)
 {
   Job* job = FindMutable(aJob);
-  if (job == nullptr || !job->IsAccepted() || job->IsOver()) {
-    return { CancelAction::Over, std::nullopt };
+  if (job == nullptr || !job->IsAccepted() || job->IsClosed()) {
+    return { CancelAction::NotCancellable, std::nullopt };
   }
   job->cancelling_ = true;
-  // A result whose append failed may lie in the log before the cancellation and
-  // be appended again after it: live, the item would be cancelled; after a
-  // replay it would have its result. So only one of the two is on its way.
-  if (job->ending_ > 0 || job->cancelAppended_) {
+  // A result whose append failed may be in the log before the cancellation and
+  // be appended again after it. Live, the item would be cancelled; after a
+  // replay it would have a result. So the two are never appended concurrently.
+  if (job->recording_ > 0 || job->cancelAppendInFlight_) {
     return { CancelAction::Wait, std::nullopt };
   }
-  job->cancelAppended_ = true;
+  job->cancelAppendInFlight_ = true;
   return { CancelAction::Append, Record{ aNowUnixMs, JobCancelled{ aJob } } };
 }
 
@@ -573,8 +575,8 @@
   }
   Item& item = job->items_[*next];
   SetState(*job, item, Item::State::Running);
-  constexpr auto kMost = std::numeric_limits<std::uint16_t>::max();
-  item.attempt_ += item.attempt_ < kMost ? 1 : 0;
+  constexpr auto kMax = std::numeric_limits<std::uint16_t>::max();
+  item.attempt_ += item.attempt_ < kMax ? 1 : 0;
   if (job->description_.online_) {
     item.attempt_ = std::max(item.attempt_, kFirstOwnerAttempt);
   }
@@ -582,7 +584,7 @@
                              ? item.failures_ > item.recordedStarts_
                              : item.recordedStarts_ == 0;
   return Dispatch{ { aJob, *next, item.attempt_ },
-                   job->PlaceOf(*next),
+                   job->LocateItem(*next),
                    recordStart };
 }
 
@@ -662,7 +664,7 @@
 }
 
 bool
-JobTable::Orphan(const base::JobId& aJob)
+JobTable::MarkOrphaned(const base::JobId& aJob)
 {
   Job* job = FindMutable(aJob);
   if (job == nullptr || job->phase_ != Job::Phase::Accepted ||
@@ -740,7 +742,7 @@
     return reply;
   }
   reply.state_ = wire::JobState::Running;
-  if (job->IsOver()) {
+  if (job->IsClosed()) {
     reply.state_ = job->phase_ == Job::Phase::Finished
                      ? wire::JobState::Finished
                      : wire::JobState::Cancelled;
@@ -805,8 +807,8 @@
       continue;
     }
     const Job* job = Find(id);
-    if (job == nullptr || job->IsOver()) {
-      Remember(id);
+    if (job == nullptr || job->IsClosed()) {
+      RememberExpired(id);
     }
     Erase(id);
     ++count;
@@ -815,7 +817,7 @@
 }
 
 void
-JobTable::Remember(const base::JobId& aExpired)
+JobTable::RememberExpired(const base::JobId& aExpired)
 {
   if (!expired_.insert(aExpired).second) {
     return;
@@ -847,11 +849,11 @@
   aJob.lastRecordUnixMs_ = aUnixMs;
   aJob.requeued_ = {};
   aJob.results_.shrink_to_fit();
-  DropAt(aJob.description_.id_, jobs::DropTimeOf(aJob));
+  ScheduleDrop(aJob.description_.id_, jobs::DropTimeOf(aJob));
 }
 
 void
-JobTable::Shrink(const base::JobId& aJob, bool aIsOk)
+JobTable::CompactFinished(const base::JobId& aJob, bool aIsOk)
 {
   const Job& job = jobs_.at(aJob);
   FinishedRequest& finished = finished_[aJob];
@@ -860,12 +862,12 @@
   finished.partner_ = base::HashBytes(job.description_.partner_);
   finished.firstSequence_ = job.firstSequence_;
   finished.endedUnixMs_ = job.lastRecordUnixMs_;
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint32_t>::max();
+  constexpr std::uint64_t kMax = std::numeric_limits<std::uint32_t>::max();
   finished.retentionS_ =
-    static_cast<std::uint32_t>(std::min(job.description_.retentionS_, kMost));
+    static_cast<std::uint32_t>(std::min(job.description_.retentionS_, kMax));
   finished.succeeded_ = aIsOk;
   jobs_.erase(aJob);
-  DropAt(aJob, finished.ExpiresUnixMs());
+  ScheduleDrop(aJob, finished.ExpiresUnixMs());
 }
 
 const FinishedRequest*
@@ -876,7 +878,8 @@
 }
 
 void
-JobTable::DropAt(const base::JobId& aJob, std::optional<std::int64_t> aUnixMs)
+JobTable::ScheduleDrop(const base::JobId& aJob,
+                       std::optional<std::int64_t> aUnixMs)
 {
   if (aUnixMs) {
     dropTimes_.push({ *aUnixMs, aJob });
--- a/Libraries/LibJobs/JobTable.h
+++ b/Libraries/LibJobs/JobTable.h
@@ -16,23 +16,23 @@
 
 namespace pumiceturn::jobs {
 
-/// Attempts of an online request that its owner runs itself are numbered from
-/// here, so that they are never taken for the entry's.
+/// First attempt number of online requests that the owner runs itself, so that
+/// they cannot be confused with attempts of the entry.
 constexpr std::uint16_t kFirstOwnerAttempt = 1000;
 
-/// Attempts of an item where its kind names no limit.
+/// Maximum attempts of an item whose kind sets no limit.
 constexpr std::uint32_t kDefaultMaxAttempts = 3;
 
-/// What came of a request to accept something.
+/// Answer to a submitted request or frame.
 enum class Acceptance : std::uint8_t
 {
-  Append,    ///< Append the records, then settle.
-  Wait,      ///< Another append for this job is on its way: ask again then.
-  Received,  ///< The frame's items are in the log already.
-  Running,   ///< Accepted before, no result yet.
-  Finished,  ///< Accepted before, with its result.
-  Duplicate, ///< The lot was accepted before.
-  Conflict,  ///< The key was used with other content.
+  Append,    ///< Append the records, then call SettleAccept().
+  Wait,      ///< Retry when the pending append of this job has completed.
+  Received,  ///< The frame's items are already in the log.
+  Running,   ///< Accepted earlier; no result yet.
+  Finished,  ///< Accepted earlier; a result exists.
+  Duplicate, ///< The batch job was accepted earlier.
+  Conflict,  ///< The key was used with different content.
   Invalid,   ///< Frames out of order, or more items than announced.
 };
 
@@ -42,52 +42,52 @@
   std::vector<Record> records_;
 };
 
-/// What to do with a result or the end of a run.
+/// How to handle a result or the end of a run.
 enum class EndAction : std::uint8_t
 {
-  Record,  ///< Append the record; the sender is answered when it is durable.
-  Wait,    ///< A result of this item is on its way into the log.
-  Forget,  ///< A result is final already, or the job is gone or cancelled.
-  Requeue, ///< The item waits again.
-  Refuse,  ///< Not taken: somebody else runs it.
+  Record,  ///< Append the record, and answer the sender once it is durable.
+  Wait,    ///< Retry when the pending append of this item has completed.
+  Discard, ///< A result is already recorded, or the job is gone or cancelled.
+  Requeue, ///< The item is waiting again.
+  Reject,  ///< Another sender runs the item.
 };
 
 struct EndDecision
 {
-  EndAction action_ = EndAction::Forget;
+  EndAction action_ = EndAction::Discard;
   std::optional<ItemEnded> record_;
 };
 
-/// What to do with a cancellation.
+/// How to handle a cancellation.
 enum class CancelAction : std::uint8_t
 {
-  Append, ///< Append the record.
-  Wait,   ///< Other records of the job are on their way: ask again then.
-  Over,   ///< There is no such job, or it is over.
+  Append,         ///< Append the record.
+  Wait,           ///< Retry when the pending appends of the job have completed.
+  NotCancellable, ///< There is no such job, or it is closed.
 };
 
 struct CancelDecision
 {
-  CancelAction action_ = CancelAction::Over;
+  CancelAction action_ = CancelAction::NotCancellable;
   std::optional<Record> record_;
 };
 
-/// An item taken for dispatch.
+/// An item to be dispatched.
 struct Dispatch
 {
   base::RunId run_;
-  ItemPlace place_;
-  /// Append ItemStarted and wait until it is durable before the run starts.
+  ItemLocation location_;
+  /// Whether ItemStarted must be durable before the run starts.
   bool recordStart_ = false;
 };
 
-/// What a record changed.
-struct Applied
+/// Effects of an applied record.
+struct RecordEffects
 {
   struct End
   {
     base::RunId run_;
-    bool first_ = false; ///< False: another result was recorded before.
+    bool first_ = false; ///< Whether this is the item's first result.
   };
 
   std::optional<base::JobId> accepted_;
@@ -97,44 +97,45 @@
   std::vector<base::JobId> finished_;
 };
 
-/// The jobs of one partition: a fold over the partition's log, and the
-/// decisions that lead to new records.
+/// The jobs of one partition: a state machine over the partition's log, which
+/// also decides which records are appended.
 ///
-/// Durable facts change in Apply() alone, which is called with each record in
-/// log order, live and in a replay alike. So a new owner that replays the log
-/// gives every caller the answers that the former owner gave. What is only on
-/// its way into the log is marked in memory, and a record whose append failed
-/// may still be in the log: the caller appends the same record again (results,
-/// cancellations) or the table refuses other content for the key until then
-/// (acceptances).
+/// Durable state changes only in Apply(), which is called with each record in
+/// log order, live and during replay. A new owner that replays the log thus
+/// gives every caller the same answers as the previous owner. Pending appends
+/// are marked in memory. A record whose append failed may still be in the log:
+/// the caller appends the same result or cancellation again; after a failed
+/// acceptance the table refuses different content for the key.
 ///
 /// Not thread-safe, no I/O.
 class JobTable
 {
 public:
-  /// @param aSequence Of the record, or a lower bound.
-  Applied Apply(const Record& aRecord,
-                joblog::LogPosition aPosition,
-                std::uint64_t aSequence);
-
-  /// Decides on an online request. With Append, the request is marked until
-  /// SettleAccept().
+  /// Applies a durable record.
+  /// @param aSequence Sequence number of the record, or a lower bound.
+  RecordEffects Apply(const Record& aRecord,
+                      joblog::LogPosition aPosition,
+                      std::uint64_t aSequence);
+
+  /// Decides on an online request. After Append, the job is pending until
+  /// SettleAccept() is called.
+  /// @param aMaxAttempts 0 for kDefaultMaxAttempts.
   AcceptDecision AcceptOnline(const wire::RecordRequest& aRequest,
                               std::uint32_t aMaxAttempts,
                               std::int64_t aNowUnixMs);
 
-  /// Decides on a frame of a lot; as AcceptOnline().
+  /// Decides on a frame of a batch job, as AcceptOnline() does.
   AcceptDecision AcceptFrame(const wire::SubmitFrame& aFrame,
                              std::int64_t aNowUnixMs);
 
-  /// Tells how the append of an acceptance ended, after Apply().
+  /// Reports the outcome of the append of an acceptance, after Apply().
   void SettleAccept(const base::JobId& aJob, bool aIsDurable);
 
-  /// @return whether an acceptance is on its way into the log.
+  /// @return whether an acceptance is being appended.
   [[nodiscard]] bool IsAccepting(const base::JobId& aJob) const;
 
   /// Decides on an online result reported by an entry.
-  /// @param aIsRunner Whether that entry runs the request now.
+  /// @param aIsRunner Whether that entry currently runs the request.
   EndDecision DecideResult(const base::RunId& aRun,
                            const wire::ItemResult& aResult,
                            bool aIsRunner);
@@ -142,63 +143,68 @@
   /// Decides on the end of a run at an agent.
   EndDecision DecideRunEnd(const wire::RunEnded& aEnded);
 
-  /// Ends an item without a run: its content is quarantined, or a
-  /// non-idempotent run has an unknown end.
+  /// Ends an item without a run, when its content is quarantined or the outcome
+  /// of a non-idempotent run is unknown.
   EndDecision EndItem(const base::RunId& aRun, const wire::ItemResult& aResult);
 
-  /// Decides on a cancellation. With Wait, results are on their way into the
-  /// log: ask again when they have settled; meanwhile nothing starts.
+  /// Decides on a cancellation. After Wait, results are being appended: call
+  /// this again when they are durable. No item starts in the meantime.
   CancelDecision Cancel(const base::JobId& aJob, std::int64_t aNowUnixMs);
 
-  /// Takes the next waiting item of a job for dispatch.
+  /// Marks the next waiting item of a job as running.
+  /// @return the item; nothing when none waits.
   std::optional<Dispatch> TakeItem(const base::JobId& aJob);
 
-  /// After a takeover, lets a lot go on behind the items that the former owner
-  /// may have given out: items go out in order, so those run just behind the
-  /// last one that is known to have ended.
-  /// @param aInFlight Most items that a former owner has out.
-  /// @return waiting items behind them; 0 where the lot is too short.
+  /// After a takeover, continues dispatch behind the items that the previous
+  /// owner may have dispatched. Items are dispatched in order, so those
+  /// directly follow the last item that is known to have started or ended.
+  /// @param aInFlight Maximum number of items that an owner has in flight.
+  /// @return the number of items behind them; 0 when there are none.
   std::uint32_t SkipInFlight(const base::JobId& aJob, std::uint32_t aInFlight);
 
-  /// Lets a running item wait again, without counting an attempt.
-  /// @return false where it does not run under this attempt.
+  /// Returns a running item to the queue without counting a failed attempt.
+  /// @return false when the item is not running under this attempt.
   bool Requeue(const base::RunId& aRun);
 
-  /// Makes an online request that nobody runs any more wait for its owner.
-  /// @return false where it is not running.
-  bool Orphan(const base::JobId& aJob);
+  /// Returns an online request whose runner is lost to the queue, for the owner
+  /// to run it.
+  /// @return false when the request is not running.
+  bool MarkOrphaned(const base::JobId& aJob);
 
-  /// @return whether a run may still be started.
+  /// @return whether the item is running under this attempt and its job is not
+  /// being cancelled.
   [[nodiscard]] bool IsRunning(const base::RunId& aRun) const;
 
-  /// @return the job, or null; also for another partner's job.
+  /// @return the job, or null. With a partner, also null for a job of another
+  /// partner.
   [[nodiscard]] const Job* Find(const base::JobId& aJob) const;
   [[nodiscard]] const Job* Find(const base::JobId& aJob,
                                 std::string_view aPartner) const;
 
-  /// @return a finished online request, or null. Find() knows it no longer.
+  /// @return a finished online request, or null. Find() does not return these.
   [[nodiscard]] const FinishedRequest* FindFinished(
     const base::JobId& aJob) const;
 
-  /// @return whether the job's results were kept for their time and dropped.
+  /// @return whether the job was recently dropped after its retention time.
   [[nodiscard]] bool IsExpired(const base::JobId& aJob) const;
 
-  /// Counts and state; NotFound or Expired where there is no such job.
+  /// @return counts and state; NotFound or Expired when there is no such job.
   [[nodiscard]] wire::JobStatusReply Status(const base::JobId& aJob,
                                             std::string_view aPartner) const;
 
-  /// @return runs of non-idempotent items that a former owner started.
+  /// @return runs of non-idempotent items that a previous owner started.
   [[nodiscard]] std::vector<base::RunId> UncertainRuns() const;
 
-  /// Calls a function with each accepted job that is not over.
+  /// Calls a function with each accepted job that is not closed.
   void ForEachUnfinished(const std::function<void(const Job&)>& aVisit) const;
 
-  /// Drops jobs whose retention time has passed, and lots that were abandoned
-  /// halfway.
-  /// @return how many.
+  /// Drops jobs whose retention time has passed, and batch jobs whose
+  /// submission was abandoned.
+  /// @return the number of dropped jobs.
   std::size_t Expire(std::int64_t aNowUnixMs);
 
-  /// @return the lowest sequence that a kept job needs, or nothing.
+  /// @return the lowest sequence number that a job still needs; nothing when
+  /// there are no jobs.
   [[nodiscard]] std::optional<std::uint64_t> FirstNeededSequence();
 
   [[nodiscard]] std::size_t JobCount() const
@@ -211,7 +217,8 @@
   {
     std::uint64_t digest_ = 0;
     bool completesJob_ = false;
-    bool failed_ = false; ///< The append failed; it may be in the log.
+    /// Whether the append failed. The records may still be in the log.
+    bool failed_ = false;
   };
 
   struct Applier;
@@ -231,13 +238,14 @@
   static std::optional<std::uint32_t> NextWaiting(Job& aJob);
   static std::optional<std::uint32_t> SearchWaiting(Job& aJob,
                                                     std::uint32_t aEnd);
-  void Remember(const base::JobId& aExpired);
-  void DropAt(const base::JobId& aJob, std::optional<std::int64_t> aUnixMs);
+  void RememberExpired(const base::JobId& aExpired);
+  void ScheduleDrop(const base::JobId& aJob,
+                    std::optional<std::int64_t> aUnixMs);
   [[nodiscard]] std::optional<std::int64_t> DropTimeOf(
     const base::JobId& aJob) const;
   [[nodiscard]] std::optional<std::uint64_t> FirstSequenceOf(
     const base::JobId& aJob) const;
-  void Shrink(const base::JobId& aJob, bool aIsOk);
+  void CompactFinished(const base::JobId& aJob, bool aIsOk);
   static wire::JobStatusReply StatusOf(const base::JobId& aJob,
                                        const FinishedRequest& aRequest);
   void Close(Job& aJob, Job::Phase aPhase, std::int64_t aUnixMs);
@@ -263,14 +271,15 @@
   std::unordered_map<base::JobId, Job> jobs_;
   std::unordered_map<base::JobId, FinishedRequest> finished_;
   std::unordered_map<base::JobId, Pending> pending_;
-  /// When jobs that are over, and lots not accepted yet, are dropped; earliest
-  /// first. An entry that its job no longer agrees with is void.
+  /// When closed jobs, and batch jobs that are not accepted yet, are dropped;
+  /// earliest first. An entry that differs from its job's drop time is stale.
   std::priority_queue<DropTime, std::vector<DropTime>, std::greater<>>
     dropTimes_;
-  /// In log order; void as above.
+  /// In log order. An entry that differs from its job's first sequence is
+  /// stale.
   std::deque<FirstSequence> firstSequences_;
-  /// Jobs dropped lately, so that their callers hear Expired. Best effort: a
-  /// new owner says NotFound.
+  /// Recently dropped jobs, which are answered with Expired. Best effort: a new
+  /// owner answers NotFound.
   std::unordered_set<base::JobId> expired_;
   std::deque<base::JobId> expiredOrder_;
 };
--- a/Libraries/LibJobs/LaxityQueue.cpp
+++ b/Libraries/LibJobs/LaxityQueue.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr double kSmoothing = 0.1;
-constexpr double kLeastServiceMs = 0.1;
+constexpr double kSmoothingFactor = 0.1;
+constexpr double kMinServiceTimeMs = 0.1;
 constexpr double kMicrosecondsPerMs = 1000.0;
 
-/// Keys are made again once the measured rate differs by this factor: a rebuild
-/// visits every job, and a small difference seldom changes the order.
+/// The order is rebuilt when the measured time per item differs by this factor.
+/// A rebuild visits every job, and a small difference rarely changes the order.
 constexpr double kRebuildDrift = 1.5;
 
-/// Jobs visited by a rebuild for each pick since the last one, at most; keeps
-/// the cost of a pick bounded when the rate swings.
-constexpr std::uint64_t kRebuildJobsPerPick = 4;
+/// Maximum number of jobs that a rebuild visits per item removed since the last
+/// rebuild. Bounds the amortised cost when the time per item fluctuates.
+constexpr std::uint64_t kMaxRebuiltJobsPerPop = 4;
 
-/// Picks that urgent jobs may save up for a burst.
-constexpr double kMostUrgentCredit = 8.0;
+/// Maximum number of selections that urgent jobs may accumulate for a burst.
+constexpr double kMaxUrgentCredit = 8.0;
 
 } // namespace
 
@@ -56,7 +56,7 @@
     entry.latestStart_ = LatestStartOf(entry);
   }
   waiting_ += aItems;
-  Update(aJob, entry, entry.items_ + aItems);
+  SetItemCount(aJob, entry, entry.items_ + aItems);
 }
 
 void
@@ -67,66 +67,66 @@
     return;
   }
   waiting_ -= found->second.items_;
-  Update(aJob, found->second, 0);
+  SetItemCount(aJob, found->second, 0);
 }
 
-std::optional<Pick>
-LaxityQueue::Take(std::int64_t aNowUnixMs)
+std::optional<Selection>
+LaxityQueue::Pop(std::int64_t aNowUnixMs)
 {
-  if (byService_.empty()) {
+  if (partnersByService_.empty()) {
     return std::nullopt;
   }
   RebuildIfDrifted();
-  const std::size_t partners = byService_.size();
+  const std::size_t partners = partnersByService_.size();
   std::uint32_t index = 0;
-  const PickReason reason = Choose(aNowUnixMs, index);
+  const SelectionReason reason = SelectPartner(aNowUnixMs, index);
   Partner& partner = partners_[index];
   const base::JobId job = partner.jobs_.begin()->second;
   Entry& entry = entries_.at(job);
-  const Pick pick{ job,          partner.name_,
-                   reason,       entry.latestStart_ - aNowUnixMs,
-                   entry.items_, partners };
-  if (reason == PickReason::Share) {
-    virtualTime_ = std::max(virtualTime_, partner.served_);
+  const Selection selection{ job,          partner.name_,
+                             reason,       entry.latestStart_ - aNowUnixMs,
+                             entry.items_, partners };
+  if (reason == SelectionReason::Share) {
+    virtualTime_ = std::max(virtualTime_, partner.normalisedService_);
   }
-  Unlink(index);
-  partner.served_ += serviceMs_ / partner.weight_;
-  Link(index);
+  UnindexPartner(index);
+  partner.normalisedService_ += serviceMs_ / partner.weight_;
+  IndexPartner(index);
   --waiting_;
-  ++takenSinceRebuild_;
-  Update(job, entry, entry.items_ - 1);
-  return pick;
+  ++poppedSinceRebuild_;
+  SetItemCount(job, entry, entry.items_ - 1);
+  return selection;
 }
 
-PickReason
-LaxityQueue::Choose(std::int64_t aNowUnixMs, std::uint32_t& aPartner)
+SelectionReason
+LaxityQueue::SelectPartner(std::int64_t aNowUnixMs, std::uint32_t& aPartner)
 {
-  aPartner = byService_.begin()->second;
-  const auto& [latestStart, urgent] = *byUrgency_.begin();
+  aPartner = partnersByService_.begin()->second;
+  const auto& [latestStart, urgent] = *partnersByUrgency_.begin();
   const bool isUrgent = latestStart - aNowUnixMs < options_.urgentLaxityMs_;
   urgentCredit_ =
-    std::min(urgentCredit_ + options_.urgentShare_, kMostUrgentCredit);
+    std::min(urgentCredit_ + options_.urgentShare_, kMaxUrgentCredit);
   if (!isUrgent || urgent == aPartner || urgentCredit_ < 1.0) {
-    return PickReason::Share;
+    return SelectionReason::Share;
   }
   urgentCredit_ -= 1.0;
   aPartner = urgent;
-  return PickReason::Urgent;
+  return SelectionReason::Urgent;
 }
 
 void
 LaxityQueue::RecordServiceTime(base::Duration aTime)
 {
   const double measured = std::max(
-    static_cast<double>(aTime.count()) / kMicrosecondsPerMs, kLeastServiceMs);
-  serviceMs_ += kSmoothing * (measured - serviceMs_);
+    static_cast<double>(aTime.count()) / kMicrosecondsPerMs, kMinServiceTimeMs);
+  serviceMs_ += kSmoothingFactor * (measured - serviceMs_);
 }
 
 void
-LaxityQueue::SetParallelism(std::uint32_t aRunning)
+LaxityQueue::RecordParallelism(std::uint32_t aRunning)
 {
   const double measured = std::max<double>(aRunning, 1.0);
-  parallelism_ += kSmoothing * (measured - parallelism_);
+  parallelism_ += kSmoothingFactor * (measured - parallelism_);
 }
 
 std::uint32_t
@@ -137,18 +137,18 @@
 }
 
 std::optional<std::int64_t>
-LaxityQueue::LeastLaxityMs(std::int64_t aNowUnixMs) const
+LaxityQueue::MinLaxityMs(std::int64_t aNowUnixMs) const
 {
-  if (byUrgency_.empty()) {
+  if (partnersByUrgency_.empty()) {
     return std::nullopt;
   }
-  return byUrgency_.begin()->first - aNowUnixMs;
+  return partnersByUrgency_.begin()->first - aNowUnixMs;
 }
 
 std::int64_t
 LaxityQueue::WorkMs(double aItems) const
 {
-  // No item is done sooner than one service time, however many run at once.
+  // Even with many concurrent runs, an item takes at least one service time.
   const double shared = aItems * serviceMs_ / parallelism_;
   return static_cast<std::int64_t>(std::max(shared, serviceMs_));
 }
@@ -157,7 +157,7 @@
 LaxityQueue::ShareOf(std::uint32_t aPartner) const
 {
   double weights = 0.0;
-  for (const auto& [served, index] : byService_) {
+  for (const auto& [served, index] : partnersByService_) {
     weights += partners_[index].weight_;
   }
   return weights == 0.0 ? 1.0 : partners_[aPartner].weight_ / weights;
@@ -204,35 +204,35 @@
 }
 
 void
-LaxityQueue::Link(std::uint32_t aPartner)
+LaxityQueue::IndexPartner(std::uint32_t aPartner)
 {
   const Partner& partner = partners_[aPartner];
   if (partner.jobs_.empty()) {
     return;
   }
-  byService_.insert({ partner.served_, aPartner });
-  byUrgency_.insert({ partner.jobs_.begin()->first, aPartner });
+  partnersByService_.insert({ partner.normalisedService_, aPartner });
+  partnersByUrgency_.insert({ partner.jobs_.begin()->first, aPartner });
 }
 
 void
-LaxityQueue::Unlink(std::uint32_t aPartner)
+LaxityQueue::UnindexPartner(std::uint32_t aPartner)
 {
   const Partner& partner = partners_[aPartner];
   if (partner.jobs_.empty()) {
     return;
   }
-  byService_.erase({ partner.served_, aPartner });
-  byUrgency_.erase({ partner.jobs_.begin()->first, aPartner });
+  partnersByService_.erase({ partner.normalisedService_, aPartner });
+  partnersByUrgency_.erase({ partner.jobs_.begin()->first, aPartner });
 }
 
 void
-LaxityQueue::Update(const base::JobId& aJob,
-                    Entry& aEntry,
-                    std::uint32_t aItems)
+LaxityQueue::SetItemCount(const base::JobId& aJob,
+                          Entry& aEntry,
+                          std::uint32_t aItems)
 {
   const std::uint32_t index = aEntry.partner_;
   Partner& partner = partners_[index];
-  Unlink(index);
+  UnindexPartner(index);
   const bool wasIdle = partner.jobs_.empty();
   partner.jobs_.erase({ aEntry.latestStart_, aJob });
   aEntry.items_ = aItems;
@@ -243,11 +243,12 @@
     partner.jobs_.insert({ aEntry.latestStart_, aJob });
   }
   if (wasIdle) {
-    // Time without work earns nothing: a partner that comes back does not shut
-    // out the others until it has caught up.
-    partner.served_ = std::max(partner.served_, virtualTime_);
+    // An idle partner accumulates no share. Otherwise it would block the others
+    // until it had caught up.
+    partner.normalisedService_ =
+      std::max(partner.normalisedService_, virtualTime_);
   }
-  Link(index);
+  IndexPartner(index);
 }
 
 void
@@ -257,7 +258,7 @@
   const bool hasDrifted =
     now > keyMsPerItem_ * kRebuildDrift || now * kRebuildDrift < keyMsPerItem_;
   if (hasDrifted &&
-      takenSinceRebuild_ * kRebuildJobsPerPick >= entries_.size()) {
+      poppedSinceRebuild_ * kMaxRebuiltJobsPerPop >= entries_.size()) {
     Rebuild();
   }
 }
@@ -266,9 +267,9 @@
 LaxityQueue::Rebuild()
 {
   keyMsPerItem_ = serviceMs_ / parallelism_;
-  takenSinceRebuild_ = 0;
-  byService_.clear();
-  byUrgency_.clear();
+  poppedSinceRebuild_ = 0;
+  partnersByService_.clear();
+  partnersByUrgency_.clear();
   for (Partner& partner : partners_) {
     partner.jobs_.clear();
   }
@@ -277,7 +278,7 @@
     partners_[entry.partner_].jobs_.insert({ entry.latestStart_, job });
   }
   for (std::uint32_t index = 0; index < partners_.size(); ++index) {
-    Link(index);
+    IndexPartner(index);
   }
 }
 
--- a/Libraries/LibJobs/RecordCodec.cpp
+++ b/Libraries/LibJobs/RecordCodec.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// A record may hold a frame of several megabytes; the limit only guards
-/// against a corrupt message that would be walked for ever.
+/// Bounds the traversal of a corrupt message. A valid record may hold several
+/// megabytes.
 constexpr std::uint64_t kTraversalLimitWords = 64U << 20U;
 
 std::string
@@ -121,7 +121,7 @@
 }
 
 wire::ItemResult
-ReadResult(schema::ItemResult::Reader aReader, Payloads aPayloads)
+ReadResult(schema::ItemResult::Reader aReader, PayloadMode aPayloadMode)
 {
   wire::ItemResult result;
   result.position_ = aReader.getPosition();
@@ -129,7 +129,7 @@
   result.code_ = static_cast<base::ResultCode>(aReader.getCode());
   result.ran_ = static_cast<base::Ran>(aReader.getRan());
   result.tokens_ = aReader.getTokens();
-  if (aPayloads == Payloads::Read) {
+  if (aPayloadMode == PayloadMode::Read) {
     result.name_ = ToText(aReader.getName());
     result.text_ = ToBytes(aReader.getText());
     result.detail_ = ToText(aReader.getDetail());
@@ -137,7 +137,7 @@
   return result;
 }
 
-/// Fills the union of a record from the plain form.
+/// Writes a record body to the union of the Cap'n Proto record.
 struct BodyWriter
 {
   schema::Record::Builder record_;
@@ -195,13 +195,14 @@
 };
 
 ItemsAccepted
-ReadItemsAccepted(schema::ItemsAccepted::Reader aReader, Payloads aPayloads)
+ReadItemsAccepted(schema::ItemsAccepted::Reader aReader,
+                  PayloadMode aPayloadMode)
 {
   ItemsAccepted accepted;
   accepted.job_ = ReadId(aReader.getJob());
   accepted.firstItem_ = aReader.getFirstItem();
   accepted.items_.resize(aReader.getItems().size());
-  if (aPayloads == Payloads::Skip) {
+  if (aPayloadMode == PayloadMode::Skip) {
     return accepted;
   }
   std::size_t index = 0;
@@ -215,29 +216,29 @@
 
 ItemsEnded
 ReadItemsEnded(capnp::List<schema::ItemEnded>::Reader aReader,
-               Payloads aPayloads)
+               PayloadMode aPayloadMode)
 {
   ItemsEnded ended;
   ended.ended_.reserve(aReader.size());
   for (auto item : aReader) {
     ended.ended_.push_back(
-      { ReadRun(item.getRun()), ReadResult(item.getResult(), aPayloads) });
+      { ReadRun(item.getRun()), ReadResult(item.getResult(), aPayloadMode) });
   }
   return ended;
 }
 
 base::Result<RecordBody>
-ReadBody(schema::Record::Reader aRecord, Payloads aPayloads)
+ReadBody(schema::Record::Reader aRecord, PayloadMode aPayloadMode)
 {
   switch (aRecord.which()) {
     case schema::Record::JOB_OPENED:
       return JobOpened{ ReadDescription(aRecord.getJobOpened()) };
     case schema::Record::ITEMS_ACCEPTED:
-      return ReadItemsAccepted(aRecord.getItemsAccepted(), aPayloads);
+      return ReadItemsAccepted(aRecord.getItemsAccepted(), aPayloadMode);
     case schema::Record::JOB_ACCEPTED:
       return JobAccepted{ ReadId(aRecord.getJobAccepted()) };
     case schema::Record::ITEMS_ENDED:
-      return ReadItemsEnded(aRecord.getItemsEnded(), aPayloads);
+      return ReadItemsEnded(aRecord.getItemsEnded(), aPayloadMode);
     case schema::Record::ITEM_STARTED:
       return ItemStarted{ ReadRun(aRecord.getItemStarted().getRun()),
                           ToText(aRecord.getItemStarted().getEndpoint()) };
@@ -247,12 +248,12 @@
       return EpochStarted{ aRecord.getEpochStarted().getEpoch(),
                            ToText(aRecord.getEpochStarted().getOwner()) };
   }
-  return base::Fail(base::ResultCode::CorruptRecord, "unknown kind of record");
+  return base::Fail(base::ResultCode::CorruptRecord, "unknown record type");
 }
 
-/// Runs a function on the record in some bytes. A damaged message shows as an
-/// exception of the Cap'n Proto library; it becomes CorruptRecord here, so that
-/// one bad record cannot end the process.
+/// Calls a function with the reader of an encoded record. Cap'n Proto throws an
+/// exception on a corrupt message; it is returned as CorruptRecord, so that a
+/// corrupt record does not terminate the process.
 template<typename Function>
 auto
 WithRecord(std::string_view aBytes, Function aFunction)
@@ -260,9 +261,10 @@
 {
   const std::size_t words = aBytes.size() / sizeof(capnp::word);
   if (words == 0 || aBytes.size() % sizeof(capnp::word) != 0) {
-    return base::Fail(base::ResultCode::CorruptRecord, "not whole words");
+    return base::Fail(base::ResultCode::CorruptRecord,
+                      "the record is not a whole number of words");
   }
-  // The bytes may lie at any address; the reader wants whole words.
+  // The reader needs word-aligned memory.
   auto aligned = kj::heapArray<capnp::word>(words);
   std::memcpy(aligned.begin(), aBytes.data(), aBytes.size());
   try {
@@ -291,12 +293,12 @@
 }
 
 base::Result<Record>
-DecodeRecord(std::string_view aBytes, Payloads aPayloads)
+DecodeRecord(std::string_view aBytes, PayloadMode aPayloadMode)
 {
   return WithRecord(
     aBytes,
-    [aPayloads](schema::Record::Reader aRecord) -> base::Result<Record> {
-      BOOST_LEAF_AUTO(body, ReadBody(aRecord, aPayloads));
+    [aPayloadMode](schema::Record::Reader aRecord) -> base::Result<Record> {
+      BOOST_LEAF_AUTO(body, ReadBody(aRecord, aPayloadMode));
       return Record{ aRecord.getWallUnixMs(), std::move(body) };
     });
 }
@@ -309,7 +311,8 @@
     [aIndex](schema::Record::Reader aRecord) -> base::Result<wire::JobItem> {
       if (!aRecord.isItemsAccepted() ||
           aIndex >= aRecord.getItemsAccepted().getItems().size()) {
-        return base::Fail(base::ResultCode::CorruptRecord, "no such item");
+        return base::Fail(base::ResultCode::CorruptRecord,
+                          "the record has no item with this index");
       }
       const auto item = aRecord.getItemsAccepted().getItems()[aIndex];
       return wire::JobItem{ ToText(item.getName()),
@@ -324,11 +327,12 @@
     aBytes,
     [aIndex](schema::Record::Reader aRecord) -> base::Result<ItemEnded> {
       if (!aRecord.isItemsEnded() || aIndex >= aRecord.getItemsEnded().size()) {
-        return base::Fail(base::ResultCode::CorruptRecord, "no such result");
+        return base::Fail(base::ResultCode::CorruptRecord,
+                          "the record has no result with this index");
       }
       const auto ended = aRecord.getItemsEnded()[aIndex];
       return ItemEnded{ ReadRun(ended.getRun()),
-                        ReadResult(ended.getResult(), Payloads::Read) };
+                        ReadResult(ended.getResult(), PayloadMode::Read) };
     });
 }
 
--- a/Libraries/LibJobs/RecordCodec.h
+++ b/Libraries/LibJobs/RecordCodec.h
@@ -9,30 +9,33 @@
 
 namespace pumiceturn::jobs {
 
-/// Whether payloads and answers are copied out of a record. A replay needs
-/// only how many there are.
-enum class Payloads : std::uint8_t
+/// Whether names, payloads and texts are copied out of a record. A replay needs
+/// only their number.
+enum class PayloadMode : std::uint8_t
 {
   Read,
   Skip,
 };
 
-/// @return the record as stored in the log.
+/// @return the record as it is stored in the log.
 std::string
 EncodeRecord(const Record& aRecord);
 
-/// @param aPayloads With Skip, names, payloads and texts stay empty.
-/// @return CorruptRecord when the bytes are no record.
+/// Decodes a record.
+/// @param aPayloadMode With Skip, names, payloads and texts stay empty.
+/// @return the record, or CorruptRecord when the bytes are not a valid record.
 base::Result<Record>
-DecodeRecord(std::string_view aBytes, Payloads aPayloads = Payloads::Read);
+DecodeRecord(std::string_view aBytes,
+             PayloadMode aPayloadMode = PayloadMode::Read);
 
-/// Reads one item of an ItemsAccepted record and copies no other.
+/// Reads one item of an ItemsAccepted record without copying the others.
 /// @param aIndex Index in the record, from 0.
-/// @return CorruptRecord for another kind of record or an index outside it.
+/// @return the item, or CorruptRecord for another kind of record or an index
+/// out of range.
 base::Result<wire::JobItem>
 ReadItem(std::string_view aBytes, std::uint32_t aIndex);
 
-/// Reads one result of an ItemsEnded record; as ReadItem().
+/// Reads one result of an ItemsEnded record, as ReadItem() does.
 base::Result<ItemEnded>
 ReadEnded(std::string_view aBytes, std::uint32_t aIndex);
 
--- a/Libraries/LibJobs/Records.h
+++ b/Libraries/LibJobs/Records.h
@@ -7,10 +7,11 @@
 #include <variant>
 #include <vector>
 
-/// Plain forms of the log records in Schema/JobLog.capnp.
+/// C++ structs of the log records in Schema/JobLog.capnp.
 namespace pumiceturn::jobs {
 
-/// A lot's or request's description; its items follow. Not accepted yet.
+/// Description of a batch job or online request that is not accepted yet. Its
+/// items follow in ItemsAccepted records.
 struct JobOpened
 {
   wire::JobDescription job_;
@@ -27,7 +28,7 @@
   bool operator==(const ItemsAccepted&) const = default;
 };
 
-/// All items are in the log: from here on the job is accepted.
+/// All items are in the log and the job is accepted.
 struct JobAccepted
 {
   base::JobId job_;
@@ -50,8 +51,9 @@
   bool operator==(const ItemsEnded&) const = default;
 };
 
-/// Written before the first dispatch of a non-idempotent item, and before each
-/// rerun, so that attempts stay bounded across a takeover.
+/// Appended before the first dispatch of a non-idempotent item, and before a
+/// rerun after a failed attempt, so that the attempt limit holds across a
+/// takeover.
 struct ItemStarted
 {
   base::RunId run_;
@@ -83,7 +85,7 @@
                                 JobCancelled,
                                 EpochStarted>;
 
-/// One fact of a partition's log.
+/// One record of a partition's log.
 struct Record
 {
   std::int64_t wallUnixMs_ = 0;
--- a/Libraries/LibKeeper/JobService.cpp
+++ b/Libraries/LibKeeper/JobService.cpp
@@ -9,8 +9,7 @@
 
 namespace pumiceturn::keeper {
 
-/// Calls the Handle() that fits a message; the other messages are not for the
-/// keeper.
+/// Calls the Handle() overload for a message. Other message types are ignored.
 struct JobService::MessageVisitor
 {
   JobService& service_;
@@ -49,9 +48,9 @@
 }
 
 void
-JobService::Leave(Lock aLock)
+JobService::UnlockAndDrain(Lock aLock)
 {
-  TellDemand(scheduler_.UrgentDemand(ports_.wallUnixMs_()));
+  SendDemand(scheduler_.CollectFirstDemand(ports_.wallUnixMs_()));
   aLock.unlock();
   outbox_.Drain();
 }
@@ -62,7 +61,7 @@
 {
   Lock lock(mutex_);
   scheduler_.SetAgents(aService, aAgents);
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 bool
@@ -77,7 +76,7 @@
 {
   Lock lock(mutex_);
   Handle(aPeer, aMessage);
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 void
@@ -92,30 +91,30 @@
   Lock lock(mutex_);
   switch (aState) {
     case wire::LinkState::Lost:
-      scheduler_.LinkLost(aPeer);
+      scheduler_.OnLinkLost(aPeer);
       lostPeers_.try_emplace(aPeer, ports_.now_());
       break;
     case wire::LinkState::Replaced:
-      // Another process answers under this name: it knows nothing of what the
-      // former one ran.
+      // Another process uses this name now and does not know the runs of the
+      // previous one.
       lostPeers_.erase(aPeer);
-      EndRunsAt(aPeer, Runs::All);
+      EndRunsOfAgent(aPeer, RunsToEnd::All);
       OrphanRequestsOf(aPeer);
       [[fallthrough]];
     case wire::LinkState::Up:
       lostPeers_.erase(aPeer);
-      scheduler_.LinkUp(aPeer);
-      for (const base::RunId& run : scheduler_.RunsAt(aPeer)) {
-        // Its end may have been lost with the old connection. An agent that
-        // does not know the run says so.
+      scheduler_.OnLinkUp(aPeer);
+      for (const base::RunId& run : scheduler_.RunsOnAgent(aPeer)) {
+        // The report of its end may have been lost with the old connection. An
+        // agent that does not know the run reports it as lost.
         if (scheduler_.FindRun(run)->sent_) {
           Send(aPeer, wire::AttachRun{ run, 0 });
         }
       }
-      TellDemand(scheduler_.DemandFor(aPeer, ports_.wallUnixMs_()));
+      SendDemand(scheduler_.DemandForAgent(aPeer, ports_.wallUnixMs_()));
       break;
   }
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 void
@@ -127,7 +126,7 @@
   partition.epoch_ = aEpoch;
   base::Log(kRecoveringJobs,
             { { "partition", aPartition }, { "epoch", aEpoch } });
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 void
@@ -137,7 +136,7 @@
                      std::string_view aRecord)
 {
   auto record = base::Capture(
-    [&] { return jobs::DecodeRecord(aRecord, jobs::Payloads::Skip); });
+    [&] { return jobs::DecodeRecord(aRecord, jobs::PayloadMode::Skip); });
   const Lock lock(mutex_);
   const auto found = partitions_.find(aPartition);
   if (found == partitions_.end()) {
@@ -164,39 +163,41 @@
   if (partition == nullptr) {
     return;
   }
-  const bool hasWork = ResumeLots(*partition);
+  const bool hasWork = ResumeBatchJobs(*partition);
   partition->phase_ = OwnedPartition::Phase::Settling;
-  partition->settlesAt_ = ports_.now_();
+  partition->settlingEndsAt_ = ports_.now_();
   if (hasWork) {
-    partition->settlesAt_ += options_.settleTime_;
+    partition->settlingEndsAt_ += options_.settlingTime_;
   } else {
     BeginServing(aPartition, *partition);
   }
-  for (HeldMessage& held : std::exchange(partition->heldUntilOwned_, {})) {
-    Handle(held.peer_, held.message_);
+  for (DeferredMessage& deferred :
+       std::exchange(partition->deferredUntilOwned_, {})) {
+    Handle(deferred.peer_, deferred.message_);
   }
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 bool
-JobService::ResumeLots(OwnedPartition& aPartition)
+JobService::ResumeBatchJobs(OwnedPartition& aPartition)
 {
-  std::vector<base::JobId> lots;
+  std::vector<base::JobId> batchJobs;
   aPartition.table_.ForEachUnfinished([&](const jobs::Job& aJob) {
     if (aJob.description_.online_) {
       aPartition.online_.try_emplace(aJob.description_.id_);
     } else {
-      lots.push_back(aJob.description_.id_);
+      batchJobs.push_back(aJob.description_.id_);
     }
   });
-  // What the former owner had out is likely to be reported yet; the rest of a
-  // long lot need not wait for that.
-  for (const base::JobId& lot : lots) {
+  // Agents are likely to report the items that the previous owner had in
+  // flight. The other items of a long job are dispatched without waiting for
+  // that.
+  for (const base::JobId& job : batchJobs) {
     const std::uint32_t items =
-      aPartition.table_.SkipInFlight(lot, options_.inFlightAtTakeover_);
-    AddWaiting(*aPartition.table_.Find(lot), items);
+      aPartition.table_.SkipInFlight(job, options_.maxInFlightAtTakeover_);
+    AddWaiting(*aPartition.table_.Find(job), items);
   }
-  return !lots.empty() || !aPartition.online_.empty();
+  return !batchJobs.empty() || !aPartition.online_.empty();
 }
 
 void
@@ -214,36 +215,36 @@
     orphans_.erase(aJob.description_.id_);
   });
   const std::uint32_t count = ports_.partitionCount_();
-  // The runs go on at their agents; what they report is forwarded to the new
+  // The runs continue at their agents, whose reports are forwarded to the new
   // owner.
   for (const base::RunId& run :
-       scheduler_.RunsWhere([&](const base::RunId& aRun) {
+       scheduler_.FindRuns([&](const base::RunId& aRun) {
          return count != 0 && base::PartitionOf(aRun.job_, count) == aPartition;
        })) {
-    scheduler_.EndRun(run, {});
+    scheduler_.RemoveRun(run, {});
   }
   wire::RecordReply moved;
   moved.code_ = base::ResultCode::NotOwner;
   for (const auto& [job, run] : partition.online_) {
-    for (const Asker& asker : run.waiters_) {
-      moved.call_ = asker.call_;
-      Send(asker.peer_, moved);
+    for (const Requester& requester : run.waiters_) {
+      moved.call_ = requester.call_;
+      Send(requester.peer_, moved);
     }
   }
   for (const RetriedAppend& retry : partition.retries_) {
-    retry.settled_(base::ResultCode::NotOwner, {});
+    retry.callback_(base::ResultCode::NotOwner, {});
   }
-  for (const WaitingEnd& end : partition.ends_) {
-    NotifyMoved(aPartition, end);
+  for (const PendingResult& pending : partition.pendingResults_) {
+    NotifyNotOwner(aPartition, pending);
   }
-  for (auto& [job, messages] : partition.held_) {
-    for (const HeldMessage& held : messages) {
-      Handle(held.peer_, held.message_);
+  for (auto& [job, messages] : partition.deferred_) {
+    for (const DeferredMessage& deferred : messages) {
+      Handle(deferred.peer_, deferred.message_);
     }
   }
   base::Log(kReleasedJobs,
             { { "partition", aPartition }, { "epoch", partition.epoch_ } });
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 void
@@ -268,13 +269,13 @@
     OrphanRequest(route, job);
   }
   for (const base::RunId& run : aPartition.table_.UncertainRuns()) {
-    // A former owner started it and its end is not in the log. It may have run,
-    // so it is not run again.
+    // A previous owner started the run and its end is not in the log. It may
+    // have run, so it is not run again.
     EndWithoutRun(route,
                   run,
                   base::ResultCode::OutcomeUnknown,
                   base::Ran::Unknown,
-                  "started by a former owner");
+                  "started by a previous owner");
   }
   base::Log(kServingJobs,
             { { "partition", aIndex },
@@ -321,25 +322,25 @@
 }
 
 void
-JobService::Hold(OwnedPartition& aPartition,
-                 const base::JobId& aJob,
-                 const std::string& aPeer,
-                 wire::Message aMessage)
+JobService::Defer(OwnedPartition& aPartition,
+                  const base::JobId& aJob,
+                  const std::string& aPeer,
+                  wire::Message aMessage)
 {
-  aPartition.held_[aJob].push_back({ aPeer, std::move(aMessage) });
+  aPartition.deferred_[aJob].push_back({ aPeer, std::move(aMessage) });
 }
 
 void
-JobService::ReleaseHeld(OwnedPartition& aPartition, const base::JobId& aJob)
+JobService::HandleDeferred(OwnedPartition& aPartition, const base::JobId& aJob)
 {
-  const auto found = aPartition.held_.find(aJob);
-  if (found == aPartition.held_.end()) {
+  const auto found = aPartition.deferred_.find(aJob);
+  if (found == aPartition.deferred_.end()) {
     return;
   }
-  const std::vector<HeldMessage> messages = std::move(found->second);
-  aPartition.held_.erase(found);
-  for (const HeldMessage& held : messages) {
-    Handle(held.peer_, held.message_);
+  const std::vector<DeferredMessage> messages = std::move(found->second);
+  aPartition.deferred_.erase(found);
+  for (const DeferredMessage& deferred : messages) {
+    Handle(deferred.peer_, deferred.message_);
   }
 }
 
@@ -347,7 +348,7 @@
 JobService::Append(std::uint32_t aPartition,
                    std::vector<jobs::Record> aRecords,
                    OnFailure aOnFailure,
-                   Settled aSettled)
+                   AppendCallback aCallback)
 {
   ++appendsInFlight_;
   auto records =
@@ -359,23 +360,27 @@
                epoch,
                records,
                aOnFailure,
-               settled = std::move(aSettled)] {
+               callback = std::move(aCallback)] {
     std::vector<std::string> encoded;
     encoded.reserve(records->size());
     for (const jobs::Record& record : *records) {
       encoded.push_back(jobs::EncodeRecord(record));
     }
-    ports_.append_(
-      aPartition,
-      std::move(encoded),
-      [self, aPartition, epoch, records, aOnFailure, settled](
-        base::ResultCode aCode,
-        std::span<const joblog::LogPosition> aPositions) {
-        if (const auto service = self.lock()) {
-          service->OnAppended(
-            aPartition, epoch, records, aOnFailure, settled, aCode, aPositions);
-        }
-      });
+    ports_.append_(aPartition,
+                   std::move(encoded),
+                   [self, aPartition, epoch, records, aOnFailure, callback](
+                     base::ResultCode aCode,
+                     std::span<const joblog::LogPosition> aPositions) {
+                     if (const auto service = self.lock()) {
+                       service->OnAppended(aPartition,
+                                           epoch,
+                                           records,
+                                           aOnFailure,
+                                           callback,
+                                           aCode,
+                                           aPositions);
+                     }
+                   });
   });
 }
 
@@ -385,7 +390,7 @@
   std::uint64_t aEpoch,
   const std::shared_ptr<std::vector<jobs::Record>>& aRecords,
   OnFailure aOnFailure,
-  const Settled& aSettled,
+  const AppendCallback& aCallback,
   base::ResultCode aCode,
   std::span<const joblog::LogPosition> aPositions)
 {
@@ -393,19 +398,19 @@
   --appendsInFlight_;
   OwnedPartition* partition = FindEpoch(aPartition, aEpoch);
   if (partition == nullptr) {
-    // Another owner answers from its replay: the asker is sent there.
-    aSettled(base::ResultCode::NotOwner, {});
-    Leave(std::move(lock));
+    // Another owner answers from its replay, so the requester is redirected.
+    aCallback(base::ResultCode::NotOwner, {});
+    UnlockAndDrain(std::move(lock));
     return;
   }
   if (aCode == base::ResultCode::Ok) {
-    std::vector<jobs::Applied> applied;
+    std::vector<jobs::RecordEffects> effects;
     for (std::size_t index = 0; index < aRecords->size(); ++index) {
-      applied.push_back(ApplyDurable(
+      effects.push_back(ApplyDurable(
         aPartition, *partition, (*aRecords)[index], aPositions[index]));
     }
-    aSettled(aCode, applied);
-    Leave(std::move(lock));
+    aCallback(aCode, effects);
+    UnlockAndDrain(std::move(lock));
     return;
   }
   ++counts_.appendsFailed_;
@@ -416,44 +421,44 @@
   const bool isLost = aCode == base::ResultCode::NotOwner ||
                       aCode == base::ResultCode::StaleEpoch;
   if (aOnFailure == OnFailure::Retry && !isLost) {
-    // The records may be in the log although nobody was told. A later, other
-    // decision would contradict them in a replay, so they are appended again
-    // until they are durable or the partition is lost.
-    partition->retries_.push_back({ aRecords, aSettled });
+    // The records may be in the log all the same. A different decision would
+    // contradict them in a replay, so they are appended again until they are
+    // durable or the partition is lost.
+    partition->retries_.push_back({ aRecords, aCallback });
   } else {
-    aSettled(aCode, {});
+    aCallback(aCode, {});
   }
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
-jobs::Applied
+jobs::RecordEffects
 JobService::ApplyDurable(std::uint32_t aIndex,
                          OwnedPartition& aPartition,
                          const jobs::Record& aRecord,
                          joblog::LogPosition aPosition)
 {
-  jobs::Applied applied =
+  jobs::RecordEffects effects =
     aPartition.table_.Apply(aRecord, aPosition, aPartition.nextSequence_++);
-  if (applied.accepted_) {
-    AfterAccepted(*aPartition.table_.Find(*applied.accepted_));
+  if (effects.accepted_) {
+    OnJobAccepted(*aPartition.table_.Find(*effects.accepted_));
   }
   if (const auto* ended = std::get_if<jobs::ItemsEnded>(&aRecord.body_)) {
-    AfterEnds(aPartition, *ended, applied);
+    OnResultsDurable(aPartition, *ended, effects);
   }
-  if (applied.cancelled_) {
-    AfterCancelled(aPartition, *aPartition.table_.Find(*applied.cancelled_));
-    FlushEnds(aIndex, aPartition);
+  if (effects.cancelled_) {
+    OnJobCancelled(aPartition, *aPartition.table_.Find(*effects.cancelled_));
+    AppendQueuedResults(aIndex, aPartition);
   }
-  for (const base::JobId& job : applied.finished_) {
+  for (const base::JobId& job : effects.finished_) {
     if (const jobs::Job* finished = aPartition.table_.Find(job)) {
-      AfterFinished(*finished);
+      OnJobFinished(*finished);
     }
   }
-  return applied;
+  return effects;
 }
 
 void
-JobService::AfterAccepted(const jobs::Job& aJob)
+JobService::OnJobAccepted(const jobs::Job& aJob)
 {
   const wire::JobDescription& description = aJob.description_;
   if (description.online_) {
@@ -473,14 +478,14 @@
 }
 
 void
-JobService::AfterEnds(OwnedPartition& aPartition,
-                      const jobs::ItemsEnded& aEnded,
-                      const jobs::Applied& aApplied)
+JobService::OnResultsDurable(OwnedPartition& aPartition,
+                             const jobs::ItemsEnded& aEnded,
+                             const jobs::RecordEffects& aEffects)
 {
   for (std::size_t index = 0; index < aEnded.ended_.size(); ++index) {
     const jobs::ItemEnded& ended = aEnded.ended_[index];
     const base::JobId& id = ended.run_.job_;
-    if (!aApplied.ended_[index].first_) {
+    if (!aEffects.ended_[index].first_) {
       ++counts_.resultsDropped_;
       continue;
     }
@@ -488,8 +493,8 @@
     ++(isOk ? counts_.succeeded_ : counts_.failed_);
     const jobs::Job* job = aPartition.table_.Find(id);
     const bool isWithdrawn =
-      std::find(aApplied.withdrawn_.begin(), aApplied.withdrawn_.end(), id) !=
-      aApplied.withdrawn_.end();
+      std::find(aEffects.withdrawn_.begin(), aEffects.withdrawn_.end(), id) !=
+      aEffects.withdrawn_.end();
     if (isWithdrawn) {
       ++counts_.withdrawn_;
       base::Log(kRequestWithdrawn,
@@ -514,7 +519,7 @@
                              const base::RunId& aEnded,
                              const jobs::Job* aJob)
 {
-  // A result that came late may be the first, while the item runs again.
+  // A late result may be the item's first one while the item is rerun.
   std::vector<base::RunId> runs;
   const auto online = aPartition.online_.find(aEnded.job_);
   if (aJob != nullptr) {
@@ -522,18 +527,18 @@
     runs.push_back({ aEnded.job_, aEnded.item_, item.attempt_ });
   } else if (online != aPartition.online_.end() && online->second.ownerRuns_) {
     orphans_.erase(aEnded.job_);
-    runs = scheduler_.RunsWhere(
+    runs = scheduler_.FindRuns(
       [&aEnded](const base::RunId& aRun) { return aRun.job_ == aEnded.job_; });
   }
   for (const base::RunId& id : runs) {
-    if (const auto run = scheduler_.EndRun(id, {})) {
+    if (const auto run = scheduler_.RemoveRun(id, {})) {
       Send(run->agent_, wire::CancelRun{ id });
     }
   }
 }
 
 void
-JobService::AfterFinished(const jobs::Job& aJob)
+JobService::OnJobFinished(const jobs::Job& aJob)
 {
   const wire::JobDescription& description = aJob.description_;
   if (description.online_) {
@@ -551,16 +556,16 @@
 }
 
 void
-JobService::AfterCancelled(OwnedPartition& aPartition, const jobs::Job& aJob)
+JobService::OnJobCancelled(OwnedPartition& aPartition, const jobs::Job& aJob)
 {
   const base::JobId id = aJob.description_.id_;
   ++counts_.cancelledJobs_;
   scheduler_.RemoveJob(id, aJob.description_.service_);
   orphans_.erase(id);
-  const auto runs = scheduler_.RunsWhere(
+  const auto runs = scheduler_.FindRuns(
     [&id](const base::RunId& aRun) { return aRun.job_ == id; });
   for (const base::RunId& run : runs) {
-    const auto known = scheduler_.EndRun(run, {});
+    const auto known = scheduler_.RemoveRun(run, {});
     if (known->sent_) {
       Send(known->agent_, wire::CancelRun{ run });
     }
@@ -576,7 +581,7 @@
             { { "job", base::ToString(id) },
               { "running", runs.size() },
               { "items", aJob.cancelled_ } });
-  ReleaseHeld(aPartition, id);
+  HandleDeferred(aPartition, id);
 }
 
 void
@@ -589,9 +594,9 @@
     return;
   }
   wire::RecordReply reply = aReply;
-  for (const Asker& asker : found->second.waiters_) {
-    reply.call_ = asker.call_;
-    Send(asker.peer_, reply);
+  for (const Requester& requester : found->second.waiters_) {
+    reply.call_ = requester.call_;
+    Send(requester.peer_, reply);
   }
   aPartition.online_.erase(found);
 }
@@ -604,7 +609,7 @@
     draining_ = true;
     drainDeadline_ = ports_.now_() + options_.drainGrace_;
   }
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 bool
@@ -653,11 +658,11 @@
   const base::Instant now = ports_.now_();
   TickPeers(now);
   TickPartitions(now);
-  PlaceOrphans();
+  DispatchOrphans();
   Dispatch();
-  TellDemand(scheduler_.ChangedDemand(ports_.wallUnixMs_()));
+  SendDemand(scheduler_.CollectChangedDemand(ports_.wallUnixMs_()));
   TickDrain(now);
-  Leave(std::move(lock));
+  UnlockAndDrain(std::move(lock));
 }
 
 void
@@ -665,15 +670,15 @@
 {
   for (auto& [peer, since] : lostPeers_) {
     if (aNow - since >= options_.agentGrace_) {
-      const bool isLong = aNow - since >= options_.unknownEndGrace_;
-      EndRunsAt(peer, isLong ? Runs::All : Runs::Idempotent);
+      const bool isLong = aNow - since >= options_.nonIdempotentGrace_;
+      EndRunsOfAgent(peer, isLong ? RunsToEnd::All : RunsToEnd::Idempotent);
     }
     if (aNow - since >= options_.entryGrace_) {
       OrphanRequestsOf(peer);
     }
   }
   std::erase_if(lostPeers_, [&](const auto& aLost) {
-    return aNow - aLost.second >= options_.unknownEndGrace_;
+    return aNow - aLost.second >= options_.nonIdempotentGrace_;
   });
 }
 
@@ -683,18 +688,18 @@
   const bool isExpiryDue = aNow >= nextExpiry_;
   if (isExpiryDue) {
     nextExpiry_ = aNow + options_.expireInterval_;
-    scheduler_.RepeatDemand();
+    scheduler_.MarkDemandChanged();
   }
   for (auto& [index, partition] : partitions_) {
     if (partition.phase_ == OwnedPartition::Phase::Recovering) {
       continue;
     }
     if (partition.phase_ == OwnedPartition::Phase::Settling &&
-        aNow >= partition.settlesAt_) {
+        aNow >= partition.settlingEndsAt_) {
       BeginServing(index, partition);
     }
     for (RetriedAppend& retry : std::exchange(partition.retries_, {})) {
-      Append(index, *retry.records_, OnFailure::Retry, retry.settled_);
+      Append(index, *retry.records_, OnFailure::Retry, retry.callback_);
     }
     if (!isExpiryDue) {
       continue;
--- a/Libraries/LibKeeper/JobService.h
+++ b/Libraries/LibKeeper/JobService.h
@@ -24,16 +24,16 @@
 
 namespace pumiceturn::keeper {
 
-/// What the job service counted since it began.
+/// Cumulative counts since the job service started.
 struct JobCounts
 {
   std::uint64_t acceptedOnline_ = 0;
-  std::uint64_t acceptedItems_ = 0; ///< Of lots.
+  std::uint64_t acceptedItems_ = 0; ///< Items of accepted batch jobs.
   std::uint64_t duplicateSubmissions_ = 0;
   std::uint64_t keyConflicts_ = 0;
   std::uint64_t succeeded_ = 0;
   std::uint64_t failed_ = 0;
-  std::uint64_t resultsDropped_ = 0; ///< Came after the first.
+  std::uint64_t resultsDropped_ = 0; ///< Results after the item's first one.
   std::uint64_t withdrawn_ = 0;
   std::uint64_t cancelledJobs_ = 0;
   std::uint64_t requeued_ = 0;
@@ -44,26 +44,28 @@
   std::uint64_t expiredJobs_ = 0;
 };
 
-/// Serves the jobs of the partitions that this host owns: accepts, dedups,
-/// dispatches to agents, records, answers. Decisions are taken under one lock
-/// by JobTable and BatchScheduler; what follows from them leaves through the
-/// ports after the lock is released. Thread-safe.
+/// Serves the jobs of the partitions that this host owns: accepts and
+/// deduplicates them, dispatches items to agents, records results and answers
+/// queries. JobTable and BatchScheduler make the decisions under one lock; the
+/// resulting calls to the ports are made after the lock is released.
+/// Thread-safe.
 class JobService : public std::enable_shared_from_this<JobService>
 {
 public:
   struct Options
   {
-    /// A lost entry's requests go on without it after this time.
+    /// Time after which the owner runs the requests of a lost entry.
     base::Duration entryGrace_{ std::chrono::seconds{ 5 } };
-    /// A lost agent's runs end as lost after this time.
+    /// Time after which the idempotent runs of a lost agent end as lost.
     base::Duration agentGrace_{ std::chrono::seconds{ 5 } };
-    /// The same for non-idempotent runs, which may not be run again: their
-    /// result may still come when the link is back.
-    base::Duration unknownEndGrace_{ std::chrono::seconds{ 60 } };
-    /// After a takeover, agents may report what the former owner started.
-    base::Duration settleTime_{ std::chrono::seconds{ 1 } };
-    /// Most items of a lot that a former owner had out.
-    std::uint32_t inFlightAtTakeover_ = 256;
+    /// The same for non-idempotent runs. It is longer because they are not
+    /// rerun, and their result may still be reported once the link is up again.
+    base::Duration nonIdempotentGrace_{ std::chrono::seconds{ 60 } };
+    /// Time after a takeover for agents to report runs of the previous owner.
+    base::Duration settlingTime_{ std::chrono::seconds{ 1 } };
+    /// Maximum number of items of a batch job that the previous owner had in
+    /// flight.
+    std::uint32_t maxInFlightAtTakeover_ = 256;
     base::Duration drainGrace_{ std::chrono::seconds{ 20 } };
     base::Duration expireInterval_{ std::chrono::seconds{ 1 } };
     std::size_t maxPageBytes_ = 1U << 20U;
@@ -74,11 +76,11 @@
 
   JobService(Ports aPorts, Options aOptions);
 
-  /// Tells which agents serve a service.
+  /// Sets the agents that serve a service.
   void SetAgents(const std::string& aService,
                  const std::vector<std::string>& aAgents);
 
-  /// @return whether an agent's link is known to be up.
+  /// @return whether the link to an agent is up.
   [[nodiscard]] bool IsAgentUp(const std::string& aAgent) const;
 
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
@@ -95,11 +97,16 @@
   void OnReleased(std::uint32_t aPartition);
   /// @}
 
-  /// Does what is due. Call it about ten times a second.
+  /// Runs timeouts, retries, expiry and dispatch. To be called about ten times
+  /// a second.
   void Tick();
 
+  /// Stops accepting jobs and dispatching items. Partitions are handed over
+  /// when all runs have ended or after drainGrace_.
   void BeginDrain();
   [[nodiscard]] bool IsDraining() const;
+  /// @return whether all partitions have been handed over and no append is in
+  /// flight.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] JobCounts Counts() const;
   [[nodiscard]] std::uint64_t WaitingItems() const;
@@ -107,20 +114,21 @@
 
 private:
   using Lock = std::unique_lock<std::mutex>;
-  /// Which runs of a lost agent end.
-  enum class Runs : std::uint8_t
+  /// Selects the runs of a lost agent to be ended.
+  enum class RunsToEnd : std::uint8_t
   {
     Idempotent,
     All,
   };
 
-  /// Whether records whose append failed are appended again.
+  /// Whether a failed append is reported or retried.
   enum class OnFailure : std::uint8_t
   {
     Report,
     Retry,
   };
 
+  /// The partition of a job, or the reason why this host cannot serve it.
   struct Route
   {
     OwnedPartition* partition_ = nullptr;
@@ -139,54 +147,57 @@
     jobs::Dispatch dispatch_;
   };
 
-  /// A result that a reader asked for.
-  struct WantedResult
+  /// Location of a requested result.
+  struct ResultReference
   {
     jobs::ResultSource source_ = jobs::ResultSource::Recorded;
-    jobs::ResultPlace place_;
-    jobs::ItemPlace item_;
+    jobs::ResultLocation location_;
+    jobs::ItemLocation item_;
     std::uint32_t position_ = 0;
     base::Ran cancelledRan_ = base::Ran::Unknown;
   };
 
   Route RouteTo(const base::JobId& aJob);
+  /// @return the partition, or null when it is not owned under this epoch.
   OwnedPartition* FindEpoch(std::uint32_t aPartition, std::uint64_t aEpoch);
   void Send(const std::string& aPeer, wire::Message aMessage);
   void Handle(const std::string& aPeer, const wire::Message& aMessage);
-  void Hold(OwnedPartition& aPartition,
-            const base::JobId& aJob,
-            const std::string& aPeer,
-            wire::Message aMessage);
-  void ReleaseHeld(OwnedPartition& aPartition, const base::JobId& aJob);
-  void Leave(Lock aLock);
+  /// Keeps a message until HandleDeferred() is called for its job.
+  void Defer(OwnedPartition& aPartition,
+             const base::JobId& aJob,
+             const std::string& aPeer,
+             wire::Message aMessage);
+  void HandleDeferred(OwnedPartition& aPartition, const base::JobId& aJob);
+  /// Queues urgent demand, releases the lock and drains the outbox.
+  void UnlockAndDrain(Lock aLock);
 
   // Appending.
   void Append(std::uint32_t aPartition,
               std::vector<jobs::Record> aRecords,
               OnFailure aOnFailure,
-              Settled aSettled);
+              AppendCallback aCallback);
   void OnAppended(std::uint32_t aPartition,
                   std::uint64_t aEpoch,
                   const std::shared_ptr<std::vector<jobs::Record>>& aRecords,
                   OnFailure aOnFailure,
-                  const Settled& aSettled,
+                  const AppendCallback& aCallback,
                   base::ResultCode aCode,
                   std::span<const joblog::LogPosition> aPositions);
-  jobs::Applied ApplyDurable(std::uint32_t aIndex,
-                             OwnedPartition& aPartition,
-                             const jobs::Record& aRecord,
-                             joblog::LogPosition aPosition);
-  void AfterEnds(OwnedPartition& aPartition,
-                 const jobs::ItemsEnded& aEnded,
-                 const jobs::Applied& aApplied);
-  void AfterAccepted(const jobs::Job& aJob);
+  jobs::RecordEffects ApplyDurable(std::uint32_t aIndex,
+                                   OwnedPartition& aPartition,
+                                   const jobs::Record& aRecord,
+                                   joblog::LogPosition aPosition);
+  void OnResultsDurable(OwnedPartition& aPartition,
+                        const jobs::ItemsEnded& aEnded,
+                        const jobs::RecordEffects& aEffects);
+  void OnJobAccepted(const jobs::Job& aJob);
   void StopOtherAttempt(const OwnedPartition& aPartition,
                         const base::RunId& aEnded,
                         const jobs::Job* aJob);
-  void AfterFinished(const jobs::Job& aJob);
-  void AfterCancelled(OwnedPartition& aPartition, const jobs::Job& aJob);
+  void OnJobFinished(const jobs::Job& aJob);
+  void OnJobCancelled(OwnedPartition& aPartition, const jobs::Job& aJob);
 
-  // Requests of entries.
+  // Requests from entries.
   void Handle(const std::string& aPeer, const wire::RecordRequest& aRequest);
   void Handle(const std::string& aPeer, const wire::RecordResult& aResult);
   void Handle(const std::string& aPeer, const wire::SubmitFrame& aFrame);
@@ -196,17 +207,18 @@
   void AnswerRunning(OwnedPartition& aPartition,
                      const std::string& aPeer,
                      const wire::RecordRequest& aRequest);
-  void SettleOnline(std::uint32_t aPartition,
-                    const Asker& aAsker,
-                    const base::JobId& aJob,
-                    base::ResultCode aCode);
-  void SettleFrame(std::uint32_t aPartition,
-                   const Asker& aAsker,
-                   const wire::JobDescription& aJob,
-                   base::ResultCode aCode);
-  void ReplyFinished(const Asker& aAsker, const WantedResult& aWanted);
-  void ReplyRecorded(const Asker& aAsker,
-                     const WantedResult& aWanted,
+  void OnOnlineAppended(std::uint32_t aPartition,
+                        const Requester& aRequester,
+                        const base::JobId& aJob,
+                        base::ResultCode aCode);
+  void OnFrameAppended(std::uint32_t aPartition,
+                       const Requester& aRequester,
+                       const wire::JobDescription& aJob,
+                       base::ResultCode aCode);
+  void ReplyFinished(const Requester& aRequester,
+                     const ResultReference& aReference);
+  void ReplyRecorded(const Requester& aRequester,
+                     const ResultReference& aReference,
                      const wire::ItemResult& aReported);
   void ReplyWaiters(OwnedPartition& aPartition,
                     const base::JobId& aJob,
@@ -214,14 +226,17 @@
   wire::JobStatusReply StatusOf(const OwnedPartition& aPartition,
                                 const base::JobId& aJob,
                                 const std::string& aPartner) const;
-  static WantedResult Want(const jobs::Job& aJob, std::uint32_t aPosition);
-  static std::optional<WantedResult> WantOnline(const jobs::JobTable& aTable,
-                                                const base::JobId& aJob);
-  static std::vector<WantedResult> WantPage(const jobs::JobTable& aTable,
-                                            const wire::ReadResults& aRequest,
-                                            bool& aEndsJob);
-  base::Result<wire::ItemResult> ReadResult(const WantedResult& aWanted);
-  wire::ResultsPage ReadPage(const std::vector<WantedResult>& aWanted,
+  static ResultReference MakeResultReference(const jobs::Job& aJob,
+                                             std::uint32_t aPosition);
+  static std::optional<ResultReference> FindOnlineResult(
+    const jobs::JobTable& aTable,
+    const base::JobId& aJob);
+  static std::vector<ResultReference> SelectPage(
+    const jobs::JobTable& aTable,
+    const wire::ReadResults& aRequest,
+    bool& aEndsJob);
+  base::Result<wire::ItemResult> ReadResult(const ResultReference& aReference);
+  wire::ResultsPage ReadPage(const std::vector<ResultReference>& aReferences,
                              bool aEndsJob);
 
   // Runs at agents.
@@ -231,27 +246,27 @@
   void Forward(const std::string& aPeer,
                std::uint32_t aPartition,
                const wire::RunEnded& aEnded);
-  void DecideEnded(const std::string& aPeer,
-                   const Route& aRoute,
-                   const wire::RunEnded& aEnded);
-  base::Outcome<wire::JobItem> ReadItemAt(const jobs::ItemPlace& aPlace);
-  void NameThenRecord(const Route& aRoute, WaitingEnd aEnd);
-  void AddEnd(std::uint32_t aIndex,
-              OwnedPartition& aPartition,
-              WaitingEnd aEnd);
-  void FlushEnds(std::uint32_t aIndex, OwnedPartition& aPartition);
-  void SettleEnds(std::uint32_t aIndex,
-                  std::uint64_t aEpoch,
-                  const std::vector<WaitingEnd>& aEnds,
-                  base::ResultCode aCode,
-                  std::span<const jobs::Applied> aApplied);
-  void NotifyEnd(const OwnedPartition& aPartition,
-                 const WaitingEnd& aEnd,
-                 bool aIsFirst);
-  void NotifyMoved(std::uint32_t aIndex, const WaitingEnd& aEnd);
-  void AfterRequeue(const Route& aRoute,
-                    const std::string& aPeer,
+  void HandleRunEnd(const std::string& aPeer,
+                    const Route& aRoute,
                     const wire::RunEnded& aEnded);
+  base::Outcome<wire::JobItem> ReadItemAt(const jobs::ItemLocation& aLocation);
+  void ResolveNameAndRecord(const Route& aRoute, PendingResult aPending);
+  void QueueResult(std::uint32_t aIndex,
+                   OwnedPartition& aPartition,
+                   PendingResult aPending);
+  void AppendQueuedResults(std::uint32_t aIndex, OwnedPartition& aPartition);
+  void OnResultsAppended(std::uint32_t aIndex,
+                         std::uint64_t aEpoch,
+                         const std::vector<PendingResult>& aPendingResults,
+                         base::ResultCode aCode,
+                         std::span<const jobs::RecordEffects> aEffects);
+  void NotifyRecorded(const OwnedPartition& aPartition,
+                      const PendingResult& aPending,
+                      bool aIsFirst);
+  void NotifyNotOwner(std::uint32_t aIndex, const PendingResult& aPending);
+  void OnItemRequeued(const Route& aRoute,
+                      const std::string& aPeer,
+                      const wire::RunEnded& aEnded);
   void EndWithoutRun(const Route& aRoute,
                      const base::RunId& aRun,
                      base::ResultCode aCode,
@@ -259,28 +274,28 @@
                      std::string aDetail);
   void Dispatch();
   void DispatchService(const std::string& aService);
-  void Load(const Route& aRoute,
-            const jobs::Dispatch& aDispatch,
-            jobs::RunInFlight aRun);
-  void OnLoaded(const LoadingRun& aLoading,
-                const base::Outcome<wire::JobItem>& aItem);
-  void StartLoaded(const Route& aRoute,
-                   const LoadingRun& aLoading,
-                   const wire::JobItem& aItem);
+  void LoadPayload(const Route& aRoute,
+                   const jobs::Dispatch& aDispatch,
+                   jobs::RunInFlight aRun);
+  void OnPayloadLoaded(const LoadingRun& aLoading,
+                       const base::Outcome<wire::JobItem>& aItem);
+  void StartLoadedRun(const Route& aRoute,
+                      const LoadingRun& aLoading,
+                      const wire::JobItem& aItem);
   void SendStart(const LoadingRun& aLoading, const wire::JobItem& aItem);
-  void TakeBack(const LoadingRun& aLoading);
+  void RequeueUnstarted(const LoadingRun& aLoading);
   void DropRun(const base::RunId& aRun);
   wire::StartRun MakeStart(const OwnedPartition& aPartition,
                            const base::RunId& aRun,
                            const wire::JobItem& aItem) const;
-  void EndRunsAt(const std::string& aAgent, Runs aRuns);
+  void EndRunsOfAgent(const std::string& aAgent, RunsToEnd aRuns);
   void OrphanRequestsOf(const std::string& aEntry);
   void OrphanRequest(const Route& aRoute, const base::JobId& aJob);
-  void PlaceOrphans();
-  bool ResumeLots(OwnedPartition& aPartition);
+  void DispatchOrphans();
+  bool ResumeBatchJobs(OwnedPartition& aPartition);
   void BeginServing(std::uint32_t aIndex, OwnedPartition& aPartition);
   void AddWaiting(const jobs::Job& aJob, std::uint32_t aItems);
-  void TellDemand(const std::vector<jobs::DemandNotice>& aNotices);
+  void SendDemand(const std::vector<jobs::DemandNotice>& aNotices);
   void TickPeers(base::Instant aNow);
   void TickPartitions(base::Instant aNow);
   void TickDrain(base::Instant aNow);
@@ -294,9 +309,9 @@
   std::map<std::uint32_t, OwnedPartition> partitions_;
   jobs::BatchScheduler scheduler_;
   std::map<std::string, base::Instant> lostPeers_;
-  /// Online requests that wait for an agent, run by this owner.
+  /// Online requests that this owner runs and that wait for an agent.
   std::set<base::JobId> orphans_;
-  /// Who reported a run that was forwarded to its owner.
+  /// The agent that reported a run, for reports forwarded to another owner.
   std::unordered_map<base::RunId, std::string> forwarded_;
   JobCounts counts_;
   std::size_t appendsInFlight_ = 0;
--- a/Libraries/LibKeeper/JobServiceRequests.cpp
+++ b/Libraries/LibKeeper/JobServiceRequests.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kRecoveringRetryMs = 200;
 constexpr std::uint32_t kDefaultPageItems = 1000;
 
-/// @return what an asker is told when its records were not made durable.
+/// @return the code of the reply to a requester whose records are not durable.
 base::ResultCode
 RefusalFor(base::ResultCode aCode)
 {
@@ -63,24 +63,25 @@
   const KindLimits limits = ports_.limitsOf_(aRequest.service_, aRequest.kind_);
   jobs::AcceptDecision decision = partition.table_.AcceptOnline(
     aRequest, limits.maxAttempts_, ports_.wallUnixMs_());
-  const Asker asker{ aPeer, aRequest.call_ };
+  const Requester requester{ aPeer, aRequest.call_ };
   switch (decision.answer_) {
     case jobs::Acceptance::Append:
-      Append(
-        route.index_,
-        std::move(decision.records_),
-        OnFailure::Report,
-        [this, index = route.index_, asker, job = aRequest.job_](
-          base::ResultCode aCode, std::span<const jobs::Applied> /*aApplied*/) {
-          SettleOnline(index, asker, job, aCode);
-        });
+      Append(route.index_,
+             std::move(decision.records_),
+             OnFailure::Report,
+             [this, index = route.index_, requester, job = aRequest.job_](
+               base::ResultCode aCode,
+               std::span<const jobs::RecordEffects> /*aEffects*/) {
+               OnOnlineAppended(index, requester, job, aCode);
+             });
       return;
     case jobs::Acceptance::Wait:
-      Hold(partition, aRequest.job_, aPeer, aRequest);
+      Defer(partition, aRequest.job_, aPeer, aRequest);
       return;
     case jobs::Acceptance::Finished:
       ++counts_.duplicateSubmissions_;
-      ReplyFinished(asker, *WantOnline(partition.table_, aRequest.job_));
+      ReplyFinished(requester,
+                    *FindOnlineResult(partition.table_, aRequest.job_));
       return;
     case jobs::Acceptance::Running:
     case jobs::Acceptance::Duplicate:
@@ -97,29 +98,29 @@
 }
 
 void
-JobService::SettleOnline(std::uint32_t aPartition,
-                         const Asker& aAsker,
-                         const base::JobId& aJob,
-                         base::ResultCode aCode)
+JobService::OnOnlineAppended(std::uint32_t aPartition,
+                             const Requester& aRequester,
+                             const base::JobId& aJob,
+                             base::ResultCode aCode)
 {
   wire::RecordReply reply;
-  reply.call_ = aAsker.call_;
+  reply.call_ = aRequester.call_;
   reply.state_ = wire::RecordState::New;
   const auto found = partitions_.find(aPartition);
   if (aCode != base::ResultCode::Ok) {
     reply.code_ = RefusalFor(aCode);
     reply.ownerHint_ = ports_.ownerOf_(aPartition);
   }
-  Send(aAsker.peer_, std::move(reply));
+  Send(aRequester.peer_, std::move(reply));
   if (found == partitions_.end()) {
     return;
   }
   OwnedPartition& partition = found->second;
   partition.table_.SettleAccept(aJob, aCode == base::ResultCode::Ok);
   if (aCode == base::ResultCode::Ok) {
-    partition.online_[aJob].runner_ = aAsker;
+    partition.online_[aJob].runner_ = aRequester;
   }
-  ReleaseHeld(partition, aJob);
+  HandleDeferred(partition, aJob);
 }
 
 void
@@ -130,22 +131,22 @@
   wire::RecordReply reply;
   reply.call_ = aRequest.call_;
   OnlineRun& run = aPartition.online_[aRequest.job_];
-  const Asker asker{ aPeer, aRequest.call_ };
-  const bool isResent = run.runner_ == asker && !run.ownerRuns_;
-  // After a takeover nobody knows who runs an idempotent request, so the first
-  // entry that asks again runs it.
+  const Requester requester{ aPeer, aRequest.call_ };
+  const bool isResent = run.runner_ == requester && !run.ownerRuns_;
+  // After a takeover the runner of an idempotent request is unknown, so the
+  // first entry that sends the request again runs it.
   const bool isAdopted =
     run.runner_.peer_.empty() && !run.ownerRuns_ && aRequest.idempotent_;
   if (isResent || isAdopted) {
-    run.runner_ = asker;
+    run.runner_ = requester;
     reply.state_ = wire::RecordState::New;
     Send(aPeer, std::move(reply));
     return;
   }
   ++counts_.duplicateSubmissions_;
-  if (std::find(run.waiters_.begin(), run.waiters_.end(), asker) ==
+  if (std::find(run.waiters_.begin(), run.waiters_.end(), requester) ==
       run.waiters_.end()) {
-    run.waiters_.push_back(asker);
+    run.waiters_.push_back(requester);
   }
   reply.state_ = wire::RecordState::Running;
   Send(aPeer, std::move(reply));
@@ -165,9 +166,9 @@
     return;
   }
   OwnedPartition& partition = *route.partition_;
-  const Asker asker{ aPeer, aResult.call_ };
+  const Requester requester{ aPeer, aResult.call_ };
   if (partition.table_.IsAccepting(id)) {
-    Hold(partition, id, aPeer, aResult);
+    Defer(partition, id, aPeer, aResult);
     return;
   }
   const auto online = partition.online_.find(id);
@@ -178,29 +179,31 @@
     partition.table_.DecideResult(aResult.run_, aResult.result_, isRunner);
   switch (decision.action_) {
     case jobs::EndAction::Record:
-      AddEnd(
-        route.index_,
-        partition,
-        { std::move(*decision.record_), EndNotice::RecordResultReply, asker });
+      QueueResult(route.index_,
+                  partition,
+                  { std::move(*decision.record_),
+                    ResultNotification::RecordResultReply,
+                    requester });
       return;
     case jobs::EndAction::Wait:
-      Hold(partition, id, aPeer, aResult);
+      Defer(partition, id, aPeer, aResult);
       return;
-    case jobs::EndAction::Refuse:
+    case jobs::EndAction::Reject:
     case jobs::EndAction::Requeue:
-      // Somebody else runs it, so a refusal of this sender does not end it.
+      // Another runner has the request, so this sender's failure does not end
+      // it.
       reply.code_ = base::ResultCode::StillRunning;
       Send(aPeer, std::move(reply));
       return;
-    case jobs::EndAction::Forget:
+    case jobs::EndAction::Discard:
       break;
   }
-  if (const auto wanted = WantOnline(partition.table_, id)) {
+  if (const auto reference = FindOnlineResult(partition.table_, id)) {
     ++counts_.resultsDropped_;
-    ReplyRecorded(asker, *wanted, aResult.result_);
+    ReplyRecorded(requester, *reference, aResult.result_);
     return;
   }
-  // A withdrawal that is reported again finds nothing, and needs nothing.
+  // A repeated withdrawal has no effect and is answered with Ok.
   reply.first_ = aResult.result_.ran_ == base::Ran::NotRun;
   reply.code_ =
     reply.first_ ? base::ResultCode::Ok : base::ResultCode::NotFound;
@@ -234,19 +237,20 @@
     partition.table_.AcceptFrame(aFrame, ports_.wallUnixMs_());
   switch (decision.answer_) {
     case jobs::Acceptance::Append:
-      Append(route.index_,
-             std::move(decision.records_),
-             OnFailure::Report,
-             [this,
-              index = route.index_,
-              asker = Asker{ aPeer, aFrame.call_ },
-              job = aFrame.job_](base::ResultCode aCode,
-                                 std::span<const jobs::Applied> /*aApplied*/) {
-               SettleFrame(index, asker, job, aCode);
-             });
+      Append(
+        route.index_,
+        std::move(decision.records_),
+        OnFailure::Report,
+        [this,
+         index = route.index_,
+         requester = Requester{ aPeer, aFrame.call_ },
+         job = aFrame.job_](base::ResultCode aCode,
+                            std::span<const jobs::RecordEffects> /*aEffects*/) {
+          OnFrameAppended(index, requester, job, aCode);
+        });
       return;
     case jobs::Acceptance::Wait:
-      Hold(partition, id, aPeer, aFrame);
+      Defer(partition, id, aPeer, aFrame);
       return;
     case jobs::Acceptance::Received:
       break;
@@ -263,20 +267,20 @@
       break;
     case jobs::Acceptance::Invalid:
       reply.code_ = base::ResultCode::InvalidRequest;
-      reply.detail_ = "a frame's items do not follow those received";
+      reply.detail_ = "the frame's items do not follow the received items";
       break;
   }
   Send(aPeer, std::move(reply));
 }
 
 void
-JobService::SettleFrame(std::uint32_t aPartition,
-                        const Asker& aAsker,
-                        const wire::JobDescription& aJob,
-                        base::ResultCode aCode)
+JobService::OnFrameAppended(std::uint32_t aPartition,
+                            const Requester& aRequester,
+                            const wire::JobDescription& aJob,
+                            base::ResultCode aCode)
 {
   wire::SubmitReply reply;
-  reply.call_ = aAsker.call_;
+  reply.call_ = aRequester.call_;
   reply.job_ = aJob;
   const auto found = partitions_.find(aPartition);
   if (aCode != base::ResultCode::Ok) {
@@ -289,10 +293,10 @@
     const jobs::Job* job = found->second.table_.Find(aJob.id_);
     reply.job_ = job == nullptr ? aJob : job->description_;
   }
-  Send(aAsker.peer_, std::move(reply));
+  Send(aRequester.peer_, std::move(reply));
   if (found != partitions_.end()) {
     found->second.table_.SettleAccept(aJob.id_, aCode == base::ResultCode::Ok);
-    ReleaseHeld(found->second, aJob.id_);
+    HandleDeferred(found->second, aJob.id_);
   }
 }
 
@@ -338,7 +342,7 @@
   }
   OwnedPartition& partition = *route.partition_;
   if (partition.table_.IsAccepting(aRequest.job_)) {
-    Hold(partition, aRequest.job_, aPeer, aRequest);
+    Defer(partition, aRequest.job_, aPeer, aRequest);
     return;
   }
   jobs::CancelDecision decision;
@@ -346,72 +350,73 @@
     decision = partition.table_.Cancel(aRequest.job_, ports_.wallUnixMs_());
   }
   if (decision.action_ == jobs::CancelAction::Wait) {
-    Hold(partition, aRequest.job_, aPeer, aRequest);
+    Defer(partition, aRequest.job_, aPeer, aRequest);
     return;
   }
-  if (decision.action_ == jobs::CancelAction::Over) {
+  if (decision.action_ == jobs::CancelAction::NotCancellable) {
     reply = StatusOf(partition, aRequest.job_, aRequest.partner_);
     reply.call_ = aRequest.call_;
     Send(aPeer, std::move(reply));
     return;
   }
-  Append(route.index_,
-         { std::move(*decision.record_) },
-         OnFailure::Retry,
-         [this, aPeer, aRequest](base::ResultCode /*aCode*/,
-                                 std::span<const jobs::Applied> /*aApplied*/) {
-           // Now the job is cancelled, or another owner is named.
-           Handle(
-             aPeer,
+  Append(
+    route.index_,
+    { std::move(*decision.record_) },
+    OnFailure::Retry,
+    [this, aPeer, aRequest](base::ResultCode /*aCode*/,
+                            std::span<const jobs::RecordEffects> /*aEffects*/) {
+      // Replies with the cancelled job, or with the new owner.
+      Handle(aPeer,
              wire::GetJob{ aRequest.call_, aRequest.job_, aRequest.partner_ });
-         });
+    });
 }
 
-JobService::WantedResult
-JobService::Want(const jobs::Job& aJob, std::uint32_t aPosition)
+JobService::ResultReference
+JobService::MakeResultReference(const jobs::Job& aJob, std::uint32_t aPosition)
 {
-  const jobs::ResultPlace& place = aJob.results_[aPosition];
-  const jobs::Item& item = aJob.items_[place.item_];
-  // Only a recorded start tells for certain; without one, an idempotent item
+  const jobs::ResultLocation& location = aJob.results_[aPosition];
+  const jobs::Item& item = aJob.items_[location.item_];
+  // Starts of idempotent items are not always recorded, so one without a record
   // may have run.
   const bool isNotRun =
     !aJob.description_.idempotent_ && item.recordedStarts_ == 0;
   return { aJob.SourceOf(aPosition),
-           place,
-           aJob.PlaceOf(place.item_),
+           location,
+           aJob.LocateItem(location.item_),
            aPosition,
            isNotRun ? base::Ran::NotRun : base::Ran::Unknown };
 }
 
-std::optional<JobService::WantedResult>
-JobService::WantOnline(const jobs::JobTable& aTable, const base::JobId& aJob)
+std::optional<JobService::ResultReference>
+JobService::FindOnlineResult(const jobs::JobTable& aTable,
+                             const base::JobId& aJob)
 {
   if (const jobs::FinishedRequest* finished = aTable.FindFinished(aJob)) {
-    return WantedResult{
+    return ResultReference{
       jobs::ResultSource::Recorded, finished->result_, {}, 0, {}
     };
   }
   const jobs::Job* job = aTable.Find(aJob);
-  if (job == nullptr || !job->IsOver()) {
+  if (job == nullptr || !job->IsClosed()) {
     return std::nullopt;
   }
-  return Want(*job, 0);
+  return MakeResultReference(*job, 0);
 }
 
-std::vector<JobService::WantedResult>
-JobService::WantPage(const jobs::JobTable& aTable,
-                     const wire::ReadResults& aRequest,
-                     bool& aEndsJob)
+std::vector<JobService::ResultReference>
+JobService::SelectPage(const jobs::JobTable& aTable,
+                       const wire::ReadResults& aRequest,
+                       bool& aEndsJob)
 {
-  std::vector<WantedResult> wanted;
+  std::vector<ResultReference> references;
   const jobs::Job* job = aTable.Find(aRequest.job_);
   if (job == nullptr) {
     aEndsJob = true;
-    if (const auto online = WantOnline(aTable, aRequest.job_);
+    if (const auto online = FindOnlineResult(aTable, aRequest.job_);
         online && aRequest.from_ == 0) {
-      wanted.push_back(*online);
+      references.push_back(*online);
     }
-    return wanted;
+    return references;
   }
   const auto size = static_cast<std::uint32_t>(job->results_.size());
   const std::uint32_t limit = aRequest.limit_ == 0
@@ -419,41 +424,42 @@
                                 : std::min(aRequest.limit_, kDefaultPageItems);
   const std::uint32_t begin = std::min(aRequest.from_, size);
   const std::uint32_t end = begin + std::min(limit, size - begin);
-  wanted.reserve(end - begin);
+  references.reserve(end - begin);
   for (std::uint32_t position = begin; position < end; ++position) {
-    wanted.push_back(Want(*job, position));
+    references.push_back(MakeResultReference(*job, position));
   }
-  aEndsJob = job->IsOver() && end == size;
-  return wanted;
+  aEndsJob = job->IsClosed() && end == size;
+  return references;
 }
 
 base::Result<wire::ItemResult>
-JobService::ReadResult(const WantedResult& aWanted)
+JobService::ReadResult(const ResultReference& aReference)
 {
-  if (aWanted.source_ == jobs::ResultSource::Cancelled) {
-    BOOST_LEAF_AUTO(bytes, cache_.Get(aWanted.item_.record_));
-    BOOST_LEAF_AUTO(item, jobs::ReadItem(*bytes, aWanted.item_.index_));
+  if (aReference.source_ == jobs::ResultSource::Cancelled) {
+    BOOST_LEAF_AUTO(bytes, cache_.Get(aReference.item_.record_));
+    BOOST_LEAF_AUTO(item, jobs::ReadItem(*bytes, aReference.item_.index_));
     wire::ItemResult result;
-    result.position_ = aWanted.position_;
-    result.item_ = aWanted.place_.item_;
+    result.position_ = aReference.position_;
+    result.item_ = aReference.location_.item_;
     result.name_ = std::move(item.name_);
     result.code_ = base::ResultCode::Cancelled;
-    result.ran_ = aWanted.cancelledRan_;
+    result.ran_ = aReference.cancelledRan_;
     return result;
   }
-  BOOST_LEAF_AUTO(bytes, cache_.Get(aWanted.place_.record_));
-  BOOST_LEAF_AUTO(ended, jobs::ReadEnded(*bytes, aWanted.place_.index_));
-  ended.result_.position_ = aWanted.position_;
+  BOOST_LEAF_AUTO(bytes, cache_.Get(aReference.location_.record_));
+  BOOST_LEAF_AUTO(ended, jobs::ReadEnded(*bytes, aReference.location_.index_));
+  ended.result_.position_ = aReference.position_;
   return std::move(ended.result_);
 }
 
 wire::ResultsPage
-JobService::ReadPage(const std::vector<WantedResult>& aWanted, bool aEndsJob)
+JobService::ReadPage(const std::vector<ResultReference>& aReferences,
+                     bool aEndsJob)
 {
   wire::ResultsPage page;
   std::size_t bytes = 0;
-  for (const WantedResult& wanted : aWanted) {
-    auto read = base::Capture([&] { return ReadResult(wanted); });
+  for (const ResultReference& reference : aReferences) {
+    auto read = base::Capture([&] { return ReadResult(reference); });
     if (const auto* failure = std::get_if<base::Failure>(&read)) {
       page.code_ = failure->code_;
       base::Log(kUnreadableRecord,
@@ -467,7 +473,7 @@
       break;
     }
   }
-  page.ended_ = aEndsJob && page.items_.size() == aWanted.size();
+  page.ended_ = aEndsJob && page.items_.size() == aReferences.size();
   return page;
 }
 
@@ -488,16 +494,16 @@
     return;
   }
   bool endsJob = false;
-  std::vector<WantedResult> wanted =
-    WantPage(route.partition_->table_, aRequest, endsJob);
+  std::vector<ResultReference> references =
+    SelectPage(route.partition_->table_, aRequest, endsJob);
   outbox_.Add([this,
                self = shared_from_this(),
                aPeer,
                call = aRequest.call_,
-               wanted = std::move(wanted),
+               references = std::move(references),
                endsJob] {
-    ports_.post_([this, self, aPeer, call, wanted, endsJob] {
-      wire::ResultsPage page = ReadPage(wanted, endsJob);
+    ports_.post_([this, self, aPeer, call, references, endsJob] {
+      wire::ResultsPage page = ReadPage(references, endsJob);
       page.call_ = call;
       ports_.send_(aPeer, std::move(page));
     });
@@ -505,44 +511,49 @@
 }
 
 void
-JobService::ReplyFinished(const Asker& aAsker, const WantedResult& aWanted)
-{
-  outbox_.Add([this, self = shared_from_this(), aAsker, wanted = aWanted] {
-    ports_.post_([this, self, aAsker, wanted] {
-      wire::ResultsPage page = ReadPage({ wanted }, true);
-      wire::RecordReply reply;
-      reply.call_ = aAsker.call_;
-      reply.code_ = page.code_;
-      reply.state_ = wire::RecordState::Finished;
-      if (!page.items_.empty()) {
-        reply.result_ = std::move(page.items_.front());
-      }
-      ports_.send_(aAsker.peer_, std::move(reply));
-    });
-  });
-}
-
-void
-JobService::ReplyRecorded(const Asker& aAsker,
-                          const WantedResult& aWanted,
-                          const wire::ItemResult& aReported)
+JobService::ReplyFinished(const Requester& aRequester,
+                          const ResultReference& aReference)
 {
   outbox_.Add(
-    [this, self = shared_from_this(), aAsker, wanted = aWanted, aReported] {
-      ports_.post_([this, self, aAsker, wanted, aReported] {
-        wire::ResultsPage page = ReadPage({ wanted }, true);
-        wire::RecordResultReply reply;
-        reply.call_ = aAsker.call_;
+    [this, self = shared_from_this(), aRequester, reference = aReference] {
+      ports_.post_([this, self, aRequester, reference] {
+        wire::ResultsPage page = ReadPage({ reference }, true);
+        wire::RecordReply reply;
+        reply.call_ = aRequester.call_;
         reply.code_ = page.code_;
+        reply.state_ = wire::RecordState::Finished;
         if (!page.items_.empty()) {
           reply.result_ = std::move(page.items_.front());
-          // The same result reported again, because a reply was lost, is first.
-          reply.first_ = reply.result_.code_ == aReported.code_ &&
-                         reply.result_.text_ == aReported.text_;
         }
-        ports_.send_(aAsker.peer_, std::move(reply));
+        ports_.send_(aRequester.peer_, std::move(reply));
       });
     });
 }
 
+void
+JobService::ReplyRecorded(const Requester& aRequester,
+                          const ResultReference& aReference,
+                          const wire::ItemResult& aReported)
+{
+  outbox_.Add([this,
+               self = shared_from_this(),
+               aRequester,
+               reference = aReference,
+               aReported] {
+    ports_.post_([this, self, aRequester, reference, aReported] {
+      wire::ResultsPage page = ReadPage({ reference }, true);
+      wire::RecordResultReply reply;
+      reply.call_ = aRequester.call_;
+      reply.code_ = page.code_;
+      if (!page.items_.empty()) {
+        reply.result_ = std::move(page.items_.front());
+        // The same result is reported again when a reply was lost.
+        reply.first_ = reply.result_.code_ == aReported.code_ &&
+                       reply.result_.text_ == aReported.text_;
+      }
+      ports_.send_(aRequester.peer_, std::move(reply));
+    });
+  });
+}
+
 } // namespace pumiceturn::keeper
--- a/Libraries/LibKeeper/JobServiceRuns.cpp
+++ b/Libraries/LibKeeper/JobServiceRuns.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr std::size_t kMaxEndsInRecord = 256;
-constexpr std::size_t kMaxBytesInRecord = 1U << 20U;
-constexpr std::size_t kMaxForwarded = 65536;
+constexpr std::size_t kMaxResultsPerRecord = 256;
+constexpr std::size_t kMaxResultBytesPerRecord = 1U << 20U;
+constexpr std::size_t kMaxForwardedRuns = 65536;
 constexpr std::uint32_t kDefaultDeadlineMs = 30000;
 
 std::uint32_t
 RemainingMs(std::int64_t aDeadlineUnixMs,
             std::int64_t aNowUnixMs,
-            std::uint32_t aAtLeast)
+            std::uint32_t aMinMs)
 {
   const std::int64_t left = aDeadlineUnixMs - aNowUnixMs;
-  return left > aAtLeast ? static_cast<std::uint32_t>(left) : aAtLeast;
+  return left > aMinMs ? static_cast<std::uint32_t>(left) : aMinMs;
 }
 
 } // namespace
@@ -56,15 +56,15 @@
     if (route.code_ == base::ResultCode::NotOwner) {
       Forward(aPeer, route.index_, aEnded);
     } else if (found != partitions_.end()) {
-      found->second.heldUntilOwned_.push_back({ aPeer, aEnded });
+      found->second.deferredUntilOwned_.push_back({ aPeer, aEnded });
     }
     return;
   }
   if (route.partition_->table_.IsAccepting(id)) {
-    Hold(*route.partition_, id, aPeer, aEnded);
+    Defer(*route.partition_, id, aPeer, aEnded);
     return;
   }
-  DecideEnded(aPeer, route, aEnded);
+  HandleRunEnd(aPeer, route, aEnded);
 }
 
 void
@@ -73,12 +73,12 @@
                     const wire::RunEnded& aEnded)
 {
   const std::string owner = ports_.ownerOf_(aPartition);
-  // Only what an agent reported is forwarded: two keepers with different views
-  // of the owner would otherwise send a message to and fro.
+  // Only reports from agents are forwarded. Otherwise two keepers with
+  // different views of the owner would forward a message back and forth.
   if (!scheduler_.IsAgent(aPeer) || owner.empty() || owner == ports_.host_) {
     return;
   }
-  if (forwarded_.size() >= kMaxForwarded) {
+  if (forwarded_.size() >= kMaxForwardedRuns) {
     forwarded_.clear();
   }
   forwarded_[aEnded.run_] = aPeer;
@@ -86,42 +86,42 @@
 }
 
 void
-JobService::DecideEnded(const std::string& aPeer,
-                        const Route& aRoute,
-                        const wire::RunEnded& aEnded)
+JobService::HandleRunEnd(const std::string& aPeer,
+                         const Route& aRoute,
+                         const wire::RunEnded& aEnded)
 {
   OwnedPartition& partition = *aRoute.partition_;
   const base::RunId& id = aEnded.run_;
   const bool isOk = aEnded.code_ == base::ResultCode::Ok;
   const jobs::RunInFlight* known = scheduler_.FindRun(id);
   if (known != nullptr && known->agent_ != aPeer && !isOk) {
-    // The run is elsewhere by now; this agent's failure does not end it.
+    // The run is now at another agent, so this agent's failure does not end it.
     Send(aPeer, wire::RunRecorded{ id });
     return;
   }
   jobs::EndDecision decision = partition.table_.DecideRunEnd(aEnded);
   if (decision.action_ == jobs::EndAction::Wait) {
-    Hold(partition, id.job_, aPeer, aEnded);
+    Defer(partition, id.job_, aPeer, aEnded);
     return;
   }
-  const auto run = scheduler_.EndRun(id, aPeer);
+  const auto run = scheduler_.RemoveRun(id, aPeer);
   if (run && isOk && !run->online_) {
     scheduler_.RecordServiceTime(run->service_, ports_.now_() - run->started_);
   }
   switch (decision.action_) {
     case jobs::EndAction::Record: {
-      WaitingEnd end{ std::move(*decision.record_),
-                      EndNotice::RunRecorded,
-                      { aPeer, 0 } };
-      end.ended_.result_.name_ = run ? run->itemName_ : std::string();
-      NameThenRecord(aRoute, std::move(end));
+      PendingResult pending{ std::move(*decision.record_),
+                             ResultNotification::RunRecorded,
+                             { aPeer, 0 } };
+      pending.ended_.result_.name_ = run ? run->itemName_ : std::string();
+      ResolveNameAndRecord(aRoute, std::move(pending));
       break;
     }
     case jobs::EndAction::Requeue:
-      AfterRequeue(aRoute, aPeer, aEnded);
+      OnItemRequeued(aRoute, aPeer, aEnded);
       break;
-    case jobs::EndAction::Forget:
-    case jobs::EndAction::Refuse:
+    case jobs::EndAction::Discard:
+    case jobs::EndAction::Reject:
     case jobs::EndAction::Wait:
       if (isOk) {
         ++counts_.resultsDropped_;
@@ -135,9 +135,9 @@
 }
 
 void
-JobService::AfterRequeue(const Route& aRoute,
-                         const std::string& aPeer,
-                         const wire::RunEnded& aEnded)
+JobService::OnItemRequeued(const Route& aRoute,
+                           const std::string& aPeer,
+                           const wire::RunEnded& aEnded)
 {
   const base::RunId& id = aEnded.run_;
   OwnedPartition& partition = *aRoute.partition_;
@@ -176,175 +176,180 @@
   result.detail_ = std::move(aDetail);
   jobs::EndDecision decision = aRoute.partition_->table_.EndItem(aRun, result);
   if (decision.action_ == jobs::EndAction::Record) {
-    NameThenRecord(aRoute,
-                   { std::move(*decision.record_), EndNotice::Nobody, {} });
+    ResolveNameAndRecord(
+      aRoute, { std::move(*decision.record_), ResultNotification::None, {} });
   }
 }
 
 void
-JobService::NameThenRecord(const Route& aRoute, WaitingEnd aEnd)
+JobService::ResolveNameAndRecord(const Route& aRoute, PendingResult aPending)
 {
   OwnedPartition& partition = *aRoute.partition_;
-  const jobs::Job& job = *partition.table_.Find(aEnd.ended_.run_.job_);
-  const wire::ItemResult& result = aEnd.ended_.result_;
+  const jobs::Job& job = *partition.table_.Find(aPending.ended_.run_.job_);
+  const wire::ItemResult& result = aPending.ended_.result_;
   if (result.code_ != base::ResultCode::Ok) {
     base::Log(kItemFailed,
-              { { "run", base::ToString(aEnd.ended_.run_) },
+              { { "run", base::ToString(aPending.ended_.run_) },
                 { "code", base::NameOf(result.code_) },
                 { "detail", result.detail_ } });
   }
   if (job.description_.online_ || !result.name_.empty()) {
-    AddEnd(aRoute.index_, partition, std::move(aEnd));
+    QueueResult(aRoute.index_, partition, std::move(aPending));
     return;
   }
-  // The run was started by a former owner, or ends without one, so the caller's
-  // label has to be read back.
-  const jobs::ItemPlace place = job.PlaceOf(aEnd.ended_.run_.item_);
+  // The run was started by a previous owner or the item ends without a run, so
+  // the item's name is read from the log.
+  const jobs::ItemLocation location =
+    job.LocateItem(aPending.ended_.run_.item_);
   outbox_.Add([this,
                self = shared_from_this(),
                index = aRoute.index_,
                epoch = partition.epoch_,
-               place,
-               end = std::move(aEnd)] {
-    ports_.post_([this, self, index, epoch, place, end]() mutable {
-      const auto item = ReadItemAt(place);
+               location,
+               pending = std::move(aPending)] {
+    ports_.post_([this, self, index, epoch, location, pending]() mutable {
+      const auto item = ReadItemAt(location);
       Lock lock(mutex_);
       OwnedPartition* owned = FindEpoch(index, epoch);
       if (owned != nullptr) {
         if (const auto* found = std::get_if<wire::JobItem>(&item)) {
-          end.ended_.result_.name_ = found->name_;
+          pending.ended_.result_.name_ = found->name_;
         }
-        AddEnd(index, *owned, std::move(end));
+        QueueResult(index, *owned, std::move(pending));
       }
-      Leave(std::move(lock));
+      UnlockAndDrain(std::move(lock));
     });
   });
 }
 
 base::Outcome<wire::JobItem>
-JobService::ReadItemAt(const jobs::ItemPlace& aPlace)
+JobService::ReadItemAt(const jobs::ItemLocation& aLocation)
 {
   return base::Capture([&]() -> base::Result<wire::JobItem> {
-    BOOST_LEAF_AUTO(bytes, cache_.Get(aPlace.record_));
-    return jobs::ReadItem(*bytes, aPlace.index_);
+    BOOST_LEAF_AUTO(bytes, cache_.Get(aLocation.record_));
+    return jobs::ReadItem(*bytes, aLocation.index_);
   });
 }
 
 void
-JobService::AddEnd(std::uint32_t aIndex,
-                   OwnedPartition& aPartition,
-                   WaitingEnd aEnd)
+JobService::QueueResult(std::uint32_t aIndex,
+                        OwnedPartition& aPartition,
+                        PendingResult aPending)
 {
-  aPartition.ends_.push_back(std::move(aEnd));
-  FlushEnds(aIndex, aPartition);
+  aPartition.pendingResults_.push_back(std::move(aPending));
+  AppendQueuedResults(aIndex, aPartition);
 }
 
 void
-JobService::FlushEnds(std::uint32_t aIndex, OwnedPartition& aPartition)
+JobService::AppendQueuedResults(std::uint32_t aIndex,
+                                OwnedPartition& aPartition)
 {
-  // One record of results is on its way at a time; what ends meanwhile goes
-  // into the next, so groups grow with load and nothing waits for a timer.
-  if (aPartition.endsInFlight_ || aPartition.ends_.empty()) {
+  // One record of results is appended at a time, and results that arrive in the
+  // meantime go into the next one. So groups grow with load without a timer.
+  if (aPartition.resultAppendInFlight_ || aPartition.pendingResults_.empty()) {
     return;
   }
-  std::vector<WaitingEnd>& waiting = aPartition.ends_;
+  std::vector<PendingResult>& waiting = aPartition.pendingResults_;
   std::size_t count = 0;
   std::size_t bytes = 0;
   jobs::ItemsEnded body;
-  while (count < waiting.size() && count < kMaxEndsInRecord &&
-         bytes < kMaxBytesInRecord) {
+  while (count < waiting.size() && count < kMaxResultsPerRecord &&
+         bytes < kMaxResultBytesPerRecord) {
     body.ended_.push_back(waiting[count].ended_);
     bytes += waiting[count].ended_.result_.text_.size();
     ++count;
   }
   const auto last = waiting.begin() + static_cast<std::ptrdiff_t>(count);
-  std::vector<WaitingEnd> group(std::make_move_iterator(waiting.begin()),
-                                std::make_move_iterator(last));
+  std::vector<PendingResult> group(std::make_move_iterator(waiting.begin()),
+                                   std::make_move_iterator(last));
   waiting.erase(waiting.begin(), last);
-  aPartition.endsInFlight_ = true;
-  Append(aIndex,
-         { jobs::Record{ ports_.wallUnixMs_(), std::move(body) } },
-         OnFailure::Retry,
-         [this, aIndex, epoch = aPartition.epoch_, group = std::move(group)](
-           base::ResultCode aCode, std::span<const jobs::Applied> aApplied) {
-           SettleEnds(aIndex, epoch, group, aCode, aApplied);
-         });
+  aPartition.resultAppendInFlight_ = true;
+  Append(
+    aIndex,
+    { jobs::Record{ ports_.wallUnixMs_(), std::move(body) } },
+    OnFailure::Retry,
+    [this, aIndex, epoch = aPartition.epoch_, group = std::move(group)](
+      base::ResultCode aCode, std::span<const jobs::RecordEffects> aEffects) {
+      OnResultsAppended(aIndex, epoch, group, aCode, aEffects);
+    });
 }
 
 void
-JobService::SettleEnds(std::uint32_t aIndex,
-                       std::uint64_t aEpoch,
-                       const std::vector<WaitingEnd>& aEnds,
-                       base::ResultCode aCode,
-                       std::span<const jobs::Applied> aApplied)
+JobService::OnResultsAppended(std::uint32_t aIndex,
+                              std::uint64_t aEpoch,
+                              const std::vector<PendingResult>& aPendingResults,
+                              base::ResultCode aCode,
+                              std::span<const jobs::RecordEffects> aEffects)
 {
   OwnedPartition* partition = FindEpoch(aIndex, aEpoch);
-  for (std::size_t index = 0; index < aEnds.size(); ++index) {
-    const WaitingEnd& end = aEnds[index];
+  for (std::size_t index = 0; index < aPendingResults.size(); ++index) {
+    const PendingResult& pending = aPendingResults[index];
     if (aCode != base::ResultCode::Ok || partition == nullptr) {
-      NotifyMoved(aIndex, end);
+      NotifyNotOwner(aIndex, pending);
       continue;
     }
-    NotifyEnd(*partition, end, aApplied.front().ended_[index].first_);
+    NotifyRecorded(*partition, pending, aEffects.front().ended_[index].first_);
   }
   if (partition == nullptr) {
     return;
   }
-  partition->endsInFlight_ = false;
-  for (const WaitingEnd& end : aEnds) {
-    ReleaseHeld(*partition, end.ended_.run_.job_);
+  partition->resultAppendInFlight_ = false;
+  for (const PendingResult& pending : aPendingResults) {
+    HandleDeferred(*partition, pending.ended_.run_.job_);
   }
-  FlushEnds(aIndex, *partition);
+  AppendQueuedResults(aIndex, *partition);
 }
 
 void
-JobService::NotifyEnd(const OwnedPartition& aPartition,
-                      const WaitingEnd& aEnd,
-                      bool aIsFirst)
+JobService::NotifyRecorded(const OwnedPartition& aPartition,
+                           const PendingResult& aPending,
+                           bool aIsFirst)
 {
-  switch (aEnd.notice_) {
-    case EndNotice::Nobody:
+  switch (aPending.notification_) {
+    case ResultNotification::None:
       return;
-    case EndNotice::RunRecorded:
-      Send(aEnd.asker_.peer_, wire::RunRecorded{ aEnd.ended_.run_ });
+    case ResultNotification::RunRecorded:
+      Send(aPending.requester_.peer_,
+           wire::RunRecorded{ aPending.ended_.run_ });
       return;
-    case EndNotice::RecordResultReply:
+    case ResultNotification::RecordResultReply:
       break;
   }
-  const auto wanted = WantOnline(aPartition.table_, aEnd.ended_.run_.job_);
-  if (!aIsFirst && wanted) {
-    ReplyRecorded(aEnd.asker_, *wanted, aEnd.ended_.result_);
+  const auto reference =
+    FindOnlineResult(aPartition.table_, aPending.ended_.run_.job_);
+  if (!aIsFirst && reference) {
+    ReplyRecorded(aPending.requester_, *reference, aPending.ended_.result_);
     return;
   }
   wire::RecordResultReply reply;
-  reply.call_ = aEnd.asker_.call_;
+  reply.call_ = aPending.requester_.call_;
   reply.first_ = true;
-  Send(aEnd.asker_.peer_, std::move(reply));
+  Send(aPending.requester_.peer_, std::move(reply));
 }
 
 void
-JobService::NotifyMoved(std::uint32_t aIndex, const WaitingEnd& aEnd)
+JobService::NotifyNotOwner(std::uint32_t aIndex, const PendingResult& aPending)
 {
   const std::string owner = ports_.ownerOf_(aIndex);
-  const Asker& asker = aEnd.asker_;
-  if (aEnd.notice_ == EndNotice::RecordResultReply) {
+  const Requester& requester = aPending.requester_;
+  if (aPending.notification_ == ResultNotification::RecordResultReply) {
     wire::RecordResultReply reply;
-    reply.call_ = asker.call_;
+    reply.call_ = requester.call_;
     reply.code_ = base::ResultCode::NotOwner;
     reply.ownerHint_ = owner;
-    Send(asker.peer_, std::move(reply));
+    Send(requester.peer_, std::move(reply));
     return;
   }
-  if (aEnd.notice_ == EndNotice::RunRecorded) {
-    const wire::ItemResult& result = aEnd.ended_.result_;
+  if (aPending.notification_ == ResultNotification::RunRecorded) {
+    const wire::ItemResult& result = aPending.ended_.result_;
     wire::RunEnded ended;
-    ended.run_ = aEnd.ended_.run_;
+    ended.run_ = aPending.ended_.run_;
     ended.code_ = result.code_;
     ended.ran_ = result.ran_;
     ended.text_ = result.text_;
     ended.tokens_ = result.tokens_;
     ended.detail_ = result.detail_;
-    Forward(asker.peer_, aIndex, ended);
+    Forward(requester.peer_, aIndex, ended);
   }
 }
 
@@ -357,7 +362,7 @@
 }
 
 void
-JobService::TellDemand(const std::vector<jobs::DemandNotice>& aNotices)
+JobService::SendDemand(const std::vector<jobs::DemandNotice>& aNotices)
 {
   for (const jobs::DemandNotice& notice : aNotices) {
     Send(notice.agent_, notice.demand_);
@@ -380,15 +385,16 @@
 {
   const base::Instant now = ports_.now_();
   const std::int64_t nowUnixMs = ports_.wallUnixMs_();
-  while (const auto assignment = scheduler_.Next(aService, now, nowUnixMs)) {
-    const jobs::Pick& pick = assignment->pick_;
-    const Route route = RouteTo(pick.job_);
+  while (const auto assignment =
+           scheduler_.AssignNext(aService, now, nowUnixMs)) {
+    const jobs::Selection& selection = assignment->selection_;
+    const Route route = RouteTo(selection.job_);
     std::optional<jobs::Dispatch> dispatch;
     if (route.partition_ != nullptr) {
-      dispatch = route.partition_->table_.TakeItem(pick.job_);
+      dispatch = route.partition_->table_.TakeItem(selection.job_);
     }
     if (!dispatch) {
-      // A late result ended the item while it waited.
+      // A late result ended the item while it was waiting.
       scheduler_.ReturnCredit(assignment->agent_, aService);
       continue;
     }
@@ -397,23 +403,24 @@
       { { "run", base::ToString(dispatch->run_) },
         { "service", aService },
         { "agent", assignment->agent_ },
-        { "credits_left", assignment->credits_ },
-        { "partner", pick.partner_ },
+        { "credits_left", assignment->remainingCredits_ },
+        { "partner", selection.partner_ },
         { "reason",
-          pick.reason_ == jobs::PickReason::Share ? "share" : "urgent" },
-        { "laxity_ms", pick.laxityMs_ },
-        { "waiting_of_job", pick.waiting_ },
-        { "partners_waiting", pick.partners_ } });
-    Load(route,
-         *dispatch,
-         { assignment->agent_, aService, {}, now, false, false });
+          selection.reason_ == jobs::SelectionReason::Share ? "share"
+                                                            : "urgent" },
+        { "laxity_ms", selection.laxityMs_ },
+        { "waiting_of_job", selection.waiting_ },
+        { "partners_waiting", selection.partners_ } });
+    LoadPayload(route,
+                *dispatch,
+                { assignment->agent_, aService, {}, now, false, false });
   }
 }
 
 void
-JobService::Load(const Route& aRoute,
-                 const jobs::Dispatch& aDispatch,
-                 jobs::RunInFlight aRun)
+JobService::LoadPayload(const Route& aRoute,
+                        const jobs::Dispatch& aDispatch,
+                        jobs::RunInFlight aRun)
 {
   const LoadingRun loading{ aRoute.index_,
                             aRoute.partition_->epoch_,
@@ -421,24 +428,24 @@
   scheduler_.AddRun(aDispatch.run_, std::move(aRun));
   outbox_.Add([this, self = shared_from_this(), loading] {
     ports_.post_([this, self, loading] {
-      const auto item = ReadItemAt(loading.dispatch_.place_);
+      const auto item = ReadItemAt(loading.dispatch_.location_);
       Lock lock(mutex_);
-      OnLoaded(loading, item);
-      Leave(std::move(lock));
+      OnPayloadLoaded(loading, item);
+      UnlockAndDrain(std::move(lock));
     });
   });
 }
 
 void
-JobService::OnLoaded(const LoadingRun& aLoading,
-                     const base::Outcome<wire::JobItem>& aItem)
+JobService::OnPayloadLoaded(const LoadingRun& aLoading,
+                            const base::Outcome<wire::JobItem>& aItem)
 {
   const base::RunId& id = aLoading.dispatch_.run_;
   OwnedPartition* partition = FindEpoch(aLoading.partition_, aLoading.epoch_);
   if (partition == nullptr || scheduler_.FindRun(id) == nullptr ||
       !partition->table_.IsRunning(id)) {
-    // Cancelled, ended by a late result, or moved while the payload was read:
-    // an item that has not begun does not start.
+    // The job was cancelled, the item ended by a late result, or the partition
+    // moved while the payload was read. The run is not started.
     DropRun(id);
     return;
   }
@@ -453,13 +460,13 @@
       route, id, failure->code_, base::Ran::NotRun, failure->detail_);
     return;
   }
-  StartLoaded(route, aLoading, std::get<wire::JobItem>(aItem));
+  StartLoadedRun(route, aLoading, std::get<wire::JobItem>(aItem));
 }
 
 void
-JobService::StartLoaded(const Route& aRoute,
-                        const LoadingRun& aLoading,
-                        const wire::JobItem& aItem)
+JobService::StartLoadedRun(const Route& aRoute,
+                           const LoadingRun& aLoading,
+                           const wire::JobItem& aItem)
 {
   const base::RunId& id = aLoading.dispatch_.run_;
   const std::string& service = scheduler_.FindRun(id)->service_;
@@ -470,7 +477,7 @@
                   id,
                   base::ResultCode::Quarantined,
                   base::Ran::NotRun,
-                  "its content crashed endpoints");
+                  "the content is quarantined because it crashed endpoints");
     return;
   }
   jobs::RunInFlight* run = scheduler_.FindRun(id);
@@ -479,21 +486,21 @@
     SendStart(aLoading, aItem);
     return;
   }
-  // A non-idempotent run that leaves no trace could be run again by the next
-  // owner after this one is lost. So the start is durable before the first byte
-  // leaves.
-  Append(aLoading.partition_,
-         { jobs::Record{ ports_.wallUnixMs_(),
-                         jobs::ItemStarted{ id, run->agent_ } } },
-         OnFailure::Report,
-         [this, aLoading, aItem](base::ResultCode aCode,
-                                 std::span<const jobs::Applied> /*aApplied*/) {
-           if (aCode == base::ResultCode::Ok) {
-             SendStart(aLoading, aItem);
-           } else {
-             TakeBack(aLoading);
-           }
-         });
+  // Without a durable record, the next owner could run a non-idempotent item
+  // again. So the start is recorded before StartRun is sent.
+  Append(
+    aLoading.partition_,
+    { jobs::Record{ ports_.wallUnixMs_(),
+                    jobs::ItemStarted{ id, run->agent_ } } },
+    OnFailure::Report,
+    [this, aLoading, aItem](base::ResultCode aCode,
+                            std::span<const jobs::RecordEffects> /*aEffects*/) {
+      if (aCode == base::ResultCode::Ok) {
+        SendStart(aLoading, aItem);
+      } else {
+        RequeueUnstarted(aLoading);
+      }
+    });
 }
 
 void
@@ -518,14 +525,14 @@
                aLoading]() mutable {
     if (ports_.send_(agent, std::move(start)) != base::ResultCode::Ok) {
       Lock lock(mutex_);
-      TakeBack(aLoading);
-      Leave(std::move(lock));
+      RequeueUnstarted(aLoading);
+      UnlockAndDrain(std::move(lock));
     }
   });
 }
 
 void
-JobService::TakeBack(const LoadingRun& aLoading)
+JobService::RequeueUnstarted(const LoadingRun& aLoading)
 {
   const base::RunId& id = aLoading.dispatch_.run_;
   OwnedPartition* partition = FindEpoch(aLoading.partition_, aLoading.epoch_);
@@ -545,7 +552,7 @@
 void
 JobService::DropRun(const base::RunId& aRun)
 {
-  const auto run = scheduler_.EndRun(aRun, {});
+  const auto run = scheduler_.RemoveRun(aRun, {});
   if (run && !run->online_) {
     scheduler_.ReturnCredit(run->agent_, run->service_);
   }
@@ -571,7 +578,8 @@
   start.payload_ = aItem.payload_;
   start.fence_ = aPartition.epoch_;
   if (job.online_) {
-    // The caller may be gone, but the answer can still be read by its key.
+    // The caller may have disconnected, but can still read the result by its
+    // key.
     const std::uint32_t usual =
       ports_.limitsOf_(job.service_, job.kind_).deadlineMs_;
     start.deadlineMs_ = RemainingMs(job.dueUnixMs_,
@@ -582,19 +590,19 @@
 }
 
 void
-JobService::EndRunsAt(const std::string& aAgent, Runs aRuns)
+JobService::EndRunsOfAgent(const std::string& aAgent, RunsToEnd aRuns)
 {
   std::size_t ended = 0;
-  for (const base::RunId& id : scheduler_.RunsAt(aAgent)) {
+  for (const base::RunId& id : scheduler_.RunsOnAgent(aAgent)) {
     const Route route = RouteTo(id.job_);
     const jobs::Job* job = route.partition_ == nullptr
                              ? nullptr
                              : route.partition_->table_.Find(id.job_);
     if (job == nullptr) {
-      scheduler_.EndRun(id, {});
+      scheduler_.RemoveRun(id, {});
       continue;
     }
-    if (!job->description_.idempotent_ && aRuns == Runs::Idempotent) {
+    if (!job->description_.idempotent_ && aRuns == RunsToEnd::Idempotent) {
       continue;
     }
     const bool isSent = scheduler_.FindRun(id)->sent_;
@@ -603,7 +611,7 @@
     lost.code_ = base::ResultCode::EndpointLost;
     lost.ran_ = isSent ? base::Ran::Unknown : base::Ran::NotRun;
     lost.detail_ = aAgent;
-    DecideEnded(aAgent, route, lost);
+    HandleRunEnd(aAgent, route, lost);
     ++ended;
   }
   if (ended > 0) {
@@ -638,26 +646,26 @@
 {
   OwnedPartition& partition = *aRoute.partition_;
   const jobs::Job* job = partition.table_.Find(aJob);
-  if (job == nullptr || job->IsOver()) {
+  if (job == nullptr || job->IsClosed()) {
     return;
   }
   partition.online_[aJob].ownerRuns_ = true;
   if (!job->description_.idempotent_) {
-    // The started record is there and nobody can tell how the run ended.
+    // The start is recorded, but the outcome of the run is unknown.
     EndWithoutRun(aRoute,
                   { aJob, 0, job->items_.front().attempt_ },
                   base::ResultCode::OutcomeUnknown,
                   base::Ran::Unknown,
-                  "the entry that ran it was lost");
+                  "the entry that ran the request was lost");
     return;
   }
-  if (partition.table_.Orphan(aJob)) {
+  if (partition.table_.MarkOrphaned(aJob)) {
     orphans_.insert(aJob);
   }
 }
 
 void
-JobService::PlaceOrphans()
+JobService::DispatchOrphans()
 {
   const base::Instant now = ports_.now_();
   const std::set<base::JobId> waiting = orphans_;
@@ -670,7 +678,7 @@
       continue;
     }
     const std::string service = job->description_.service_;
-    const auto agent = scheduler_.AgentForOnline(service, now);
+    const auto agent = scheduler_.SelectOnlineAgent(service, now);
     if (!agent) {
       continue;
     }
@@ -684,7 +692,7 @@
                 { "service", service },
                 { "agent", *agent },
                 { "orphans", waiting.size() } });
-    Load(route, *dispatch, { *agent, service, {}, now, true, false });
+    LoadPayload(route, *dispatch, { *agent, service, {}, now, true, false });
   }
 }
 
--- a/Libraries/LibKeeper/KeeperFunction.cpp
+++ b/Libraries/LibKeeper/KeeperFunction.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr base::Duration kTick{ std::chrono::milliseconds{ 100 } };
-constexpr std::uint32_t kDefaultSubset = 20;
+constexpr base::Duration kTickInterval{ std::chrono::milliseconds{ 100 } };
+constexpr std::uint32_t kDefaultSubsetSize = 20;
 
-/// The log service as the job service's ports see it: not there before it has
-/// started and after it was stopped.
+/// Holds the log service for the job service's ports. Empty before the log
+/// service has started and after it has stopped.
 class LogHolder
 {
 public:
@@ -136,7 +136,7 @@
   return ports;
 }
 
-/// A link that this host keeps to an agent.
+/// Name and address of an agent that this host connects to.
 struct AgentLink
 {
   std::string name_;
@@ -145,7 +145,7 @@
 
 std::vector<AgentLink>
 ChooseAgents(const std::string& aHost,
-             std::size_t aWanted,
+             std::size_t aSubsetSize,
              const declarations::Service& aService)
 {
   std::vector<routing::SubsetCandidate> candidates;
@@ -155,7 +155,7 @@
   }
   std::vector<AgentLink> links;
   for (const std::size_t position :
-       routing::ChooseSubset(aHost, candidates, aWanted)) {
+       routing::ChooseSubset(aHost, candidates, aSubsetSize)) {
     const declarations::Endpoint& endpoint =
       aService.endpoints(static_cast<int>(position));
     links.push_back({ endpoint.name(), endpoint.agent_address() });
@@ -213,20 +213,21 @@
 KeeperFunction::State::LinkAgents(const configuration::Snapshot& aConfiguration)
 {
   const std::uint32_t configured = context_.settings_.entry().subset_size();
-  const std::size_t wanted = configured == 0 ? kDefaultSubset : configured;
+  const std::size_t subsetSize =
+    configured == 0 ? kDefaultSubsetSize : configured;
   const std::lock_guard lock(linksMutex_);
   for (const declarations::Service& service :
        aConfiguration.Content().declarations().services()) {
     std::vector<std::string> names;
     for (const AgentLink& link :
-         ChooseAgents(context_.settings_.host(), wanted, service)) {
+         ChooseAgents(context_.settings_.host(), subsetSize, service)) {
       context_.links_.Connect(link.name_, link.address_);
       linked_.insert(link.name_);
       names.push_back(link.name_);
     }
     jobs_->SetAgents(service.name(), names);
     for (const std::string& name : names) {
-      // The entry of this host may have opened the link before.
+      // The entry function of this host may already have opened the link.
       if (context_.links_.IsUp(name) && !jobs_->IsAgentUp(name)) {
         jobs_->OnLinkState(name, wire::LinkState::Up);
       }
@@ -265,7 +266,7 @@
       }
     });
   state->LinkAgents(*aContext.configuration_.Current());
-  aContext.pool_.PostEvery(kTick, [weak] {
+  aContext.pool_.PostEvery(kTickInterval, [weak] {
     if (const auto locked = weak.lock()) {
       locked->Tick();
     }
--- a/Libraries/LibKeeper/KeeperFunction.h
+++ b/Libraries/LibKeeper/KeeperFunction.h
@@ -9,30 +9,32 @@
 
 namespace pumiceturn::keeper {
 
-/// The keeper function: owns jobs of its partitions, records results, and feeds
-/// batch items to agents that have granted credits. Thread-safe.
+/// The keeper function of a process: owns the jobs of its partitions, records
+/// results, and dispatches batch items to agents that granted credits.
+/// Thread-safe.
 class KeeperFunction
 {
 public:
+  /// Starts the log service and the job service.
+  /// @return the function, or the error of the log service.
   static base::Result<std::unique_ptr<KeeperFunction>> Start(
     node::Context aContext);
   ~KeeperFunction();
   KeeperFunction(const KeeperFunction&) = delete;
   KeeperFunction& operator=(const KeeperFunction&) = delete;
 
-  /// Takes the messages meant for this function; runs on a pool thread, in
-  /// order for one peer.
+  /// Handles a message. Called on a pool thread, in order for each peer.
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
   void OnLinkState(const std::string& aPeer, wire::LinkState aState);
 
-  /// Adds this function's part to the next heartbeat to a peer.
+  /// Sets the keeper's fields of the next heartbeat to a peer.
   void FillHeartbeat(const std::string& aPeer,
                      wire::Heartbeat& aHeartbeat) const;
 
-  /// Refuses new work from now on; what runs is finished or handed over.
+  /// Stops accepting work. Runs are finished or handed over.
   void BeginDrain();
 
-  /// @return whether nothing is left that a shutdown would cut off.
+  /// @return whether a shutdown would interrupt no work.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] node::Readiness GetReadiness() const;
   void Stop();
@@ -40,7 +42,7 @@
 private:
   struct State;
   explicit KeeperFunction(std::shared_ptr<State> aState);
-  /// Shared with timers and subscriptions, which may outlive the function.
+  /// Shared with timers and subscriptions, which may outlive this object.
   std::shared_ptr<State> state_;
 };
 
--- a/Libraries/LibKeeper/Outbox.cpp
+++ b/Libraries/LibKeeper/Outbox.cpp
@@ -24,7 +24,7 @@
     actions_.pop_front();
     lock.unlock();
     action();
-    // A captured object's destructor may call back, so it runs unlocked.
+    // Destructors of captured objects may call back, so they run unlocked.
     action = nullptr;
     lock.lock();
   }
--- a/Libraries/LibKeeper/Outbox.h
+++ b/Libraries/LibKeeper/Outbox.h
@@ -6,9 +6,9 @@
 
 namespace pumiceturn::keeper {
 
-/// Calls to other parts that were decided with the keeper's lock held, and are
-/// made without it, in the order decided. So appends reach the log in the order
-/// of the decisions, and a callee may call back at once. Thread-safe.
+/// Queue of calls that are added while the job service's lock is held and run
+/// after it is released, in the order added. So appends reach the log in the
+/// order of the decisions, and a callee may call back. Thread-safe.
 class Outbox
 {
 public:
@@ -16,8 +16,8 @@
 
   void Add(Action aAction);
 
-  /// Runs what was added, until nothing is left. Where another thread, or a
-  /// caller further up, does so already, that one runs it all.
+  /// Runs queued actions until the queue is empty. Returns at once when another
+  /// thread or an outer call is already draining; that call runs all actions.
   void Drain();
 
 private:
--- a/Libraries/LibKeeper/OwnedPartition.h
+++ b/Libraries/LibKeeper/OwnedPartition.h
@@ -14,80 +14,85 @@
 
 namespace pumiceturn::keeper {
 
-/// Who waits for a reply.
-struct Asker
+/// The peer and call that a reply is sent to.
+struct Requester
 {
   std::string peer_;
   std::uint64_t call_ = 0;
 
-  bool operator==(const Asker&) const = default;
+  bool operator==(const Requester&) const = default;
 };
 
-/// Who runs an online request, and who else waits for its result.
+/// The runner of an online request, and the other callers that wait for its
+/// result.
 struct OnlineRun
 {
-  Asker runner_; ///< Empty peer: nobody known, after a takeover.
+  Requester runner_; ///< Empty peer: unknown, after a takeover.
   bool ownerRuns_ = false;
-  std::vector<Asker> waiters_;
+  std::vector<Requester> waiters_;
 };
 
-/// Who is told once a result is durable.
-enum class EndNotice : std::uint8_t
+/// The message to be sent once a result is durable.
+enum class ResultNotification : std::uint8_t
 {
-  RunRecorded,       ///< An agent, or the keeper that forwarded its message.
-  RecordResultReply, ///< An entry.
-  Nobody,
+  RunRecorded,       ///< To an agent, or to the keeper that forwarded it.
+  RecordResultReply, ///< To an entry.
+  None,
 };
 
-/// A result on its way into the log.
-struct WaitingEnd
+/// A result that is queued for or being appended to the log.
+struct PendingResult
 {
   jobs::ItemEnded ended_;
-  EndNotice notice_ = EndNotice::Nobody;
-  Asker asker_;
+  ResultNotification notification_ = ResultNotification::None;
+  Requester requester_;
 };
 
-struct HeldMessage
+/// A message that is handled once a pending append has completed.
+struct DeferredMessage
 {
   std::string peer_;
   wire::Message message_;
 };
 
-/// Called under the lock, once the records were applied or will not be.
-using Settled = std::function<void(base::ResultCode aCode,
-                                   std::span<const jobs::Applied> aApplied)>;
+/// Called under the lock when the records have been applied or the append has
+/// failed.
+using AppendCallback =
+  std::function<void(base::ResultCode aCode,
+                     std::span<const jobs::RecordEffects> aEffects)>;
 
+/// An append to be retried.
 struct RetriedAppend
 {
   std::shared_ptr<std::vector<jobs::Record>> records_;
-  Settled settled_;
+  AppendCallback callback_;
 };
 
-/// What this host keeps of a partition that it owns or recovers.
+/// State of a partition that this host owns or recovers.
 struct OwnedPartition
 {
   enum class Phase : std::uint8_t
   {
-    Recovering, ///< The log is replayed; callers are asked to come back.
-    Settling,   ///< Serves callers; waits for what agents report unasked.
+    Recovering, ///< Replaying the log; callers are asked to retry.
+    Settling,   ///< Serving callers; waiting for reports of the agents.
     Serving,
   };
 
   Phase phase_ = Phase::Recovering;
   std::uint64_t epoch_ = 0;
   jobs::JobTable table_;
-  /// Lower bound of the next record's sequence, so that a trim never goes too
-  /// far: failed appends may use up numbers that are not counted here.
+  /// Lower bound of the next record's sequence number. Failed appends may use
+  /// numbers that are not counted here, so a trim never removes too much.
   std::uint64_t nextSequence_ = 0;
-  base::Instant settlesAt_{};
-  std::vector<WaitingEnd> ends_;
-  bool endsInFlight_ = false;
-  /// Facts whose append failed and may be in the log all the same: they are
-  /// appended again, unchanged.
+  base::Instant settlingEndsAt_{};
+  std::vector<PendingResult> pendingResults_;
+  bool resultAppendInFlight_ = false;
+  /// Results and cancellations whose append failed. They may be in the log all
+  /// the same, so they are appended again unchanged.
   std::vector<RetriedAppend> retries_;
-  std::unordered_map<base::JobId, std::vector<HeldMessage>> held_;
+  std::unordered_map<base::JobId, std::vector<DeferredMessage>> deferred_;
   std::unordered_map<base::JobId, OnlineRun> online_;
-  std::vector<HeldMessage> heldUntilOwned_;
+  std::vector<DeferredMessage> deferredUntilOwned_;
 };
 
 } // namespace pumiceturn::keeper
--- a/Libraries/LibKeeper/RecordCache.h
+++ b/Libraries/LibKeeper/RecordCache.h
@@ -12,9 +12,9 @@
 
 namespace pumiceturn::keeper {
 
-/// The records read last from the log. Items of a frame go out one after
-/// another and results are read in pages, so without it one record would be
-/// read once for each of its items. Thread-safe.
+/// LRU cache of log records. Items of a record are dispatched one after another
+/// and results are read in pages, so without the cache a record would be read
+/// once per item. Thread-safe.
 class RecordCache
 {
 public:
@@ -43,7 +43,7 @@
   Read read_;
   std::size_t maxBytes_;
   std::mutex mutex_;
-  std::list<Entry> entries_; ///< Used last first.
+  std::list<Entry> entries_; ///< Most recently used first.
   std::size_t bytes_ = 0;
 };
 
--- a/Tests/LibJobs/JobFixture.h
+++ b/Tests/LibJobs/JobFixture.h
@@ -28,37 +28,40 @@
 }
 
 inline wire::JobDescription
-MakeLot(const std::string& aKey, std::uint64_t aDigest, std::uint32_t aItems)
+MakeBatchJob(const std::string& aKey,
+             std::uint64_t aDigest,
+             std::uint32_t aItems)
 {
-  wire::JobDescription lot;
-  lot.id_ = base::MakeJobId("slaegtsspor", aKey);
-  lot.partner_ = "slaegtsspor";
-  lot.service_ = "origin-llm";
-  lot.kind_ = "lineage-batch";
-  lot.key_ = aKey;
-  lot.digest_ = aDigest;
-  lot.itemCount_ = aItems;
-  lot.dueUnixMs_ = kNow + 600'000;
-  lot.retentionS_ = 3600;
-  lot.maxAttempts_ = 3;
-  return lot;
+  wire::JobDescription job;
+  job.id_ = base::MakeJobId("slaegtsspor", aKey);
+  job.partner_ = "slaegtsspor";
+  job.service_ = "origin-llm";
+  job.kind_ = "lineage-batch";
+  job.key_ = aKey;
+  job.digest_ = aDigest;
+  job.itemCount_ = aItems;
+  job.dueUnixMs_ = kNow + 600'000;
+  job.retentionS_ = 3600;
+  job.maxAttempts_ = 3;
+  return job;
 }
 
-/// @param aCount Items in the frame; the last one of the lot closes it.
+/// @param aCount Number of items. The frame is the last one if it holds the
+/// job's last item.
 inline wire::SubmitFrame
-MakeFrame(const wire::JobDescription& aLot,
+MakeFrame(const wire::JobDescription& aJob,
           std::uint32_t aFirst,
           std::uint32_t aCount)
 {
   wire::SubmitFrame frame;
   frame.call_ = 1 + aFirst;
-  frame.job_ = aLot;
+  frame.job_ = aJob;
   frame.firstItem_ = aFirst;
   for (std::uint32_t item = aFirst; item < aFirst + aCount; ++item) {
     frame.items_.push_back(
       { "name-" + std::to_string(item), "payload-" + std::to_string(item) });
   }
-  frame.last_ = aFirst + aCount == aLot.itemCount_;
+  frame.last_ = aFirst + aCount == aJob.itemCount_;
   return frame;
 }
 
@@ -76,13 +79,13 @@
   return ended;
 }
 
-/// A table with the log that it is a fold of.
+/// A job table and the log of its records.
 struct LoggedTable
 {
   std::vector<Record> log_;
   JobTable table_;
 
-  Applied Write(const Record& aRecord)
+  RecordEffects Write(const Record& aRecord)
   {
     log_.push_back(aRecord);
     return table_.Apply(aRecord, { 0, 1, log_.size() - 1 }, log_.size());
@@ -105,7 +108,7 @@
     return decision.answer_;
   }
 
-  Acceptance Ask(const wire::RecordRequest& aRequest)
+  Acceptance SubmitRequest(const wire::RecordRequest& aRequest)
   {
     const AcceptDecision decision = table_.AcceptOnline(aRequest, 3, kNow);
     if (decision.answer_ == Acceptance::Append) {
@@ -123,7 +126,7 @@
     return decision.action_;
   }
 
-  /// The same log read by a new owner.
+  /// @return a new table built by replaying the log.
   [[nodiscard]] LoggedTable TakeOver() const
   {
     LoggedTable next;
@@ -133,16 +136,16 @@
     return next;
   }
 
-  /// @return the recorded result at a position.
+  /// @return the recorded result at a position of the job.
   [[nodiscard]] wire::ItemResult ResultAt(const base::JobId& aJob,
                                           std::uint32_t aPosition) const
   {
     const FinishedRequest* online = table_.FindFinished(aJob);
-    const ResultPlace& place = online != nullptr
-                                 ? online->result_
-                                 : table_.Find(aJob)->results_.at(aPosition);
-    return std::get<ItemsEnded>(log_.at(place.record_.offset_).body_)
-      .ended_.at(place.index_)
+    const ResultLocation& location =
+      online != nullptr ? online->result_
+                        : table_.Find(aJob)->results_.at(aPosition);
+    return std::get<ItemsEnded>(log_.at(location.record_.offset_).body_)
+      .ended_.at(location.index_)
       .result_;
   }
 };
--- a/Tests/LibJobs/LaxityQueueTest.cpp
+++ b/Tests/LibJobs/LaxityQueueTest.cpp
@@ -17,13 +17,13 @@
 {
   LaxityQueue queue_;
 
-  std::map<std::string, int> TakeMany(int aCount)
+  std::map<std::string, int> PopMany(int aCount)
   {
-    std::map<std::string, int> picks;
+    std::map<std::string, int> selections;
     for (int index = 0; index < aCount; ++index) {
-      ++picks[std::string(queue_.Take(kNow).value().partner_)];
+      ++selections[std::string(queue_.Pop(kNow).value().partner_)];
     }
-    return picks;
+    return selections;
   }
 };
 
@@ -40,12 +40,12 @@
     job_.service_ = "origin-llm";
     job_.dueUnixMs_ = kFarOff;
     scheduler_.SetAgents("origin-llm", { "agent-1", "agent-2" });
-    scheduler_.LinkUp("agent-1");
+    scheduler_.OnLinkUp("agent-1");
   }
 
   std::optional<Assignment> Next()
   {
-    return scheduler_.Next("origin-llm", now_, kNow);
+    return scheduler_.AssignNext("origin-llm", now_, kNow);
   }
 };
 
@@ -55,13 +55,13 @@
 {
   queue_.Add({ 1, 1 }, "society", 1, kFarOff, 1);
   queue_.Add({ 2, 2 }, "society", 1, kFarOff - 1000, 1);
-  // Due later than the others, but with far more work left.
+  // Due later than the others, but with much more remaining work.
   queue_.Add({ 3, 3 }, "society", 1, kFarOff + 1000, 1000);
-  CHECK(queue_.Take(kNow)->job_ == base::JobId{ 3, 3 });
+  CHECK(queue_.Pop(kNow)->job_ == base::JobId{ 3, 3 });
   queue_.Remove({ 3, 3 });
-  CHECK(queue_.Take(kNow)->job_ == base::JobId{ 2, 2 });
-  CHECK(queue_.Take(kNow)->job_ == base::JobId{ 1, 1 });
-  CHECK_FALSE(queue_.Take(kNow));
+  CHECK(queue_.Pop(kNow)->job_ == base::JobId{ 2, 2 });
+  CHECK(queue_.Pop(kNow)->job_ == base::JobId{ 1, 1 });
+  CHECK_FALSE(queue_.Pop(kNow));
   CHECK(queue_.Waiting() == 0);
 }
 
@@ -69,35 +69,35 @@
 {
   queue_.Add({ 1, 1 }, "large", 3, kFarOff, 1000);
   queue_.Add({ 2, 2 }, "small", 1, kFarOff, 1000);
-  const auto picks = TakeMany(400);
-  CHECK(picks.at("large") == 300);
-  CHECK(picks.at("small") == 100);
+  const auto selections = PopMany(400);
+  CHECK(selections.at("large") == 300);
+  CHECK(selections.at("small") == 100);
 }
 
 TEST_CASE_METHOD(LaxityQueueFixture,
-                 "LaxityQueue_PartnerBackFromIdle_TakesItsShareOnly")
+                 "LaxityQueue_PartnerIdleThenActive_GetsOnlyItsShare")
 {
-  // One partner has had the fleet to itself all night. When another one comes,
-  // both get their share: the first is not shut out for what it had before.
+  // A partner that used an otherwise idle service must not be blocked when
+  // another partner submits work.
   queue_.Add({ 1, 1 }, "night", 1, kFarOff, 2000);
-  TakeMany(1000);
+  PopMany(1000);
   queue_.Add({ 2, 2 }, "morning", 1, kFarOff, 1000);
-  const auto picks = TakeMany(100);
-  CHECK(picks.at("night") == 50);
-  CHECK(picks.at("morning") == 50);
+  const auto selections = PopMany(100);
+  CHECK(selections.at("night") == 50);
+  CHECK(selections.at("morning") == 50);
 }
 
-TEST_CASE_METHOD(LaxityQueueFixture, "LaxityQueue_UrgentJob_TakesABoundedPart")
+TEST_CASE_METHOD(LaxityQueueFixture, "LaxityQueue_UrgentJob_GetsBoundedPart")
 {
-  // A huge late job of one partner must not stop the others for hours.
+  // A large late job of one partner must not block the other partners.
   queue_.Add({ 1, 1 }, "late", 1, kNow, 10'000);
   queue_.Add({ 2, 2 }, "first", 1, kFarOff, 10'000);
   queue_.Add({ 3, 3 }, "second", 1, kFarOff, 10'000);
   queue_.Add({ 4, 4 }, "third", 1, kFarOff, 10'000);
-  const auto picks = TakeMany(1000);
-  CHECK(picks.at("late") >= 250);
-  CHECK(picks.at("late") <= 300);
-  CHECK(picks.at("first") >= 220);
+  const auto selections = PopMany(1000);
+  CHECK(selections.at("late") >= 250);
+  CHECK(selections.at("late") <= 300);
+  CHECK(selections.at("first") >= 220);
 }
 
 TEST_CASE_METHOD(LaxityQueueFixture,
@@ -105,17 +105,17 @@
 {
   queue_.Add({ 1, 1 }, "society", 1, kNow + 200'000, 100);
   queue_.Add({ 2, 2 }, "society", 1, kNow + 120'000, 1);
-  CHECK(queue_.Take(kNow)->job_ == base::JobId{ 1, 1 });
+  CHECK(queue_.Pop(kNow)->job_ == base::JobId{ 1, 1 });
   for (int sample = 0; sample < 200; ++sample) {
     queue_.RecordServiceTime(std::chrono::milliseconds{ 10 });
   }
-  CHECK(queue_.Take(kNow)->job_ == base::JobId{ 2, 2 });
+  CHECK(queue_.Pop(kNow)->job_ == base::JobId{ 2, 2 });
 }
 
 TEST_CASE_METHOD(LaxityQueueFixture,
                  "LaxityQueue_ExpectedWork_CountsJobsAheadAndShares")
 {
-  // One second for each item, one at a time.
+  // Items take one second each and run one at a time.
   queue_.Add({ 1, 1 }, "society", 1, kFarOff, 10);
   CHECK(queue_.ExpectedWorkMs({ 1, 1 }, 0) == 10'000);
   CHECK(queue_.ExpectedWorkMs({ 1, 1 }, 2) == 12'000);
@@ -136,35 +136,35 @@
   scheduler_.Grant("agent-1", "origin-llm", 2);
   scheduler_.Grant("agent-2", "origin-llm", 9);
   CHECK(Next()->agent_ == "agent-1");
-  CHECK(Next()->credits_ == 0);
+  CHECK(Next()->remainingCredits_ == 0);
   CHECK_FALSE(Next());
   scheduler_.ReturnCredit("agent-1", "origin-llm");
   CHECK(Next());
-  scheduler_.LinkUp("agent-1");
+  scheduler_.OnLinkUp("agent-1");
   scheduler_.Grant("agent-1", "origin-llm", 1);
   CHECK(Next());
   CHECK_FALSE(Next());
 }
 
 TEST_CASE_METHOD(BatchSchedulerFixture,
-                 "BatchScheduler_Demand_IsToldAtOnceThenCoalesced")
+                 "BatchScheduler_Demand_IsReportedAtOnceThenCoalesced")
 {
-  CHECK(scheduler_.UrgentDemand(kNow).empty());
+  CHECK(scheduler_.CollectFirstDemand(kNow).empty());
   scheduler_.AddWork(job_, 1, 5);
-  const auto first = scheduler_.UrgentDemand(kNow);
+  const auto first = scheduler_.CollectFirstDemand(kNow);
   REQUIRE(first.size() == 1);
   CHECK(first[0].agent_ == "agent-1");
   CHECK(first[0].demand_.waiting_ == 5);
   scheduler_.AddWork(job_, 1, 5);
-  CHECK(scheduler_.UrgentDemand(kNow).empty());
-  CHECK(scheduler_.ChangedDemand(kNow)[0].demand_.waiting_ == 10);
-  CHECK(scheduler_.ChangedDemand(kNow).empty());
+  CHECK(scheduler_.CollectFirstDemand(kNow).empty());
+  CHECK(scheduler_.CollectChangedDemand(kNow)[0].demand_.waiting_ == 10);
+  CHECK(scheduler_.CollectChangedDemand(kNow).empty());
   scheduler_.RemoveJob(job_.id_, "origin-llm");
-  CHECK(scheduler_.ChangedDemand(kNow)[0].demand_.waiting_ == 0);
+  CHECK(scheduler_.CollectChangedDemand(kNow)[0].demand_.waiting_ == 0);
 }
 
 TEST_CASE_METHOD(BatchSchedulerFixture,
-                 "BatchScheduler_RefusingAgent_IsPausedUntilItsTime")
+                 "BatchScheduler_AgentRefused_IsPausedUntilTime")
 {
   scheduler_.AddWork(job_, 1, 5);
   scheduler_.Grant("agent-1", "origin-llm", 2);
--- a/Tests/LibJobs/RecordCodecTest.cpp
+++ b/Tests/LibJobs/RecordCodecTest.cpp
@@ -23,13 +23,13 @@
                             12,
                             "why" };
 
-  std::vector<Record> AllKinds() const
+  std::vector<Record> AllRecordKinds() const
   {
-    wire::JobDescription lot = MakeLot("lot", 9, 2);
-    lot.online_ = true;
-    lot.idempotent_ = false;
+    wire::JobDescription job = MakeBatchJob("lot", 9, 2);
+    job.online_ = true;
+    job.idempotent_ = false;
     return {
-      { 1, JobOpened{ lot } },
+      { 1, JobOpened{ job } },
       { 2, ItemsAccepted{ job_, 3, { { "a", "x" }, { "b", "y" } } } },
       { 3, JobAccepted{ job_ } },
       { 4, ItemsEnded{ { { { job_, 1, 2 }, result_ } } } },
@@ -40,12 +40,12 @@
   }
 };
 
-/// @return the record, or null where it is corrupt.
+/// @return the record, or null if it is corrupt.
 std::unique_ptr<Record>
-Decode(std::string_view aBytes, Payloads aPayloads = Payloads::Read)
+Decode(std::string_view aBytes, PayloadMode aPayloadMode = PayloadMode::Read)
 {
   auto decoded = base::Capture([&]() -> base::Result<std::unique_ptr<Record>> {
-    BOOST_LEAF_AUTO(record, DecodeRecord(aBytes, aPayloads));
+    BOOST_LEAF_AUTO(record, DecodeRecord(aBytes, aPayloadMode));
     return std::make_unique<Record>(std::move(record));
   });
   if (const auto* failure = std::get_if<base::Failure>(&decoded)) {
@@ -57,10 +57,9 @@
 
 } // namespace
 
-TEST_CASE_METHOD(RecordCodecFixture,
-                 "RecordCodec_EveryKindOfRecord_ComesBackTheSame")
+TEST_CASE_METHOD(RecordCodecFixture, "RecordCodec_EveryRecordType_RoundTrips")
 {
-  for (const Record& record : AllKinds()) {
+  for (const Record& record : AllRecordKinds()) {
     const auto decoded = Decode(EncodeRecord(record));
     REQUIRE(decoded != nullptr);
     CHECK(*decoded == record);
@@ -70,10 +69,12 @@
 TEST_CASE_METHOD(RecordCodecFixture,
                  "RecordCodec_SkippedPayloads_KeepCountsAndCodes")
 {
-  const auto items = Decode(EncodeRecord(AllKinds()[1]), Payloads::Skip);
+  const auto items =
+    Decode(EncodeRecord(AllRecordKinds()[1]), PayloadMode::Skip);
   CHECK(std::get<ItemsAccepted>(items->body_).items_.size() == 2);
   CHECK(std::get<ItemsAccepted>(items->body_).items_[0].payload_.empty());
-  const auto ended = Decode(EncodeRecord(AllKinds()[3]), Payloads::Skip);
+  const auto ended =
+    Decode(EncodeRecord(AllRecordKinds()[3]), PayloadMode::Skip);
   const wire::ItemResult& result =
     std::get<ItemsEnded>(ended->body_).ended_[0].result_;
   CHECK(result.code_ == result_.code_);
@@ -82,25 +83,24 @@
 
 TEST_CASE_METHOD(RecordCodecFixture, "RecordCodec_OneItem_IsReadAlone")
 {
-  const std::string bytes = EncodeRecord(AllKinds()[1]);
+  const std::string bytes = EncodeRecord(AllRecordKinds()[1]);
   const auto item = base::Capture([&] { return ReadItem(bytes, 1); });
   CHECK(std::get<wire::JobItem>(item) == wire::JobItem{ "b", "y" });
   const auto outside = base::Capture([&] { return ReadItem(bytes, 2); });
   CHECK(std::get<base::Failure>(outside).code_ ==
         base::ResultCode::CorruptRecord);
-  const std::string ended = EncodeRecord(AllKinds()[3]);
+  const std::string ended = EncodeRecord(AllRecordKinds()[3]);
   const auto result = base::Capture([&] { return ReadEnded(ended, 0); });
   CHECK(std::get<ItemEnded>(result).result_ == result_);
 }
 
-TEST_CASE_METHOD(RecordCodecFixture, "RecordCodec_DamagedBytes_FailWithoutHarm")
+TEST_CASE_METHOD(RecordCodecFixture, "RecordCodec_CorruptBytes_FailCleanly")
 {
-  // A disk gives back a record with a torn end or flipped bits. The log's
-  // checksum catches nearly all of them; what slips through must not end the
-  // process, nor be read past its end.
+  // A truncated record or one with flipped bits must neither terminate the
+  // process nor be read out of bounds.
   std::mt19937 random(4);
   std::size_t refused = 0;
-  for (const Record& record : AllKinds()) {
+  for (const Record& record : AllRecordKinds()) {
     const std::string whole = EncodeRecord(record);
     for (std::size_t size = 0; size < whole.size(); size += 8) {
       const auto torn = Decode(std::string_view(whole).substr(0, size));
--- a/Tests/LibKeeper/KeeperFixture.h
+++ b/Tests/LibKeeper/KeeperFixture.h
@@ -12,25 +12,24 @@
 
 namespace pumiceturn::keeper {
 
-/// The log's copies, as far as keepers see them: what is in here survives any
-/// keeper.
+/// The replicated log. It outlives the keepers.
 struct FakeLog
 {
   std::vector<std::string> records_;
 };
 
-/// What the log does with appends.
+/// How the log handles appends.
 enum class AppendMode : std::uint8_t
 {
   Durable,
-  Held,      ///< Not in the log, not acknowledged.
-  Failing,   ///< TooFewCopies, and in the log all the same.
-  Swallowed, ///< In the log, but the owner is lost before the acknowledgement.
+  Delayed,        ///< Neither written nor acknowledged until completed.
+  Failing,        ///< Written, but reported as TooFewCopies.
+  Unacknowledged, ///< Written, but never acknowledged.
 };
 
 constexpr std::uint32_t kPartition = 0;
 
-/// One keeper that owns the only partition, with fakes around its job service.
+/// A keeper that owns the only partition, with fake ports for its job service.
 class FakeKeeper
 {
 public:
@@ -52,23 +51,23 @@
     }
   }
 
-  void Own(std::uint64_t aEpoch)
+  void TakeOwnership(std::uint64_t aEpoch)
   {
     Recover(aEpoch);
     service_->OnOwned(kPartition, aEpoch);
     owns_ = true;
-    Run();
+    RunTasks();
   }
 
   void Release()
   {
     owns_ = false;
     service_->OnReleased(kPartition);
-    Run();
+    RunTasks();
   }
 
-  /// Runs what was posted to the pool until nothing is left.
-  void Run()
+  /// Runs the tasks posted to the pool until none is left.
+  void RunTasks()
   {
     while (!tasks_.empty()) {
       auto task = std::move(tasks_.front());
@@ -77,34 +76,34 @@
     }
   }
 
-  void Pass(base::Duration aTime)
+  void AdvanceTime(base::Duration aTime)
   {
     now_ += aTime;
     service_->Tick();
-    Run();
+    RunTasks();
   }
 
-  void From(const std::string& aPeer, const wire::Message& aMessage)
+  void Receive(const std::string& aPeer, const wire::Message& aMessage)
   {
     service_->OnMessage(aPeer, aMessage);
-    Run();
+    RunTasks();
   }
 
-  void Link(const std::string& aPeer, wire::LinkState aState)
+  void SetLinkState(const std::string& aPeer, wire::LinkState aState)
   {
     service_->OnLinkState(aPeer, aState);
-    Run();
+    RunTasks();
   }
 
   void Grant(const std::string& aAgent, std::uint64_t aCount)
   {
     granted_[aAgent] += aCount;
-    From(aAgent, wire::BatchGrant{ "origin-llm", granted_[aAgent] });
+    Receive(aAgent, wire::BatchGrant{ "origin-llm", granted_[aAgent] });
   }
 
-  /// Takes the messages of one type sent to a peer since the last call.
+  /// Removes and returns the sent messages of one type to a peer.
   template<typename Message>
-  std::vector<Message> Sent(const std::string& aPeer)
+  std::vector<Message> PopSent(const std::string& aPeer)
   {
     std::vector<Message> found;
     std::erase_if(sent_, [&](const auto& aSent) {
@@ -119,14 +118,14 @@
   }
 
   template<typename Message>
-  Message SentOne(const std::string& aPeer)
+  Message PopOnlySent(const std::string& aPeer)
   {
-    auto found = Sent<Message>(aPeer);
+    auto found = PopSent<Message>(aPeer);
     REQUIRE(found.size() == 1);
     return found.front();
   }
 
-  /// Answers a run that an agent was given.
+  /// Reports a successful run from an agent.
   void Finish(const std::string& aAgent,
               const wire::StartRun& aStart,
               const std::string& aText)
@@ -135,7 +134,7 @@
     ended.run_ = aStart.run_;
     ended.ran_ = base::Ran::Ran;
     ended.text_ = aText;
-    From(aAgent, ended);
+    Receive(aAgent, ended);
   }
 
   void Fail(const std::string& aAgent,
@@ -147,31 +146,32 @@
     ended.run_ = aRun;
     ended.code_ = aCode;
     ended.ran_ = aRan;
-    From(aAgent, ended);
+    Receive(aAgent, ended);
   }
 
-  /// Acknowledges what Held kept back.
-  void Acknowledge()
+  /// Completes the delayed appends and makes later ones durable at once.
+  void CompleteDelayedAppends()
   {
     mode_ = AppendMode::Durable;
-    for (auto& append : std::exchange(held_, {})) {
+    for (auto& append : std::exchange(delayedAppends_, {})) {
       append();
     }
-    Run();
+    RunTasks();
   }
 
   wire::ResultsPage Read(const base::JobId& aJob,
                          std::uint32_t aFrom = 0,
                          std::uint32_t aLimit = 0)
   {
-    From("reader", wire::ReadResults{ 77, aJob, "slaegtsspor", aFrom, aLimit });
-    return SentOne<wire::ResultsPage>("reader");
+    Receive("reader",
+            wire::ReadResults{ 77, aJob, "slaegtsspor", aFrom, aLimit });
+    return PopOnlySent<wire::ResultsPage>("reader");
   }
 
   wire::JobStatusReply Status(const base::JobId& aJob)
   {
-    From("reader", wire::GetJob{ 78, aJob, "slaegtsspor" });
-    return SentOne<wire::JobStatusReply>("reader");
+    Receive("reader", wire::GetJob{ 78, aJob, "slaegtsspor" });
+    return PopOnlySent<wire::JobStatusReply>("reader");
   }
 
   std::shared_ptr<FakeLog> log_;
@@ -192,8 +192,9 @@
       aDone(base::ResultCode::NotOwner, {});
       return;
     }
-    if (mode_ == AppendMode::Held) {
-      held_.push_back([this, aRecords, aDone] { Append(aRecords, aDone); });
+    if (mode_ == AppendMode::Delayed) {
+      delayedAppends_.push_back(
+        [this, aRecords, aDone] { Append(aRecords, aDone); });
       return;
     }
     std::vector<joblog::LogPosition> positions;
@@ -250,7 +251,7 @@
   }
 
   std::deque<Ports::Task> tasks_;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> delayedAppends_;
   std::map<std::string, std::uint64_t> granted_;
 
 public:
@@ -262,40 +263,41 @@
   std::shared_ptr<FakeLog> log_ = std::make_shared<FakeLog>();
   std::unique_ptr<FakeKeeper> keeper_ = std::make_unique<FakeKeeper>(log_);
 
-  KeeperFixture() { keeper_->Own(1); }
+  KeeperFixture() { keeper_->TakeOwnership(1); }
 
-  /// The owner is lost; another keeper replays the log.
+  /// Replaces the owner with a new keeper that replays the log.
   void TakeOver()
   {
     keeper_ = std::make_unique<FakeKeeper>(log_);
-    keeper_->Own(++epoch_);
+    keeper_->TakeOwnership(++epoch_);
   }
 
-  /// Waits for what agents may report after a takeover.
-  void Settle() { keeper_->Pass(std::chrono::seconds{ 1 }); }
+  /// Advances past the settling time after a takeover.
+  void FinishSettling() { keeper_->AdvanceTime(std::chrono::seconds{ 1 }); }
 
-  wire::JobDescription Lot(const std::string& aKey, std::uint32_t aItems) const
+  wire::JobDescription MakeBatchJob(const std::string& aKey,
+                                    std::uint32_t aItems) const
   {
-    wire::JobDescription lot;
-    lot.id_ = base::MakeJobId("slaegtsspor", aKey);
-    lot.partner_ = "slaegtsspor";
-    lot.service_ = "origin-llm";
-    lot.kind_ = "lineage-batch";
-    lot.key_ = aKey;
-    lot.digest_ = 1;
-    lot.itemCount_ = aItems;
-    lot.dueUnixMs_ = base::ToMs(keeper_->now_.time_since_epoch()) + 600'000;
-    lot.retentionS_ = 60;
-    lot.maxAttempts_ = 3;
-    return lot;
+    wire::JobDescription job;
+    job.id_ = base::MakeJobId("slaegtsspor", aKey);
+    job.partner_ = "slaegtsspor";
+    job.service_ = "origin-llm";
+    job.kind_ = "lineage-batch";
+    job.key_ = aKey;
+    job.digest_ = 1;
+    job.itemCount_ = aItems;
+    job.dueUnixMs_ = base::ToMs(keeper_->now_.time_since_epoch()) + 600'000;
+    job.retentionS_ = 60;
+    job.maxAttempts_ = 3;
+    return job;
   }
 
-  static wire::SubmitFrame Whole(const wire::JobDescription& aLot)
+  static wire::SubmitFrame MakeWholeFrame(const wire::JobDescription& aJob)
   {
     wire::SubmitFrame frame;
     frame.call_ = 5;
-    frame.job_ = aLot;
-    for (std::uint32_t item = 0; item < aLot.itemCount_; ++item) {
+    frame.job_ = aJob;
+    for (std::uint32_t item = 0; item < aJob.itemCount_; ++item) {
       frame.items_.push_back(
         { "name-" + std::to_string(item), "payload-" + std::to_string(item) });
     }
@@ -305,16 +307,16 @@
 
   wire::JobDescription Submit(const std::string& aKey, std::uint32_t aItems)
   {
-    wire::JobDescription lot = Lot(aKey, aItems);
-    keeper_->From("entry-1", Whole(lot));
-    const auto reply = keeper_->SentOne<wire::SubmitReply>("entry-1");
+    wire::JobDescription job = MakeBatchJob(aKey, aItems);
+    keeper_->Receive("entry-1", MakeWholeFrame(job));
+    const auto reply = keeper_->PopOnlySent<wire::SubmitReply>("entry-1");
     REQUIRE(reply.code_ == base::ResultCode::Ok);
     REQUIRE_FALSE(reply.duplicate_);
-    return lot;
+    return job;
   }
 
-  static wire::RecordRequest Request(const std::string& aKey,
-                                     std::uint64_t aCall = 1)
+  static wire::RecordRequest MakeRequest(const std::string& aKey,
+                                         std::uint64_t aCall = 1)
   {
     wire::RecordRequest request;
     request.call_ = aCall;
@@ -329,15 +331,15 @@
     return request;
   }
 
-  wire::RecordReply Ask(const std::string& aEntry,
-                        const wire::RecordRequest& aRequest)
+  wire::RecordReply SubmitRequest(const std::string& aEntry,
+                                  const wire::RecordRequest& aRequest)
   {
-    keeper_->From(aEntry, aRequest);
-    return keeper_->SentOne<wire::RecordReply>(aEntry);
+    keeper_->Receive(aEntry, aRequest);
+    return keeper_->PopOnlySent<wire::RecordReply>(aEntry);
   }
 
-  static wire::RecordResult Result(const wire::RecordRequest& aRequest,
-                                   const std::string& aText)
+  static wire::RecordResult MakeResult(const wire::RecordRequest& aRequest,
+                                       const std::string& aText)
   {
     wire::RecordResult result;
     result.call_ = 9;
--- a/Tests/LibKeeper/KeeperFleet.cpp
+++ b/Tests/LibKeeper/KeeperFleet.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kHeartbeat{ 50 };
-constexpr std::chrono::milliseconds kResend{ 300 };
-constexpr std::chrono::seconds kPatience{ 60 };
-constexpr std::uint64_t kCreditsAtOnce = 8;
+constexpr std::chrono::milliseconds kHeartbeatInterval{ 50 };
+constexpr std::chrono::milliseconds kResendInterval{ 300 };
+constexpr std::chrono::seconds kTimeout{ 60 };
+constexpr std::uint64_t kMaxCredits = 8;
 
 wire::LinkTable::Options
 LinkOptions(const std::string& aName)
@@ -20,14 +20,14 @@
   wire::LinkTable::Options options;
   options.host_ = aName;
   options.listenAddress_ = "127.0.0.1:0";
-  options.heartbeatInterval_ = kHeartbeat;
+  options.heartbeatInterval_ = kHeartbeatInterval;
   options.missedHeartbeats_ = 6;
   return options;
 }
 
 template<typename Value>
 Value
-Take(base::Outcome<Value> aOutcome)
+ValueOrThrow(base::Outcome<Value> aOutcome)
 {
   if (const auto* failure = std::get_if<base::Failure>(&aOutcome)) {
     throw std::runtime_error(failure->detail_);
@@ -38,7 +38,7 @@
 std::unique_ptr<wire::LinkTable>
 StartLinks(const std::string& aName, wire::LinkTable::Handlers aHandlers)
 {
-  return Take(base::Capture([&] {
+  return ValueOrThrow(base::Capture([&] {
     return wire::LinkTable::Start(LinkOptions(aName), std::move(aHandlers));
   }));
 }
@@ -79,13 +79,13 @@
 {
   const std::lock_guard lock(mutex_);
   answersAll_ = true;
-  for (const auto& [peer, start] : std::exchange(held_, {})) {
+  for (const auto& [peer, start] : std::exchange(unansweredRuns_, {})) {
     Answer(peer, start);
   }
 }
 
 void
-TestAgent::Offer(const std::string& aKeeper)
+TestAgent::ResendUnrecorded(const std::string& aKeeper)
 {
   const std::lock_guard lock(mutex_);
   for (const auto& [run, ended] : unrecorded_) {
@@ -94,11 +94,11 @@
 }
 
 bool
-TestAgent::WaitForHeld(std::size_t aCount)
+TestAgent::WaitForUnanswered(std::size_t aCount)
 {
   std::unique_lock lock(mutex_);
   return changed_.wait_for(
-    lock, kPatience, [&] { return held_.size() >= aCount; });
+    lock, kTimeout, [&] { return unansweredRuns_.size() >= aCount; });
 }
 
 void
@@ -113,7 +113,7 @@
       allowed_ -= allowed_ > 0 ? 1 : 0;
       Answer(aPeer, *start);
     } else {
-      held_.emplace_back(aPeer, *start);
+      unansweredRuns_.emplace_back(aPeer, *start);
       changed_.notify_all();
     }
     Grant(aPeer);
@@ -127,17 +127,17 @@
 void
 TestAgent::Attach(const std::string& aPeer, const wire::RunId& aRun)
 {
-  // A busy machine can let a link lapse; what was on it is then asked for anew.
+  // On a busy machine a link may be lost; the keeper then attaches to its runs.
   const auto ended = unrecorded_.find(aRun);
   if (ended != unrecorded_.end()) {
     peer_->Send(aPeer, ended->second);
     return;
   }
-  const bool isHeld =
-    std::any_of(held_.begin(), held_.end(), [&](const auto& aHeld) {
-      return aHeld.second.run_ == aRun;
-    });
-  if (isHeld) {
+  const bool isUnanswered = std::any_of(
+    unansweredRuns_.begin(),
+    unansweredRuns_.end(),
+    [&](const auto& aUnanswered) { return aUnanswered.second.run_ == aRun; });
+  if (isUnanswered) {
     return;
   }
   wire::RunEnded unknown;
@@ -162,7 +162,7 @@
 TestAgent::Grant(const std::string& aPeer)
 {
   std::uint64_t& granted = granted_[aPeer];
-  granted = std::max(granted, started_[aPeer] + kCreditsAtOnce);
+  granted = std::max(granted, started_[aPeer] + kMaxCredits);
   peer_->Send(aPeer, wire::BatchGrant{ "origin-llm", granted });
 }
 
@@ -229,7 +229,7 @@
 }
 
 void
-TestKeeper::Begin(
+TestKeeper::Start(
   const declarations::Configuration& aConfiguration,
   const std::vector<std::pair<std::string, std::string>>& aKeepers)
 {
@@ -238,7 +238,8 @@
   node::Context context{ settings_,      pool_,       *links_,
                          metrics_,       *keyValue_,  hosts_,
                          configuration_, partitions_, quarantine_ };
-  keeper_ = Take(base::Capture([&] { return KeeperFunction::Start(context); }));
+  keeper_ =
+    ValueOrThrow(base::Capture([&] { return KeeperFunction::Start(context); }));
   started_ = true;
   for (const auto& [name, address] : aKeepers) {
     if (name != settings_.host()) {
@@ -252,8 +253,8 @@
   std::string pattern =
     (std::filesystem::temp_directory_path() / "pumiceturn-XXXXXX").string();
   folder_ = mkdtemp(pattern.data());
-  keyValue_ =
-    Take(base::Capture([] { return standin::KeyValueStandin::Start({}); }));
+  keyValue_ = ValueOrThrow(
+    base::Capture([] { return standin::KeyValueStandin::Start({}); }));
   agent_ = std::make_unique<TestAgent>("endpoint-1");
   std::vector<std::pair<std::string, std::string>> addresses;
   std::ofstream hosts(folder_ + "/hosts.yaml");
@@ -280,7 +281,7 @@
       OnReply(aPeer, aMessage);
     });
   for (auto& [name, keeper] : keepers_) {
-    keeper->Begin(configuration, addresses);
+    keeper->Start(configuration, addresses);
   }
   for (const auto& [name, address] : addresses) {
     entry_->Connect(name, address);
@@ -329,21 +330,21 @@
   replied_.notify_all();
 }
 
-template<typename Reply, typename Question>
+template<typename Reply, typename Request>
 bool
-KeeperFleet::Ask(Question aQuestion, Reply& aReply)
+KeeperFleet::Call(Request aRequest, Reply& aReply)
 {
-  const auto deadline = std::chrono::steady_clock::now() + kPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kTimeout;
   std::unique_lock lock(mutex_);
   while (std::chrono::steady_clock::now() < deadline) {
     if (!keepers_.contains(owner_)) {
       owner_ = keepers_.begin()->first;
     }
-    aQuestion.call_ = nextCall_++;
-    entry_->Send(owner_, aQuestion);
+    aRequest.call_ = nextCall_++;
+    entry_->Send(owner_, aRequest);
     replied_.wait_for(
-      lock, kResend, [&] { return replies_.contains(aQuestion.call_); });
-    const auto found = replies_.find(aQuestion.call_);
+      lock, kResendInterval, [&] { return replies_.contains(aRequest.call_); });
+    const auto found = replies_.find(aRequest.call_);
     if (found == replies_.end()) {
       continue;
     }
@@ -352,27 +353,27 @@
     if (aReply.code_ == base::ResultCode::Ok) {
       return true;
     }
-    // Not the owner, or not yet: nobody can say when, so ask again shortly.
-    replied_.wait_for(lock, kResend / 10, [] { return false; });
+    // This keeper is not the owner or not ready yet, so retry after a delay.
+    replied_.wait_for(lock, kResendInterval / 10, [] { return false; });
   }
   return false;
 }
 
 bool
-KeeperFleet::Submit(const wire::JobDescription& aLot, std::uint32_t aFrameItems)
+KeeperFleet::Submit(const wire::JobDescription& aJob, std::uint32_t aFrameItems)
 {
-  for (std::uint32_t first = 0; first < aLot.itemCount_; first += aFrameItems) {
+  for (std::uint32_t first = 0; first < aJob.itemCount_; first += aFrameItems) {
     wire::SubmitFrame frame;
-    frame.job_ = aLot;
+    frame.job_ = aJob;
     frame.firstItem_ = first;
-    const std::uint32_t end = std::min(first + aFrameItems, aLot.itemCount_);
+    const std::uint32_t end = std::min(first + aFrameItems, aJob.itemCount_);
     for (std::uint32_t item = first; item < end; ++item) {
       frame.items_.push_back(
         { "name-" + std::to_string(item), "payload-" + std::to_string(item) });
     }
-    frame.last_ = end == aLot.itemCount_;
+    frame.last_ = end == aJob.itemCount_;
     wire::SubmitReply reply;
-    if (!Ask(frame, reply)) {
+    if (!Call(frame, reply)) {
       return false;
     }
   }
@@ -382,16 +383,16 @@
 std::vector<wire::ItemResult>
 KeeperFleet::ReadAll(const base::JobId& aJob, std::size_t aItems)
 {
-  const auto deadline = std::chrono::steady_clock::now() + kPatience;
+  const auto deadline = std::chrono::steady_clock::now() + kTimeout;
   std::vector<wire::ItemResult> results;
   while (std::chrono::steady_clock::now() < deadline) {
-    wire::ReadResults question;
-    question.job_ = aJob;
-    question.partner_ = "slaegtsspor";
-    question.from_ = static_cast<std::uint32_t>(results.size());
-    question.limit_ = 100;
+    wire::ReadResults request;
+    request.job_ = aJob;
+    request.partner_ = "slaegtsspor";
+    request.from_ = static_cast<std::uint32_t>(results.size());
+    request.limit_ = 100;
     wire::ResultsPage page;
-    if (!Ask(question, page)) {
+    if (!Call(request, page)) {
       break;
     }
     results.insert(results.end(), page.items_.begin(), page.items_.end());
