--- a/Tests/LibKeeper/KeeperFleet.h
+++ b/Tests/LibKeeper/KeeperFleet.h
@@ -18,7 +18,7 @@
 
 namespace pumiceturn::keeper {
 
-/// Links of a process that is no keeper, with what it received.
+/// Links of a process that is not a keeper, with a message handler.
 class TestPeer
 {
 public:
@@ -42,8 +42,8 @@
   std::unique_ptr<wire::LinkTable> links_;
 };
 
-/// Grants credits for a few runs at a time and answers each run by its payload,
-/// until it is told to hold; results that are not recorded are offered again.
+/// Agent that grants a few credits at a time and answers each run from its
+/// payload. Answers can be limited, and unrecorded results resent.
 class TestAgent
 {
 public:
@@ -51,15 +51,16 @@
 
   [[nodiscard]] std::string Address() const { return peer_->Address(); }
 
-  /// Answers so many more runs, then keeps what it is given.
+  /// Answers a number of further runs and leaves later ones unanswered.
   void AnswerAtMost(std::size_t aRuns);
+  /// Answers all unanswered and later runs.
   void AnswerAll();
 
-  /// Offers what is not recorded to a keeper.
-  void Offer(const std::string& aKeeper);
+  /// Sends all results that are not acknowledged as recorded to a keeper.
+  void ResendUnrecorded(const std::string& aKeeper);
 
-  /// @return whether so many runs wait for an answer within a generous time.
-  bool WaitForHeld(std::size_t aCount);
+  /// @return whether at least aCount runs are unanswered before the timeout.
+  bool WaitForUnanswered(std::size_t aCount);
 
 private:
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
@@ -73,12 +74,12 @@
   bool answersAll_ = true;
   std::map<std::string, std::uint64_t> granted_;
   std::map<std::string, std::uint64_t> started_;
-  std::vector<std::pair<std::string, wire::StartRun>> held_;
+  std::vector<std::pair<std::string, wire::StartRun>> unansweredRuns_;
   std::map<wire::RunId, wire::RunEnded> unrecorded_;
   std::unique_ptr<TestPeer> peer_;
 };
 
-/// One keeper with its real log, links and platform client.
+/// A keeper with a real log, links and platform client.
 class TestKeeper
 {
 public:
@@ -90,7 +91,7 @@
   TestKeeper& operator=(const TestKeeper&) = delete;
 
   [[nodiscard]] std::string Address() const { return links_->ListenAddress(); }
-  void Begin(const declarations::Configuration& aConfiguration,
+  void Start(const declarations::Configuration& aConfiguration,
              const std::vector<std::pair<std::string, std::string>>& aKeepers);
 
 private:
@@ -121,19 +122,19 @@
   KeeperFleet();
   ~KeeperFleet();
 
-  /// Sends a lot, frame by frame, until it is accepted.
-  /// @return whether it was, within a generous time.
-  bool Submit(const wire::JobDescription& aLot, std::uint32_t aFrameItems);
+  /// Submits a batch job frame by frame.
+  /// @return whether it was accepted before the timeout.
+  bool Submit(const wire::JobDescription& aJob, std::uint32_t aFrameItems);
 
-  /// Reads results until the job has ended.
-  /// @return all of them; fewer where the time ran out.
+  /// Reads results until the job has ended or aItems results were read.
+  /// @return the results read before the timeout.
   std::vector<wire::ItemResult> ReadAll(const base::JobId& aJob,
                                         std::size_t aItems);
 
-  /// @return the keeper that answered last for a job.
-  [[nodiscard]] std::string Owner() const { return owner_; }
+  /// @return the last known owner of the job's partition.
+  [[nodiscard]] std::string LastOwner() const { return owner_; }
 
-  /// Ends a keeper as a lost host would.
+  /// Destroys a keeper.
   void Kill(const std::string& aName) { keepers_.erase(aName); }
 
   [[nodiscard]] std::vector<std::string> Keepers() const;
@@ -141,8 +142,8 @@
   std::unique_ptr<TestAgent> agent_;
 
 private:
-  template<typename Reply, typename Question>
-  bool Ask(Question aQuestion, Reply& aReply);
+  template<typename Reply, typename Request>
+  bool Call(Request aRequest, Reply& aReply);
   void OnReply(const std::string& aPeer, const wire::Message& aMessage);
 
   std::string folder_;
--- a/Tests/LibKeeper/KeeperFleetTest.cpp
+++ b/Tests/LibKeeper/KeeperFleetTest.cpp
@@ -13,23 +13,23 @@
 {
   KeeperFleet fleet_;
 
-  static wire::JobDescription Lot()
+  static wire::JobDescription MakeBatchJob()
   {
-    wire::JobDescription lot;
-    lot.id_ = base::MakeJobId("slaegtsspor", "lot");
-    lot.partner_ = "slaegtsspor";
-    lot.service_ = "origin-llm";
-    lot.kind_ = "lineage-batch";
-    lot.key_ = "lot";
-    lot.digest_ = 1;
-    lot.itemCount_ = kItems;
-    lot.dueUnixMs_ = base::ToUnixMs(base::WallNow()) + 600'000;
-    lot.retentionS_ = 3600;
-    lot.maxAttempts_ = 3;
-    return lot;
+    wire::JobDescription job;
+    job.id_ = base::MakeJobId("slaegtsspor", "lot");
+    job.partner_ = "slaegtsspor";
+    job.service_ = "origin-llm";
+    job.kind_ = "lineage-batch";
+    job.key_ = "lot";
+    job.digest_ = 1;
+    job.itemCount_ = kItems;
+    job.dueUnixMs_ = base::ToUnixMs(base::WallNow()) + 600'000;
+    job.retentionS_ = 3600;
+    job.maxAttempts_ = 3;
+    return job;
   }
 
-  /// Every item once, with the answer to its own payload and its own name.
+  /// Checks that every item has one result, with its own name and answer.
   static void CheckComplete(const std::vector<wire::ItemResult>& aResults)
   {
     std::set<std::uint32_t> items;
@@ -48,30 +48,31 @@
 
 } // namespace
 
-TEST_CASE_METHOD(KeeperFleetFixture, "KeeperFleet_Lot_EveryItemIsAnsweredOnce")
+TEST_CASE_METHOD(KeeperFleetFixture,
+                 "KeeperFleet_BatchJob_EveryItemIsAnsweredOnce")
 {
-  const auto lot = Lot();
-  REQUIRE(fleet_.Submit(lot, kFrameItems));
-  CheckComplete(fleet_.ReadAll(lot.id_, kItems + 1));
+  const auto job = MakeBatchJob();
+  REQUIRE(fleet_.Submit(job, kFrameItems));
+  CheckComplete(fleet_.ReadAll(job.id_, kItems + 1));
 }
 
-TEST_CASE_METHOD(KeeperFleetFixture, "KeeperFleet_OwnerLostMidway_StillOnce")
+TEST_CASE_METHOD(KeeperFleetFixture,
+                 "KeeperFleet_OwnerLostMidway_EveryItemIsAnsweredOnce")
 {
-  // The owner's host goes while items run, with part of the results recorded.
-  // The agent offers what it has to the other keepers, the next owner runs the
-  // rest, and the reader goes on where it was: no result is gone or changed.
-  const auto lot = Lot();
+  // The loss of the owner while items run must not lose, duplicate or change a
+  // result.
+  const auto job = MakeBatchJob();
   fleet_.agent_->AnswerAtMost(120);
-  REQUIRE(fleet_.Submit(lot, kFrameItems));
-  REQUIRE(fleet_.agent_->WaitForHeld(4));
-  const auto before = fleet_.ReadAll(lot.id_, 50);
+  REQUIRE(fleet_.Submit(job, kFrameItems));
+  REQUIRE(fleet_.agent_->WaitForUnanswered(4));
+  const auto before = fleet_.ReadAll(job.id_, 50);
   REQUIRE(before.size() >= 50);
-  fleet_.Kill(fleet_.Owner());
+  fleet_.Kill(fleet_.LastOwner());
   fleet_.agent_->AnswerAll();
   for (const std::string& keeper : fleet_.Keepers()) {
-    fleet_.agent_->Offer(keeper);
+    fleet_.agent_->ResendUnrecorded(keeper);
   }
-  const auto after = fleet_.ReadAll(lot.id_, kItems + 1);
+  const auto after = fleet_.ReadAll(job.id_, kItems + 1);
   CheckComplete(after);
   REQUIRE(after.size() >= before.size());
   CHECK(std::equal(before.begin(), before.end(), after.begin()));
--- a/Tests/LibKeeper/OnlineTest.cpp
+++ b/Tests/LibKeeper/OnlineTest.cpp
@@ -8,194 +8,194 @@
 using wire::RecordState;
 using wire::StartRun;
 
-TEST_CASE_METHOD(KeeperFixture, "Online_SecondCaller_HearsTheFirstOnesResult")
+TEST_CASE_METHOD(KeeperFixture, "Online_SecondCaller_ReceivesFirstResult")
 {
-  // A portal sends a look-up again through another entry while the first one
-  // runs. Both callers get the one answer.
-  const auto request = Request("key");
-  CHECK(Ask("entry-1", request).state_ == RecordState::New);
-  CHECK(Ask("entry-2", request).state_ == RecordState::Running);
-  CHECK(Ask("entry-1", request).state_ == RecordState::New);
-  keeper_->From("entry-1", Result(request, "answer"));
-  const auto recorded = keeper_->SentOne<wire::RecordResultReply>("entry-1");
+  // A request that is resent through another entry while it runs must not run
+  // twice.
+  const auto request = MakeRequest("key");
+  CHECK(SubmitRequest("entry-1", request).state_ == RecordState::New);
+  CHECK(SubmitRequest("entry-2", request).state_ == RecordState::Running);
+  CHECK(SubmitRequest("entry-1", request).state_ == RecordState::New);
+  keeper_->Receive("entry-1", MakeResult(request, "answer"));
+  const auto recorded =
+    keeper_->PopOnlySent<wire::RecordResultReply>("entry-1");
   CHECK(recorded.first_);
-  const auto later = keeper_->SentOne<wire::RecordReply>("entry-2");
+  const auto later = keeper_->PopOnlySent<wire::RecordReply>("entry-2");
   CHECK(later.state_ == RecordState::Finished);
   CHECK(later.result_.text_ == "answer");
-  CHECK(Ask("entry-3", request).result_.text_ == "answer");
+  CHECK(SubmitRequest("entry-3", request).result_.text_ == "answer");
   auto other = request;
   other.digest_ = 2;
-  CHECK(Ask("entry-3", other).code_ == ResultCode::KeyConflict);
+  CHECK(SubmitRequest("entry-3", other).code_ == ResultCode::KeyConflict);
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_SecondResult_IsAnsweredWithTheFirst")
+TEST_CASE_METHOD(KeeperFixture, "Online_SecondResult_IsAnsweredWithFirst")
 {
-  const auto request = Request("key");
-  Ask("entry-1", request);
-  keeper_->From("entry-1", Result(request, "answer"));
-  keeper_->Sent<wire::RecordResultReply>("entry-1");
-  keeper_->From("entry-1", Result(request, "answer"));
-  CHECK(keeper_->SentOne<wire::RecordResultReply>("entry-1").first_);
-  keeper_->From("entry-2", Result(request, "other"));
-  const auto reply = keeper_->SentOne<wire::RecordResultReply>("entry-2");
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
+  keeper_->Receive("entry-1", MakeResult(request, "answer"));
+  keeper_->PopSent<wire::RecordResultReply>("entry-1");
+  keeper_->Receive("entry-1", MakeResult(request, "answer"));
+  CHECK(keeper_->PopOnlySent<wire::RecordResultReply>("entry-1").first_);
+  keeper_->Receive("entry-2", MakeResult(request, "other"));
+  const auto reply = keeper_->PopOnlySent<wire::RecordResultReply>("entry-2");
   CHECK_FALSE(reply.first_);
   CHECK(reply.result_.text_ == "answer");
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_RefusedNotRun_IsWithdrawnForWaitersToo")
+TEST_CASE_METHOD(KeeperFixture, "Online_RefusedNotRun_IsWithdrawnForAllCallers")
 {
-  const auto request = Request("key");
-  Ask("entry-1", request);
-  Ask("entry-2", request);
-  auto refusal = Result(request, "");
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
+  SubmitRequest("entry-2", request);
+  auto refusal = MakeResult(request, "");
   refusal.result_.code_ = ResultCode::Overloaded;
   refusal.result_.ran_ = Ran::NotRun;
-  keeper_->From("entry-2", refusal);
-  CHECK(keeper_->SentOne<wire::RecordResultReply>("entry-2").code_ ==
+  keeper_->Receive("entry-2", refusal);
+  CHECK(keeper_->PopOnlySent<wire::RecordResultReply>("entry-2").code_ ==
         ResultCode::StillRunning);
-  keeper_->From("entry-1", refusal);
-  CHECK(keeper_->SentOne<wire::RecordResultReply>("entry-1").code_ ==
+  keeper_->Receive("entry-1", refusal);
+  CHECK(keeper_->PopOnlySent<wire::RecordResultReply>("entry-1").code_ ==
         ResultCode::Ok);
-  CHECK(keeper_->SentOne<wire::RecordReply>("entry-2").code_ ==
+  CHECK(keeper_->PopOnlySent<wire::RecordReply>("entry-2").code_ ==
         ResultCode::Overloaded);
-  CHECK(Ask("entry-2", request).state_ == RecordState::New);
+  CHECK(SubmitRequest("entry-2", request).state_ == RecordState::New);
 }
 
 TEST_CASE_METHOD(KeeperFixture, "Online_EntryLost_OwnerRunsIdempotentRequest")
 {
-  // An entry's host goes with a request under way. The caller asks again
-  // through another entry and must get an answer, though nobody runs it.
-  const auto request = Request("key");
-  Ask("entry-1", request);
-  keeper_->Link("entry-1", LinkState::Lost);
-  keeper_->Pass(std::chrono::seconds{ 2 });
-  CHECK(Ask("entry-2", request).state_ == RecordState::Running);
-  CHECK(keeper_->Sent<StartRun>("agent-1").empty());
-  keeper_->Pass(std::chrono::seconds{ 3 });
-  const auto start = keeper_->SentOne<StartRun>("agent-1");
+  // A request whose entry is lost must still get a result.
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
+  keeper_->SetLinkState("entry-1", LinkState::Lost);
+  keeper_->AdvanceTime(std::chrono::seconds{ 2 });
+  CHECK(SubmitRequest("entry-2", request).state_ == RecordState::Running);
+  CHECK(keeper_->PopSent<StartRun>("agent-1").empty());
+  keeper_->AdvanceTime(std::chrono::seconds{ 3 });
+  const auto start = keeper_->PopOnlySent<StartRun>("agent-1");
   CHECK(start.online_);
   CHECK(start.payload_ == "a name");
   CHECK(start.run_.attempt_ >= jobs::kFirstOwnerAttempt);
   keeper_->Finish("agent-1", start, "answer");
-  CHECK(keeper_->SentOne<wire::RecordReply>("entry-2").result_.text_ ==
-        "answer");
-  keeper_->Link("entry-1", LinkState::Up);
-  keeper_->From("entry-1", Result(request, "late"));
-  CHECK(keeper_->SentOne<wire::RecordResultReply>("entry-1").result_.text_ ==
+  CHECK(keeper_->PopOnlySent<wire::RecordReply>("entry-2").result_.text_ ==
         "answer");
+  keeper_->SetLinkState("entry-1", LinkState::Up);
+  keeper_->Receive("entry-1", MakeResult(request, "late"));
+  CHECK(
+    keeper_->PopOnlySent<wire::RecordResultReply>("entry-1").result_.text_ ==
+    "answer");
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_EntryBackInTime_KeepsItsRequest")
+TEST_CASE_METHOD(KeeperFixture, "Online_EntryReconnectsInTime_KeepsRequest")
 {
-  const auto request = Request("key");
-  Ask("entry-1", request);
-  keeper_->Link("entry-1", LinkState::Lost);
-  keeper_->Pass(std::chrono::seconds{ 2 });
-  keeper_->Link("entry-1", LinkState::Up);
-  keeper_->Pass(std::chrono::seconds{ 20 });
-  CHECK(keeper_->Sent<StartRun>("agent-1").empty());
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
+  keeper_->SetLinkState("entry-1", LinkState::Lost);
+  keeper_->AdvanceTime(std::chrono::seconds{ 2 });
+  keeper_->SetLinkState("entry-1", LinkState::Up);
+  keeper_->AdvanceTime(std::chrono::seconds{ 20 });
+  CHECK(keeper_->PopSent<StartRun>("agent-1").empty());
 }
 
 TEST_CASE_METHOD(KeeperFixture, "Online_EntryReplaced_NonIdempotentIsUnknown")
 {
-  // A plain service's call may not be repeated. Its entry restarts while it
-  // runs; the caller asks again and must hear that it may have run.
-  auto request = Request("key");
+  // A non-idempotent request whose entry restarts may have run. It must end as
+  // unknown and not be rerun.
+  auto request = MakeRequest("key");
   request.idempotent_ = false;
-  Ask("entry-1", request);
-  CHECK(Ask("entry-2", request).state_ == RecordState::Running);
-  keeper_->Link("entry-1", LinkState::Replaced);
-  const auto reply = keeper_->SentOne<wire::RecordReply>("entry-2");
+  SubmitRequest("entry-1", request);
+  CHECK(SubmitRequest("entry-2", request).state_ == RecordState::Running);
+  keeper_->SetLinkState("entry-1", LinkState::Replaced);
+  const auto reply = keeper_->PopOnlySent<wire::RecordReply>("entry-2");
   CHECK(reply.state_ == RecordState::Finished);
   CHECK(reply.result_.code_ == ResultCode::OutcomeUnknown);
   CHECK(reply.result_.ran_ == Ran::Unknown);
-  keeper_->Pass(std::chrono::seconds{ 20 });
-  CHECK(keeper_->Sent<StartRun>("agent-1").empty());
+  keeper_->AdvanceTime(std::chrono::seconds{ 20 });
+  CHECK(keeper_->PopSent<StartRun>("agent-1").empty());
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_OwnerLost_NextOwnerFinishesIt")
+TEST_CASE_METHOD(KeeperFixture, "Online_OwnerLost_NextOwnerCompletesRequest")
 {
-  // Owner and entry are lost together right after the caller heard that the
-  // request was accepted. The caller reads the answer by its key later.
-  const auto request = Request("key");
-  Ask("entry-1", request);
+  // An accepted request must complete when its owner and entry are both lost.
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
   TakeOver();
-  Settle();
-  const auto start = keeper_->SentOne<StartRun>("agent-1");
-  CHECK(Ask("entry-2", request).state_ == RecordState::Running);
+  FinishSettling();
+  const auto start = keeper_->PopOnlySent<StartRun>("agent-1");
+  CHECK(SubmitRequest("entry-2", request).state_ == RecordState::Running);
   keeper_->Finish("agent-1", start, "answer");
   CHECK(keeper_->Read(request.job_).items_[0].text_ == "answer");
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_OwnerLost_EntryThatAsksAgainGoesOn")
+TEST_CASE_METHOD(KeeperFixture, "Online_OwnerLost_EntryThatResendsContinues")
 {
-  const auto request = Request("key");
-  Ask("entry-1", request);
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
   TakeOver();
-  CHECK(Ask("entry-1", request).state_ == RecordState::New);
-  Settle();
-  CHECK(keeper_->Sent<StartRun>("agent-1").empty());
-  keeper_->From("entry-1", Result(request, "answer"));
-  CHECK(keeper_->SentOne<wire::RecordResultReply>("entry-1").first_);
+  CHECK(SubmitRequest("entry-1", request).state_ == RecordState::New);
+  FinishSettling();
+  CHECK(keeper_->PopSent<StartRun>("agent-1").empty());
+  keeper_->Receive("entry-1", MakeResult(request, "answer"));
+  CHECK(keeper_->PopOnlySent<wire::RecordResultReply>("entry-1").first_);
 }
 
 TEST_CASE_METHOD(KeeperFixture, "Online_NonIdempotentOwnerLost_IsUnknown")
 {
-  auto request = Request("key");
+  auto request = MakeRequest("key");
   request.idempotent_ = false;
-  Ask("entry-1", request);
+  SubmitRequest("entry-1", request);
   TakeOver();
-  CHECK(Ask("entry-1", request).state_ == RecordState::Running);
-  Settle();
-  CHECK(keeper_->SentOne<wire::RecordReply>("entry-1").result_.code_ ==
+  CHECK(SubmitRequest("entry-1", request).state_ == RecordState::Running);
+  FinishSettling();
+  CHECK(keeper_->PopOnlySent<wire::RecordReply>("entry-1").result_.code_ ==
         ResultCode::OutcomeUnknown);
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_NotDurable_IsRefusedAndMayComeAgain")
+TEST_CASE_METHOD(KeeperFixture, "Online_NotDurable_IsRefusedAndMayBeSentAgain")
 {
-  const auto request = Request("key");
+  const auto request = MakeRequest("key");
   keeper_->mode_ = AppendMode::Failing;
-  CHECK(Ask("entry-1", request).code_ == ResultCode::TooFewCopies);
+  CHECK(SubmitRequest("entry-1", request).code_ == ResultCode::TooFewCopies);
   keeper_->mode_ = AppendMode::Durable;
-  CHECK(Ask("entry-1", request).state_ == RecordState::New);
+  CHECK(SubmitRequest("entry-1", request).state_ == RecordState::New);
 }
 
 TEST_CASE_METHOD(KeeperFixture,
-                 "Online_AgentOffersResultOfLostEntry_IsRecorded")
+                 "Online_AgentReportsResultOfLostEntry_IsRecorded")
 {
-  // An entry goes after its endpoint has answered. The agent offers the whole
-  // answer to a keeper, so nothing runs again.
-  const auto request = Request("key");
-  Ask("entry-1", request);
-  Ask("entry-2", request);
-  keeper_->Link("entry-1", LinkState::Lost);
+  // A result that the agent reports after the entry is lost must prevent a
+  // rerun.
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
+  SubmitRequest("entry-2", request);
+  keeper_->SetLinkState("entry-1", LinkState::Lost);
   StartRun start;
   start.run_ = { request.job_, 0, 1 };
   keeper_->Finish("agent-1", start, "answer");
-  CHECK(keeper_->SentOne<wire::RecordReply>("entry-2").result_.text_ ==
+  CHECK(keeper_->PopOnlySent<wire::RecordReply>("entry-2").result_.text_ ==
         "answer");
-  CHECK(keeper_->SentOne<wire::RunRecorded>("agent-1").run_ == start.run_);
-  keeper_->Pass(std::chrono::seconds{ 10 });
-  CHECK(keeper_->Sent<StartRun>("agent-1").empty());
-  CHECK(keeper_->Sent<StartRun>("agent-2").empty());
+  CHECK(keeper_->PopOnlySent<wire::RunRecorded>("agent-1").run_ == start.run_);
+  keeper_->AdvanceTime(std::chrono::seconds{ 10 });
+  CHECK(keeper_->PopSent<StartRun>("agent-1").empty());
+  CHECK(keeper_->PopSent<StartRun>("agent-2").empty());
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_LateResultOfLostEntry_StopsOwnersRun")
+TEST_CASE_METHOD(KeeperFixture, "Online_LateResultOfLostEntry_CancelsOwnersRun")
 {
-  const auto request = Request("key");
-  Ask("entry-1", request);
-  keeper_->Link("entry-1", LinkState::Replaced);
-  keeper_->Pass(std::chrono::milliseconds{ 100 });
-  const auto start = keeper_->SentOne<StartRun>("agent-1");
-  keeper_->From(
+  const auto request = MakeRequest("key");
+  SubmitRequest("entry-1", request);
+  keeper_->SetLinkState("entry-1", LinkState::Replaced);
+  keeper_->AdvanceTime(std::chrono::milliseconds{ 100 });
+  const auto start = keeper_->PopOnlySent<StartRun>("agent-1");
+  keeper_->Receive(
     "agent-2",
     wire::RunEnded{
       { request.job_, 0, 1 }, 1, ResultCode::Ok, Ran::Ran, "late", 1, 0, {} });
-  CHECK(keeper_->SentOne<wire::CancelRun>("agent-1").run_ == start.run_);
+  CHECK(keeper_->PopOnlySent<wire::CancelRun>("agent-1").run_ == start.run_);
   CHECK(keeper_->Status(request.job_).succeeded_ == 1);
-  keeper_->Pass(std::chrono::seconds{ 60 });
+  keeper_->AdvanceTime(std::chrono::seconds{ 60 });
   CHECK(keeper_->Status(request.job_).code_ == ResultCode::Expired);
-  CHECK(Ask("entry-2", request).state_ == RecordState::New);
+  CHECK(SubmitRequest("entry-2", request).state_ == RecordState::New);
 }
 
 } // namespace pumiceturn::keeper
