--- a/Libraries/LibDispatch/Events.h
+++ b/Libraries/LibDispatch/Events.h
@@ -2,20 +2,20 @@
 
 #include "LibBase/Log.h"
 
-/// Events of the agent's decisions, 80xx.
+/// Events of the agent's scheduling decisions, 8001 to 8099.
 namespace pumiceturn::dispatch {
 
 inline constexpr base::Event kRunStarted{
   8001,
   "run_started",
   base::LogLevel::Info,
-  "A request was sent to the engine, with the load that was weighed."
+  "A request was sent to the engine. The fields show the load at that time."
 };
 inline constexpr base::Event kRunQueued{
   8002,
   "run_queued",
   base::LogLevel::Info,
-  "A request waits at the agent for room at the engine."
+  "A request waits at the agent for a free place at the engine."
 };
 inline constexpr base::Event kRunRefused{
   8003,
@@ -27,42 +27,45 @@
   8004,
   "run_preempted",
   base::LogLevel::Info,
-  "A batch stream gives its place to an online request and goes on later."
+  "A batch stream was preempted by an online request and resumes later."
+};
+inline constexpr base::Event kRunEnded{
+  8005,
+  "run_ended",
+  base::LogLevel::Info,
+  "A run ended. A successful result is kept until it is recorded."
 };
-inline constexpr base::Event kRunEnded{ 8005,
-                                        "run_ended",
-                                        base::LogLevel::Info,
-                                        "A run ended; its result is kept until "
-                                        "it is recorded." };
 inline constexpr base::Event kEngineCrashed{
   8006,
   "engine_crashed",
   base::LogLevel::Error,
-  "All streams at the engine broke at once; their contents are suspect."
+  "All streams at the engine broke at the same time; their contents are marked "
+  "as suspect."
 };
 inline constexpr base::Event kEngineUp{
   8007,
   "engine_up",
   base::LogLevel::Info,
-  "The engine answers again; dispatch goes on."
+  "The engine responds again; dispatch resumes."
 };
 inline constexpr base::Event kResultOffered{
   8008,
   "result_offered",
   base::LogLevel::Info,
-  "A result that was not recorded in time is offered again or to a keeper."
+  "A result that was not recorded in time was sent again to its receiver or to "
+  "a keeper."
 };
 inline constexpr base::Event kResultDropped{
   8009,
   "result_dropped",
   base::LogLevel::Error,
-  "A result that nobody recorded for an hour was dropped."
+  "A result that was not recorded within an hour was dropped."
 };
 inline constexpr base::Event kDrainChanged{
   8010,
   "drain_changed",
   base::LogLevel::Info,
-  "The agent began to refuse new work, or takes it again."
+  "The agent started or stopped draining."
 };
 inline constexpr base::Event kCreditsGranted{
   8011,
@@ -74,7 +77,7 @@
   8012,
   "engine_down",
   base::LogLevel::Warning,
-  "The engine takes no connection; requests are refused as not run."
+  "The engine accepts no connections; requests are refused as not run."
 };
 
 } // namespace pumiceturn::dispatch
