--- a/Libraries/LibEndpoint/EventStreamParser.cpp
+++ b/Libraries/LibEndpoint/EventStreamParser.cpp
@@ -25,22 +25,22 @@
 } // namespace
 
 bool
-EventStreamParser::Push(std::string_view aPiece,
+EventStreamParser::Push(std::string_view aChunk,
                         const std::function<bool(std::string_view)>& aOnData)
 {
-  rest_.append(aPiece);
+  buffer_.append(aChunk);
   std::size_t begin = 0;
-  for (std::size_t end = rest_.find('\n'); end != std::string::npos;
-       end = rest_.find('\n', begin)) {
-    const std::string_view line{ rest_.data() + begin, end - begin };
+  for (std::size_t end = buffer_.find('\n'); end != std::string::npos;
+       end = buffer_.find('\n', begin)) {
+    const std::string_view line{ buffer_.data() + begin, end - begin };
     begin = end + 1;
     const std::string_view data = DataOf(line);
     if (!data.empty() && !aOnData(data)) {
       return false;
     }
   }
-  rest_.erase(0, begin);
-  return rest_.size() <= kMaxLineBytes;
+  buffer_.erase(0, begin);
+  return buffer_.size() <= kMaxLineBytes;
 }
 
 } // namespace pumiceturn::endpoint
--- a/Libraries/LibEndpoint/EventStreamParser.h
+++ b/Libraries/LibEndpoint/EventStreamParser.h
@@ -6,23 +6,23 @@
 
 namespace pumiceturn::endpoint {
 
-/// Splits a text/event-stream body, which arrives in arbitrary pieces, into the
-/// data of its events. Comments and other fields are skipped.
+/// Incremental parser of a text/event-stream body. Reports the data lines;
+/// skips comments and other fields.
 class EventStreamParser
 {
 public:
-  /// Longest line taken; a longer one makes the stream malformed.
+  /// A stream with a longer line is malformed.
   static constexpr std::size_t kMaxLineBytes = std::size_t{ 1 } << 20U;
 
-  /// Takes the next piece.
-  /// @param aOnData Receives the data of each line that is now whole; false
-  /// ends the parse.
-  /// @return false if a line is too long or aOnData ended it.
-  bool Push(std::string_view aPiece,
+  /// Parses the next chunk of the body.
+  /// @param aOnData Called with the data of each complete line; returns false
+  /// to stop parsing.
+  /// @return false if a line is too long or aOnData returned false.
+  bool Push(std::string_view aChunk,
             const std::function<bool(std::string_view)>& aOnData);
 
 private:
-  std::string rest_;
+  std::string buffer_;
 };
 
 } // namespace pumiceturn::endpoint
--- a/Libraries/LibEndpoint/HttpFailure.cpp
+++ b/Libraries/LibEndpoint/HttpFailure.cpp
@@ -4,8 +4,8 @@
 
 HttpFailure
 ClassifyError(httplib::Error aError,
-              base::Duration aSilent,
-              base::Duration aLimit)
+              base::Duration aIdleTime,
+              base::Duration aReadTimeout)
 {
   switch (aError) {
     case httplib::Error::Connection:
@@ -14,7 +14,7 @@
       return { base::ResultCode::NoEndpoint, base::Ran::NotRun };
     case httplib::Error::Read:
     case httplib::Error::Write:
-      if (aSilent >= aLimit) {
+      if (aIdleTime >= aReadTimeout) {
         return { base::ResultCode::TimedOut, base::Ran::Unknown };
       }
       return { base::ResultCode::EndpointCrashed, base::Ran::Unknown };
--- a/Libraries/LibEndpoint/HttpFailure.h
+++ b/Libraries/LibEndpoint/HttpFailure.h
@@ -7,23 +7,23 @@
 
 namespace pumiceturn::endpoint {
 
-/// What a failed exchange says about the request.
+/// Result code of a failed HTTP exchange, and whether the request may have run.
 struct HttpFailure
 {
   base::ResultCode code_ = base::ResultCode::Internal;
   base::Ran ran_ = base::Ran::Unknown;
 };
 
-/// Tells a request that certainly never left from one whose outcome is unknown.
-/// Only a connection that was never made proves that no byte was sent; a broken
-/// write may have delivered the whole request.
-/// @param aError  The library's error.
-/// @param aSilent How long nothing was heard before it.
-/// @param aLimit  Read timeout of the exchange; the library reports it as a
-///                plain read error.
+/// Distinguishes requests that were certainly not sent from those with an
+/// unknown outcome. Only a failure to connect proves that nothing was sent; a
+/// failed write may have delivered the whole request.
+/// @param aError       Error reported by the HTTP library.
+/// @param aIdleTime    Time since data was last received.
+/// @param aReadTimeout Read timeout of the exchange. The library reports a
+/// timeout as a read error, so it is recognised by aIdleTime.
 HttpFailure
 ClassifyError(httplib::Error aError,
-              base::Duration aSilent,
-              base::Duration aLimit);
+              base::Duration aIdleTime,
+              base::Duration aReadTimeout);
 
 } // namespace pumiceturn::endpoint
--- a/Libraries/LibEndpoint/PlainServiceClient.h
+++ b/Libraries/LibEndpoint/PlainServiceClient.h
@@ -10,45 +10,47 @@
 
 /// How a call of a plain service ended.
 ///
-/// | code_           | ran_    | when |
-/// |-----------------|---------|------|
-/// | Ok              | Ran     | answered with a 2xx status |
-/// | NoEndpoint      | NotRun  | no connection: no byte left for the service |
-/// | EndpointFailed  | Unknown | answered with another status |
-/// | EndpointCrashed | Unknown | the connection broke after sending |
-/// | TimedOut        | Unknown | no answer in time |
+/// - Ok (Ran): the service responded with a 2xx status.
+/// - NoEndpoint (NotRun): no connection was made, so nothing was sent.
+/// - EndpointFailed (Unknown): the service responded with another status.
+/// - EndpointCrashed (Unknown): the connection broke after sending.
+/// - TimedOut (Unknown): no response within the timeout.
 struct PlainCallEnd
 {
   base::ResultCode code_ = base::ResultCode::Ok;
   base::Ran ran_ = base::Ran::Ran;
-  int httpStatus_ = 0; ///< 0 if there was none.
+  int httpStatus_ = 0; ///< 0 if no response was received.
   std::string body_;
   std::string detail_;
 };
 
-/// Calls one plain service by POST /v1/call. Calls block. Thread-safe.
+/// Client of one plain service (POST /v1/call). Calls block. Thread-safe.
 class PlainServiceClient
 {
 public:
   struct Options
   {
-    std::string address_; ///< IP:port.
+    /// IP:port.
+    std::string address_;
     base::Duration connectTimeout_{ std::chrono::seconds{ 1 } };
   };
 
+  /// Creates a client without connecting.
   /// @return OutOfRange for a malformed address.
   static base::Result<PlainServiceClient> Make(const Options& aOptions);
 
-  /// Sends one call, once. Each call has a connection of its own: on a reused
-  /// one, a request that meets the service closing an idle connection would end
-  /// as unknown, and a call that may not be repeated would be lost by it.
-  /// @param aPayload Body, passed on as it is.
-  /// @param aKey     Request key, sent in the header Request-Key.
-  /// @param aTimeout Longest time to wait for the answer.
+  /// Sends one call without retrying. Each call uses a new connection: on a
+  /// reused one, a request that is sent while the service closes the idle
+  /// connection has an unknown outcome, and a non-idempotent call could not be
+  /// retried.
+  /// @param aPayload Request body, sent unchanged.
+  /// @param aKey     Value of the Request-Key header.
+  /// @param aTimeout Maximum time to wait for the response.
   [[nodiscard]] PlainCallEnd Call(std::string_view aPayload,
                                   const std::string& aKey,
                                   base::Duration aTimeout) const;
 
+  /// @return whether the service responds to a health check.
   [[nodiscard]] bool IsHealthy() const;
 
 private:
--- a/Tests/LibEndpoint/EventStreamParserTest.cpp
+++ b/Tests/LibEndpoint/EventStreamParserTest.cpp
@@ -7,7 +7,7 @@
 
 namespace pumiceturn::endpoint {
 
-TEST_CASE("EventStreamParser_BodyInSingleBytes_GivesWholeDataLines")
+TEST_CASE("EventStreamParser_BodyInSingleBytes_ReportsCompleteDataLines")
 {
   const std::string body =
     ": comment\r\nid: 3\r\ndata: one\r\n\r\ndata:two\n\ndata: thr";
@@ -22,7 +22,7 @@
   CHECK(data == std::vector<std::string>{ "one", "two" });
 }
 
-TEST_CASE("EventStreamParser_LineWithoutEnd_IsRefused")
+TEST_CASE("EventStreamParser_LineTooLong_IsRejected")
 {
   EventStreamParser parser;
   const std::string piece(EventStreamParser::kMaxLineBytes + 1, 'x');
--- a/Tests/LibEndpoint/PlainServiceClientTest.cpp
+++ b/Tests/LibEndpoint/PlainServiceClientTest.cpp
@@ -51,10 +51,9 @@
 }
 
 TEST_CASE_METHOD(PlainServiceFixture,
-                 "PlainCall_AnswerLost_IsUnknownAndRanOnce")
+                 "PlainCall_ResponseLost_IsUnknownAndRanOnce")
 {
-  // The service books the call, then its answer is lost. Calling it "not run"
-  // would invite a second booking; the client sends it once only.
+  // Guards against executing a call twice when its response is lost.
   service_->SetFaults({ .loseAnswers_ = 1 });
   const PlainCallEnd end = Call();
   CHECK(end.code_ == ResultCode::EndpointCrashed);
@@ -62,7 +61,7 @@
   CHECK(service_->CountOf("key-1") == 1);
 }
 
-TEST_CASE_METHOD(PlainServiceFixture, "PlainCall_NoAnswerInTime_IsUnknown")
+TEST_CASE_METHOD(PlainServiceFixture, "PlainCall_NoResponseInTime_IsUnknown")
 {
   service_->SetFaults({ .slow_ = std::chrono::hours{ 1 } });
   const PlainCallEnd end = Call(std::chrono::milliseconds{ 30 });
