--- a/Benchmarks/Dispatch/DecisionCost.cpp
+++ b/Benchmarks/Dispatch/DecisionCost.cpp
@@ -1,6 +1,6 @@
 #include "DecisionCost.h"
 
-#include "LibDispatch/Gate.h"
+#include "LibDispatch/EndpointScheduler.h"
 
 #include <fmt/format.h>
 
@@ -48,14 +48,14 @@
 double
 MicrosecondsOfOneDecision(std::uint32_t aWaiting, bool aIsOnline)
 {
-  dispatch::Gate::Options options;
+  dispatch::EndpointScheduler::Options options;
   options.service_ = "origin-llm";
-  options.limit_.most_ = kPlaces;
+  options.limit_.max_ = kPlaces;
   options.maxQueuedOnline_ = aWaiting * 2;
   options.maxQueuedBatch_ = aWaiting * 2;
-  dispatch::Gate gate(
+  dispatch::EndpointScheduler gate(
     options, [](std::uint64_t /*aFingerprint*/, dispatch::Moment /*aMoment*/) {
-      return dispatch::ContentStanding::Clear;
+      return dispatch::ContentStatus::Clear;
     });
   std::uint64_t job = 1;
   for (std::uint32_t index = 0; index < aWaiting + kPlaces; ++index) {
--- a/Benchmarks/Dispatch/Main.cpp
+++ b/Benchmarks/Dispatch/Main.cpp
@@ -74,7 +74,7 @@
 {
   const auto places = static_cast<std::uint32_t>(aEngine.options_.maxRunning_);
   const NamedPolicy policies[] = {
-    { "engine order", dispatch::EngineOrder{} },
+    { "engine order", dispatch::PassThrough{} },
     { "strict priority", dispatch::StrictPriority{} },
     { "static headroom",
       dispatch::StaticHeadroom{
--- a/Benchmarks/Dispatch/Simulation.cpp
+++ b/Benchmarks/Dispatch/Simulation.cpp
@@ -22,16 +22,16 @@
          std::to_string(aStream.generation_);
 }
 
-dispatch::Gate::Options
+dispatch::EndpointScheduler::Options
 OptionsOf(const dispatch::Policy& aPolicy,
           double aHeadroomShare,
           const standin::EngineModelOptions& aEngine)
 {
-  dispatch::Gate::Options options;
+  dispatch::EndpointScheduler::Options options;
   options.service_ = kService;
   options.policy_ = aPolicy;
   options.bursts_.maxShare_ = aHeadroomShare;
-  options.limit_.most_ = static_cast<std::uint32_t>(aEngine.maxRunning_);
+  options.limit_.max_ = static_cast<std::uint32_t>(aEngine.maxRunning_);
   return options;
 }
 
@@ -62,7 +62,7 @@
   , engine_(engineOptions_)
   , gate_(OptionsOf(aPolicy, aHeadroomShare, engineOptions_),
           [](std::uint64_t /*aFingerprint*/, dispatch::Moment /*aMoment*/) {
-            return dispatch::ContentStanding::Clear;
+            return dispatch::ContentStatus::Clear;
           })
   , random_(aWorkload.seed_)
 {
@@ -118,7 +118,7 @@
 void
 Simulation::ScheduleTick()
 {
-  After(dispatch::Gate::kTickInterval, [this] {
+  After(dispatch::EndpointScheduler::kTickInterval, [this] {
     Do(gate_.OnTick(Now()));
     ScheduleTick();
   });
@@ -337,7 +337,7 @@
   }
   After(kEngineDelay, [this, stream, text = aEmission.text_, isLast] {
     if (!text.empty()) {
-      Do(gate_.OnTokens(stream, { text, 1 }, Now()));
+      Do(gate_.OnChunk(stream, { text, 1 }, Now()));
     }
     if (isLast) {
       Do(gate_.OnStreamEnded(stream, {}, Now()));
--- a/Benchmarks/Dispatch/Simulation.h
+++ b/Benchmarks/Dispatch/Simulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibDispatch/Gate.h"
+#include "LibDispatch/EndpointScheduler.h"
 #include "LibStandin/EngineModel.h"
 
 #include <cstdint>
@@ -108,7 +108,7 @@
   standin::EngineModelOptions engineOptions_;
   Workload workload_;
   standin::EngineModel engine_;
-  dispatch::Gate gate_;
+  dispatch::EndpointScheduler gate_;
   std::mt19937_64 random_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::uint64_t nextOrder_ = 0;
--- a/Libraries/LibAgent/AgentCore.cpp
+++ b/Libraries/LibAgent/AgentCore.cpp
@@ -12,7 +12,7 @@
 
 namespace pumiceturn::agent {
 
-using dispatch::ContentStanding;
+using dispatch::ContentStatus;
 using dispatch::Moment;
 
 namespace {
@@ -27,7 +27,7 @@
 {
   switch (aSettings.dispatch()) {
     case settings::DISPATCH_POLICY_ENGINE_ORDER:
-      return dispatch::EngineOrder{};
+      return dispatch::PassThrough{};
     case settings::DISPATCH_POLICY_STRICT_PRIORITY:
       return dispatch::StrictPriority{};
     case settings::DISPATCH_POLICY_STATIC_HEADROOM:
@@ -43,18 +43,18 @@
   return aValue == 0 ? aDefault : aValue;
 }
 
-ContentStanding
-StandingOf(routing::Suspicion aSuspicion)
+ContentStatus
+ContentStatusOf(routing::Suspicion aSuspicion)
 {
   switch (aSuspicion) {
     case routing::Suspicion::Suspect:
-      return ContentStanding::Suspect;
+      return ContentStatus::Suspect;
     case routing::Suspicion::Quarantined:
-      return ContentStanding::Quarantined;
+      return ContentStatus::Quarantined;
     case routing::Suspicion::None:
       break;
   }
-  return ContentStanding::Clear;
+  return ContentStatus::Clear;
 }
 
 bool
@@ -65,37 +65,37 @@
                    settings::FUNCTION_KEEPER) != aHost.functions().end();
 }
 
-/// A service's endpoints load one after another, this long apart, so that a
-/// roll-out stays within the rate of the weight store.
+/// Delay between the loads of a service's endpoints, so that a roll-out stays
+/// within the bandwidth of the weight store.
 constexpr base::Duration kLoadInterval{ std::chrono::seconds{ 2 } };
 
-OrderKeeper::Declared
-OrdersOf(const declarations::Service& aService,
-         const std::string& aEndpoint,
-         std::uint64_t aVersion)
+EngineReconciler::DesiredState
+DesiredStateOf(const declarations::Service& aService,
+               const std::string& aEndpoint,
+               std::uint64_t aVersion)
 {
-  using endpoint::EngineOrder;
-  using endpoint::OrderType;
-  OrderKeeper::Declared declared;
-  declared.version_ = aVersion;
+  using endpoint::CommandType;
+  using endpoint::EngineCommand;
+  EngineReconciler::DesiredState desired;
+  desired.version_ = aVersion;
   if (!aService.model_version().empty()) {
-    declared.orders_.push_back(EngineOrder{
-      OrderType::LoadModel, aService.model(), aService.model_version(), 0 });
+    desired.commands_.push_back(EngineCommand{
+      CommandType::LoadModel, aService.model(), aService.model_version(), 0 });
   }
   for (const std::string& adapter : aService.adapters()) {
-    declared.orders_.push_back(EngineOrder{
-      OrderType::LoadAdapter, adapter, aService.model_version(), 0 });
+    desired.commands_.push_back(EngineCommand{
+      CommandType::LoadAdapter, adapter, aService.model_version(), 0 });
   }
   for (const declarations::Endpoint& endpoint : aService.endpoints()) {
     if (endpoint.name() == aEndpoint) {
       break;
     }
-    declared.delay_ += kLoadInterval;
+    desired.delay_ += kLoadInterval;
   }
-  return declared;
+  return desired;
 }
 
-/// Unique to this process, so that it knows its own writes by it.
+/// @return an id unique to this process, by which it recognises its own writes.
 std::string
 MakeWriteId(const settings::Settings& aSettings)
 {
@@ -109,36 +109,38 @@
   : context_(aContext)
   , service_(aContext.settings_.agent().service())
   , endpoint_(aContext.settings_.agent().endpoint())
-  , gate_(MakeGateOptions(),
-          [&quarantine = aContext.quarantine_](std::uint64_t aFingerprint,
-                                               Moment aMoment) {
-            return StandingOf(quarantine.Check(aFingerprint, aMoment.now_));
-          })
-  , orders_(aContext.keyValue_,
-            aContext.settings_.platform().key_prefix() + "fence/" + endpoint_,
-            MakeWriteId(aContext.settings_))
+  , scheduler_(MakeSchedulerOptions(),
+               [&quarantine = aContext.quarantine_](std::uint64_t aFingerprint,
+                                                    Moment aMoment) {
+                 return ContentStatusOf(
+                   quarantine.Check(aFingerprint, aMoment.now_));
+               })
+  , reconciler_(aContext.keyValue_,
+                aContext.settings_.platform().key_prefix() + "fence/" +
+                  endpoint_,
+                MakeWriteId(aContext.settings_))
 {
 }
 
-dispatch::Gate::Options
-AgentCore::MakeGateOptions() const
+dispatch::EndpointScheduler::Options
+AgentCore::MakeSchedulerOptions() const
 {
   const settings::AgentSettings& agent = context_.settings_.agent();
-  dispatch::Gate::Options options;
+  dispatch::EndpointScheduler::Options options;
   options.service_ = agent.service();
   options.policy_ = PolicyOf(agent);
-  options.limit_.most_ = OrDefault(agent.max_running(), kDefaultPlaces);
+  options.limit_.max_ = OrDefault(agent.max_running(), kDefaultPlaces);
   options.limit_.firstTokenTarget_ = std::chrono::milliseconds{ OrDefault(
     agent.first_token_target_ms(), kDefaultFirstTokenTargetMs) };
   options.maxQueuedOnline_ =
     OrDefault(agent.max_queued_online(), kDefaultQueuedOnline);
   options.partitionCount_ = context_.partitions_.Count();
-  options.startsUp_ = false;
+  options.engineStartsUp_ = false;
   return options;
 }
 
 void
-AgentCore::Begin()
+AgentCore::Start()
 {
   const std::weak_ptr<AgentCore> weak = weak_from_this();
   context_.configuration_.Subscribe([weak](const auto& aSnapshot) {
@@ -154,7 +156,7 @@
   OnConfiguration(context_.configuration_.Current());
   OnHosts(context_.hosts_.Current());
   AddMetrics();
-  context_.pool_.PostEvery(dispatch::Gate::kTickInterval, [weak] {
+  context_.pool_.PostEvery(dispatch::EndpointScheduler::kTickInterval, [weak] {
     if (const auto core = weak.lock()) {
       core->OnTick();
     }
@@ -164,7 +166,7 @@
 void
 AgentCore::AddMetrics()
 {
-  using Read = std::uint32_t dispatch::GateLoad::*;
+  using Read = std::uint32_t dispatch::SchedulerLoad::*;
   struct Gauge
   {
     const char* name_;
@@ -174,25 +176,25 @@
   static constexpr Gauge kGauges[] = {
     { "pumiceturn_agent_online_running",
       "Online streams at the engine.",
-      &dispatch::GateLoad::onlineRunning_ },
+      &dispatch::SchedulerLoad::onlineRunning_ },
     { "pumiceturn_agent_batch_running",
       "Batch streams at the engine.",
-      &dispatch::GateLoad::batchRunning_ },
+      &dispatch::SchedulerLoad::batchRunning_ },
     { "pumiceturn_agent_online_waiting",
-      "Online requests that wait for room.",
-      &dispatch::GateLoad::onlineWaiting_ },
+      "Online requests waiting for a free place.",
+      &dispatch::SchedulerLoad::onlineWaiting_ },
     { "pumiceturn_agent_batch_waiting",
-      "Batch runs that wait for room, preempted ones included.",
-      &dispatch::GateLoad::batchWaiting_ },
+      "Batch runs waiting for a free place, including preempted ones.",
+      &dispatch::SchedulerLoad::batchWaiting_ },
     { "pumiceturn_agent_places",
-      "Requests that the engine is given at once.",
-      &dispatch::GateLoad::limit_ },
+      "Maximum number of concurrent requests at the engine.",
+      &dispatch::SchedulerLoad::limit_ },
     { "pumiceturn_agent_headroom",
       "Places kept free of batch.",
-      &dispatch::GateLoad::headroom_ },
+      &dispatch::SchedulerLoad::headroom_ },
     { "pumiceturn_agent_unrecorded_results",
-      "Results that are not recorded yet.",
-      &dispatch::GateLoad::unrecorded_ },
+      "Finished results that are not recorded yet.",
+      &dispatch::SchedulerLoad::unrecorded_ },
   };
   const std::weak_ptr<AgentCore> weak = weak_from_this();
   for (const Gauge& gauge : kGauges) {
@@ -220,15 +222,15 @@
   const Moment now = Now();
   const std::scoped_lock lock(mutex_);
   if (const auto* start = std::get_if<wire::StartRun>(&aMessage)) {
-    Do(gate_.OnStartRun(aPeer, *start, now));
+    ExecuteActions(scheduler_.OnStartRun(aPeer, *start, now));
   } else if (const auto* cancel = std::get_if<wire::CancelRun>(&aMessage)) {
-    Do(gate_.OnCancelRun(aPeer, *cancel, now));
+    ExecuteActions(scheduler_.OnCancelRun(aPeer, *cancel, now));
   } else if (const auto* attach = std::get_if<wire::AttachRun>(&aMessage)) {
-    Do(gate_.OnAttachRun(aPeer, *attach, now));
+    ExecuteActions(scheduler_.OnAttachRun(aPeer, *attach, now));
   } else if (const auto* done = std::get_if<wire::RunRecorded>(&aMessage)) {
-    Do(gate_.OnRunRecorded(*done, now));
+    ExecuteActions(scheduler_.OnRunRecorded(*done, now));
   } else if (const auto* demand = std::get_if<wire::BatchDemand>(&aMessage)) {
-    Do(gate_.OnBatchDemand(aPeer, *demand, now));
+    ExecuteActions(scheduler_.OnBatchDemand(aPeer, *demand, now));
   }
 }
 
@@ -239,16 +241,16 @@
   const std::scoped_lock lock(mutex_);
   switch (aState) {
     case wire::LinkState::Up:
-      Do(gate_.OnLinkUp(aPeer, now));
+      ExecuteActions(scheduler_.OnLinkUp(aPeer, now));
       return;
     case wire::LinkState::Lost: {
-      gate_.OnLinkLost(aPeer, now);
+      scheduler_.OnLinkLost(aPeer, now);
       const std::scoped_lock loadLock(loadMutex_);
-      prefixes_.ForgetPeer(aPeer);
+      prefixes_.RemovePeer(aPeer);
       return;
     }
     case wire::LinkState::Replaced:
-      Do(gate_.OnPeerReplaced(aPeer, now));
+      ExecuteActions(scheduler_.OnPeerReplaced(aPeer, now));
       return;
   }
 }
@@ -258,14 +260,15 @@
                          wire::Heartbeat& aHeartbeat) const
 {
   const std::scoped_lock lock(loadMutex_);
-  const dispatch::GateLoad& load = load_;
+  const dispatch::SchedulerLoad& load = load_;
   aHeartbeat.draining_ = aHeartbeat.draining_ || load.draining_;
   aHeartbeat.running_ =
-    load.onlineRunning_ + load.batchRunning_ + load.yielding_;
+    load.onlineRunning_ + load.batchRunning_ + load.cancelling_;
   aHeartbeat.queuedOnline_ = load.onlineWaiting_;
   aHeartbeat.capacity_ = load.engineDown_ ? 0 : load.limit_;
   aHeartbeat.expectedWaitMs_ = load.expectedWaitMs_;
-  dispatch::PrefixBook::Changes changes = prefixes_.TakeChangesFor(aPeer);
+  dispatch::PrefixCacheTracker::Changes changes =
+    prefixes_.DrainChangesFor(aPeer);
   aHeartbeat.prefixesAdded_ = std::move(changes.added_);
   aHeartbeat.prefixesDropped_ = std::move(changes.dropped_);
 }
@@ -274,10 +277,12 @@
 AgentCore::SetDrain(DrainCause aCause, bool aWanted)
 {
   const std::scoped_lock lock(mutex_);
-  drains_.at(static_cast<std::size_t>(aCause)) = aWanted;
-  const bool isWanted = std::ranges::any_of(drains_, std::identity{});
-  Do(gate_.SetIntake(
-    isWanted ? dispatch::Intake::Draining : dispatch::Intake::Open, Now()));
+  drainRequested_.at(static_cast<std::size_t>(aCause)) = aWanted;
+  const bool isWanted = std::ranges::any_of(drainRequested_, std::identity{});
+  ExecuteActions(
+    scheduler_.SetAdmissionState(isWanted ? dispatch::AdmissionState::Draining
+                                          : dispatch::AdmissionState::Open,
+                                 Now()));
 }
 
 void
@@ -295,31 +300,31 @@
                 { "version", aSnapshot->Version() } });
     return;
   }
-  Declare(*service, *endpoint, aSnapshot->Version());
+  ApplyDeclaration(*service, *endpoint, aSnapshot->Version());
 }
 
 void
-AgentCore::Declare(const declarations::Service& aService,
-                   const declarations::Endpoint& aEndpoint,
-                   std::uint64_t aVersion)
+AgentCore::ApplyDeclaration(const declarations::Service& aService,
+                            const declarations::Endpoint& aEndpoint,
+                            std::uint64_t aVersion)
 {
   const std::scoped_lock lock(mutex_);
   if (stopped_) {
     return;
   }
   model_ = aService.model();
-  MakeRunner(aService.type());
+  CreateRunner(aService.type());
   if (engine_) {
-    orders_.SetDeclared(OrdersOf(aService, endpoint_, aVersion));
+    reconciler_.SetDesiredState(DesiredStateOf(aService, endpoint_, aVersion));
   }
-  dispatch::ConcurrencyLimit::Options limit = MakeGateOptions().limit_;
-  limit.most_ = PlacesOf(aEndpoint);
+  dispatch::ConcurrencyLimit::Options limit = MakeSchedulerOptions().limit_;
+  limit.max_ = PlacesOf(aEndpoint);
   base::Log(kEndpointDeclared,
             { { "service", service_ },
               { "endpoint", endpoint_ },
               { "model", model_ },
-              { "places", limit.most_ } });
-  Do(gate_.SetLimit(limit, Now()));
+              { "places", limit.max_ } });
+  ExecuteActions(scheduler_.SetLimit(limit, Now()));
 }
 
 std::uint32_t
@@ -334,10 +339,10 @@
 }
 
 void
-AgentCore::MakeRunner(declarations::ServiceType aType)
+AgentCore::CreateRunner(declarations::ServiceType aType)
 {
   if (runner_) {
-    return; // What stands at an address does not change while it is served.
+    return; // The type of a service does not change while it is served.
   }
   const std::string& address = context_.settings_.agent().engine_address();
   auto made = base::Capture([&]() -> base::Result<Backend> {
@@ -355,22 +360,22 @@
   });
   auto* backend = std::get_if<Backend>(&made);
   if (backend == nullptr) {
-    return; // The settings' check has refused a malformed address before.
+    return; // Cannot happen: settings with a malformed address are rejected.
   }
-  gate_.SetResumption(aType == declarations::SERVICE_TYPE_PLAIN
-                        ? dispatch::Resumption::None
-                        : dispatch::Resumption::Possible);
-  // The runner's threads end before this object does, in Stop().
+  scheduler_.SetResumption(aType == declarations::SERVICE_TYPE_PLAIN
+                             ? dispatch::Resumption::None
+                             : dispatch::Resumption::Possible);
+  // The runner's threads are joined in Stop(), before this object is destroyed.
   StreamRunner::Handlers handlers;
-  handlers.tokens_ = [this](const dispatch::StreamId& aStream,
-                            dispatch::AnswerPart aPart) {
+  handlers.chunk_ = [this](const dispatch::StreamId& aStream,
+                           dispatch::ResponseChunk aChunk) {
     const std::scoped_lock lock(mutex_);
-    Do(gate_.OnTokens(aStream, std::move(aPart), Now()));
+    ExecuteActions(scheduler_.OnChunk(aStream, std::move(aChunk), Now()));
   };
   handlers.ended_ = [this](const dispatch::StreamId& aStream,
                            const dispatch::StreamEnd& aEnd) {
     const std::scoped_lock lock(mutex_);
-    Do(gate_.OnStreamEnded(aStream, aEnd, Now()));
+    ExecuteActions(scheduler_.OnStreamEnded(aStream, aEnd, Now()));
   };
   runner_ =
     std::make_unique<StreamRunner>(std::move(*backend), std::move(handlers));
@@ -397,20 +402,20 @@
   if (stopped_) {
     return;
   }
-  if (ticks_++ % kTicksBetweenRefreshes == 0) {
+  if (tickCount_++ % kTicksBetweenRefreshes == 0) {
     RefreshKeepers();
-    gate_.SetPartitionCount(context_.partitions_.Count());
-    RunOrders();
+    scheduler_.SetPartitionCount(context_.partitions_.Count());
+    ReconcileEngine();
     PollCacheEvents();
   }
-  Do(gate_.OnTick(Now()));
+  ExecuteActions(scheduler_.OnTick(Now()));
 }
 
 void
-AgentCore::RunOrders()
+AgentCore::ReconcileEngine()
 {
-  if (engine_ && orders_.IsDue()) {
-    runner_->Run([this] { orders_.Run(*engine_); });
+  if (engine_ && reconciler_.IsDue()) {
+    runner_->Run([this] { reconciler_.Run(*engine_); });
   }
 }
 
@@ -436,8 +441,8 @@
     lastCacheEvent_ = page->lastSequence_;
     for (const endpoint::CacheEvent& event : page->events_) {
       const bool isStored = event.change_ == endpoint::CacheChange::Stored;
-      prefixes_.OnCacheEvent(isStored ? dispatch::CacheNews::Stored
-                                      : dispatch::CacheNews::Evicted,
+      prefixes_.OnCacheEvent(isStored ? dispatch::CacheUpdate::Stored
+                                      : dispatch::CacheUpdate::Evicted,
                              event.prefixHash_,
                              event.prefixBytes_);
     }
@@ -457,23 +462,23 @@
       keepers.push_back(host.name());
     }
   }
-  gate_.SetKeepers(std::move(keepers));
+  scheduler_.SetKeepers(std::move(keepers));
 }
 
 void
-AgentCore::Do(dispatch::Actions aActions)
+AgentCore::ExecuteActions(dispatch::Actions aActions)
 {
   for (dispatch::Action& action : aActions) {
-    std::visit([this](auto& aAction) { Carry(aAction); }, action);
+    std::visit([this](auto& aAction) { Execute(aAction); }, action);
   }
-  const dispatch::GateLoad load = gate_.Load(base::MonotonicNow());
+  const dispatch::SchedulerLoad load = scheduler_.Load(base::MonotonicNow());
   wasUp_ = wasUp_ || !load.engineDown_;
   const std::scoped_lock lock(loadMutex_);
   load_ = load;
 }
 
 void
-AgentCore::Carry(dispatch::StartStream& aStart)
+AgentCore::Execute(dispatch::StartStream& aStart)
 {
   if (!runner_) {
     return;
@@ -486,7 +491,7 @@
 }
 
 void
-AgentCore::Carry(const dispatch::CancelStream& aCancel)
+AgentCore::Execute(const dispatch::CancelStream& aCancel)
 {
   if (runner_) {
     runner_->Cancel(aCancel.stream_);
@@ -494,31 +499,31 @@
 }
 
 void
-AgentCore::Carry(dispatch::SendMessage& aSend)
+AgentCore::Execute(dispatch::SendMessage& aSend)
 {
-  // A lost message is asked for again by its receiver when the link is back.
+  // The receiver requests a lost message again when the link is up.
   static_cast<void>(
     context_.links_.Send(aSend.peer_, std::move(aSend.message_)));
 }
 
 void
-AgentCore::Carry(const dispatch::SpreadHeartbeat& /*aSpread*/)
+AgentCore::Execute(const dispatch::BroadcastHeartbeat& /*aBroadcast*/)
 {
   {
     const std::scoped_lock lock(loadMutex_);
-    load_ = gate_.Load(base::MonotonicNow());
+    load_ = scheduler_.Load(base::MonotonicNow());
   }
   context_.links_.HeartbeatNow();
 }
 
 void
-AgentCore::Carry(const dispatch::RecordCrash& aCrash)
+AgentCore::Execute(const dispatch::RecordCrash& aCrash)
 {
   context_.quarantine_.RecordCrash(aCrash.fingerprints_, base::MonotonicNow());
 }
 
 void
-AgentCore::Carry(const dispatch::ProbeEngine& /*aProbe*/)
+AgentCore::Execute(const dispatch::ProbeEngine& /*aProbe*/)
 {
   if (!runner_) {
     return;
@@ -527,32 +532,32 @@
     if (!runner_->IsHealthy()) {
       return;
     }
-    orders_.OnEngineRestarted();
+    reconciler_.OnEngineRestarted();
     {
       const std::scoped_lock lock(loadMutex_);
       prefixes_.OnEngineRestarted();
       lastCacheEvent_ = 0;
     }
     const std::scoped_lock lock(mutex_);
-    Do(gate_.OnEngineUp(Now()));
+    ExecuteActions(scheduler_.OnEngineUp(Now()));
   });
 }
 
 void
-AgentCore::Carry(const dispatch::LogDecision& aDecision)
+AgentCore::Execute(const dispatch::LogDecision& aDecision)
 {
   if (!base::IsLogged(aDecision.event_->level_)) {
     return;
   }
-  const dispatch::GateLoad& load = aDecision.load_;
+  const dispatch::SchedulerLoad& load = aDecision.load_;
   base::Log(*aDecision.event_,
             { { "run", base::ToString(aDecision.run_) },
               { "peer", aDecision.peer_ },
               { "code", base::NameOf(aDecision.code_) },
-              { "weighed_ms", base::ToMs(aDecision.weighedWait_) },
+              { "weighed_ms", base::ToMs(aDecision.waitOrSlack_) },
               { "online", load.onlineRunning_ },
               { "batch", load.batchRunning_ },
-              { "yielding", load.yielding_ },
+              { "yielding", load.cancelling_ },
               { "online_waiting", load.onlineWaiting_ },
               { "batch_waiting", load.batchWaiting_ },
               { "places", load.limit_ },
@@ -564,14 +569,14 @@
 AgentCore::IsIdle() const
 {
   const std::scoped_lock lock(mutex_);
-  return gate_.IsIdle();
+  return scheduler_.IsIdle();
 }
 
 node::Readiness
 AgentCore::GetReadiness() const
 {
   const std::scoped_lock lock(mutex_);
-  if (gate_.Load(base::MonotonicNow()).draining_) {
+  if (scheduler_.Load(base::MonotonicNow()).draining_) {
     return node::Readiness::Draining;
   }
   return wasUp_ ? node::Readiness::Ready : node::Readiness::Starting;
@@ -587,7 +592,7 @@
     }
     stopped_ = true;
   }
-  // Without the lock: the streams that are ended report their ends.
+  // Must not hold the mutex: cancelled streams report their ends.
   if (runner_) {
     runner_->Stop();
   }
--- a/Libraries/LibAgent/AgentCore.h
+++ b/Libraries/LibAgent/AgentCore.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "LibAgent/EngineOrders.h"
+#include "LibAgent/EngineReconcilerRunner.h"
 #include "LibAgent/StreamRunner.h"
 #include "LibConfiguration/ConfigurationCache.h"
-#include "LibDispatch/Gate.h"
-#include "LibDispatch/PrefixBook.h"
+#include "LibDispatch/EndpointScheduler.h"
+#include "LibDispatch/PrefixCacheTracker.h"
 #include "LibNode/Context.h"
 #include "LibPlatform/HostDirectory.h"
 #include "LibWire/Messages.h"
@@ -17,7 +17,7 @@
 
 namespace pumiceturn::agent {
 
-/// Who wants this agent to refuse new work.
+/// Reason why this agent refuses new work.
 enum class DrainCause : std::uint8_t
 {
   Operator,
@@ -25,29 +25,31 @@
   Shutdown,
 };
 
-/// Connects the gate with links, engine, configuration and clock. Shared by the
-/// timers, subscriptions and streams that call into it. Thread-safe: one lock
-/// around the gate, under which its actions are also carried out, so that their
-/// order is kept; none of them blocks or calls back.
+/// Connects the endpoint scheduler with links, engine, configuration and clock.
+/// Timers and subscriptions hold weak references to it. Thread-safe: one mutex
+/// guards the scheduler, and its actions are executed under that mutex to keep
+/// their order. No action blocks or calls back.
 class AgentCore : public std::enable_shared_from_this<AgentCore>
 {
 public:
   explicit AgentCore(const node::Context& aContext);
 
-  /// Subscribes to configuration and host list and starts the timers.
-  void Begin();
+  /// Subscribes to the configuration and the host list, and starts the timer.
+  void Start();
 
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
   void OnLinkState(const std::string& aPeer, wire::LinkState aState);
   void FillHeartbeat(const std::string& aPeer,
                      wire::Heartbeat& aHeartbeat) const;
 
+  /// Sets or clears one drain cause. The agent drains while any cause is set.
   void SetDrain(DrainCause aCause, bool aWanted);
 
+  /// @return whether no run is queued, running or unrecorded.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] node::Readiness GetReadiness() const;
 
-  /// Ends streams and threads; what was not finished stays so.
+  /// Cancels all streams and joins the threads.
   void Stop();
 
 private:
@@ -58,25 +60,26 @@
   void OnHosts(const platform::HostDirectory::Snapshot& aHosts);
   void OnTick();
   void RefreshKeepers();
-  void Declare(const declarations::Service& aService,
-               const declarations::Endpoint& aEndpoint,
-               std::uint64_t aVersion);
-  void MakeRunner(declarations::ServiceType aType);
-  void RunOrders();
+  void ApplyDeclaration(const declarations::Service& aService,
+                        const declarations::Endpoint& aEndpoint,
+                        std::uint64_t aVersion);
+  void CreateRunner(declarations::ServiceType aType);
+  void ReconcileEngine();
   void PollCacheEvents();
 
-  /// Carries out what the gate decided. Called with mutex_ held.
-  void Do(dispatch::Actions aActions);
-  void Carry(dispatch::StartStream& aStart);
-  void Carry(const dispatch::CancelStream& aCancel);
-  void Carry(dispatch::SendMessage& aSend);
-  void Carry(const dispatch::SpreadHeartbeat& aSpread);
-  void Carry(const dispatch::RecordCrash& aCrash);
-  void Carry(const dispatch::ProbeEngine& aProbe);
-  void Carry(const dispatch::LogDecision& aDecision);
+  /// Executes the scheduler's actions. Requires mutex_.
+  void ExecuteActions(dispatch::Actions aActions);
+  void Execute(dispatch::StartStream& aStart);
+  void Execute(const dispatch::CancelStream& aCancel);
+  void Execute(dispatch::SendMessage& aSend);
+  void Execute(const dispatch::BroadcastHeartbeat& aBroadcast);
+  void Execute(const dispatch::RecordCrash& aCrash);
+  void Execute(const dispatch::ProbeEngine& aProbe);
+  void Execute(const dispatch::LogDecision& aDecision);
 
   [[nodiscard]] static dispatch::Moment Now();
-  [[nodiscard]] dispatch::Gate::Options MakeGateOptions() const;
+  [[nodiscard]] dispatch::EndpointScheduler::Options MakeSchedulerOptions()
+    const;
   [[nodiscard]] std::uint32_t PlacesOf(
     const declarations::Endpoint& aEndpoint) const;
   void AddMetrics();
@@ -85,22 +88,23 @@
   const std::string service_;
   const std::string endpoint_;
 
-  mutable std::mutex mutex_; ///< Guards the gate and what follows.
-  dispatch::Gate gate_;
+  mutable std::mutex mutex_; ///< Guards the members below, up to loadMutex_.
+  dispatch::EndpointScheduler scheduler_;
   std::unique_ptr<StreamRunner> runner_;
-  std::shared_ptr<endpoint::EngineClient> engine_; ///< Null: plain service.
-  EngineOrders orders_;
+  /// Null for a plain service.
+  std::shared_ptr<endpoint::EngineClient> engine_;
+  EngineReconcilerRunner reconciler_;
   std::string model_;
-  std::array<bool, kDrainCauses> drains_{};
-  std::uint32_t ticks_ = 0;
+  std::array<bool, kDrainCauses> drainRequested_{};
+  std::uint32_t tickCount_ = 0;
   bool wasUp_ = false;
   bool stopped_ = false;
 
-  /// Guards what heartbeats read; they must not wait for the gate. Taken after
-  /// mutex_.
+  /// Guards the members below, which heartbeats read; heartbeats must not wait
+  /// for the scheduler. Lock order: mutex_, then loadMutex_.
   mutable std::mutex loadMutex_;
-  dispatch::GateLoad load_;
-  mutable dispatch::PrefixBook prefixes_; ///< With what each peer was told.
+  dispatch::SchedulerLoad load_;
+  mutable dispatch::PrefixCacheTracker prefixes_;
   std::uint64_t lastCacheEvent_ = 0;
 };
 
--- a/Libraries/LibAgent/AgentFunction.cpp
+++ b/Libraries/LibAgent/AgentFunction.cpp
@@ -17,12 +17,13 @@
   const settings::AgentSettings& agent = aContext.settings_.agent();
   if (agent.service().empty() || agent.endpoint().empty() ||
       agent.engine_address().empty()) {
-    return base::Fail(base::ResultCode::MissingField,
-                      "agent needs service, endpoint and engine_address");
+    return base::Fail(
+      base::ResultCode::MissingField,
+      "agent settings require service, endpoint and engine_address");
   }
   auto state = std::make_unique<State>();
   state->core_ = std::make_shared<AgentCore>(aContext);
-  state->core_->Begin();
+  state->core_->Start();
   return std::unique_ptr<AgentFunction>(new AgentFunction(std::move(state)));
 }
 
--- a/Libraries/LibAgent/AgentFunction.h
+++ b/Libraries/LibAgent/AgentFunction.h
@@ -9,32 +9,37 @@
 
 namespace pumiceturn::agent {
 
-/// The agent function: the only gate to one endpoint.
+/// The agent function: the only component that sends requests to its endpoint.
 /// Thread-safe.
 class AgentFunction
 {
 public:
+  /// @return MissingField if the settings lack service, endpoint or engine
+  /// address.
   static base::Result<std::unique_ptr<AgentFunction>> Start(
     node::Context aContext);
   ~AgentFunction();
   AgentFunction(const AgentFunction&) = delete;
   AgentFunction& operator=(const AgentFunction&) = delete;
 
-  /// Takes the messages meant for this function; runs on a pool thread, in
-  /// order for one peer.
+  /// Handles a message for this function. Called on pool threads, in order for
+  /// each peer.
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
   void OnLinkState(const std::string& aPeer, wire::LinkState aState);
 
-  /// Adds this function's part to the next heartbeat to a peer.
+  /// Adds this function's fields to the next heartbeat to a peer.
   void FillHeartbeat(const std::string& aPeer,
                      wire::Heartbeat& aHeartbeat) const;
 
-  /// Refuses new work from now on; what runs is finished or handed over.
+  /// Starts draining: refuses new work while running requests complete.
   void BeginDrain();
 
-  /// @return whether nothing is left that a shutdown would cut off.
+  /// @return whether no run is queued, running or unrecorded, so that a
+  /// shutdown loses nothing.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] node::Readiness GetReadiness() const;
+
+  /// Cancels all streams and joins the threads.
   void Stop();
 
 private:
--- a/Libraries/LibAgent/EngineOrders.cpp
+++ b/Libraries/LibAgent/EngineReconcilerRunner.cpp
@@ -1,4 +1,4 @@
-#include "LibAgent/EngineOrders.h"
+#include "LibAgent/EngineReconcilerRunner.h"
 
 #include "LibAgent/Events.h"
 
@@ -11,45 +11,45 @@
 using base::ResultCode;
 
 void
-EngineOrders::SetDeclared(OrderKeeper::Declared aDeclared)
+EngineReconcilerRunner::SetDesiredState(EngineReconciler::DesiredState aDesired)
 {
   const std::scoped_lock lock(mutex_);
-  keeper_.SetDeclared(std::move(aDeclared), base::MonotonicNow());
+  reconciler_.SetDesiredState(std::move(aDesired), base::MonotonicNow());
 }
 
 void
-EngineOrders::OnEngineRestarted()
+EngineReconcilerRunner::OnEngineRestarted()
 {
   const std::scoped_lock lock(mutex_);
-  keeper_.OnEngineRestarted(base::MonotonicNow());
+  reconciler_.OnEngineRestarted(base::MonotonicNow());
 }
 
 bool
-EngineOrders::IsDue() const
+EngineReconcilerRunner::IsDue() const
 {
   const std::scoped_lock lock(mutex_);
-  return !isRunning_ && keeper_.Next(base::MonotonicNow()).has_value();
+  return !isRunning_ && reconciler_.Next(base::MonotonicNow()).has_value();
 }
 
 void
-EngineOrders::Run(endpoint::EngineClient& aEngine)
+EngineReconcilerRunner::Run(endpoint::EngineClient& aEngine)
 {
   std::unique_lock lock(mutex_);
   if (isRunning_) {
     return;
   }
   isRunning_ = true;
-  while (const auto step = keeper_.Next(base::MonotonicNow())) {
+  while (const auto step = reconciler_.Next(base::MonotonicNow())) {
     lock.unlock();
-    std::visit([&](const auto& aStep) { Do(aStep, aEngine); }, *step);
+    std::visit([&](const auto& aStep) { Execute(aStep, aEngine); }, *step);
     lock.lock();
   }
   isRunning_ = false;
 }
 
 void
-EngineOrders::Do(const ReadFence& /*aStep*/,
-                 endpoint::EngineClient& /*aEngine*/)
+EngineReconcilerRunner::Execute(const ReadFence& /*aStep*/,
+                                endpoint::EngineClient& /*aEngine*/)
 {
   const auto reading = base::Capture([&]() -> base::Result<FenceReading> {
     BOOST_LEAF_AUTO(entry, keyValue_.Get(key_));
@@ -60,14 +60,15 @@
     return FenceReading{ std::move(record), entry->modRevision_ };
   });
   const std::scoped_lock lock(mutex_);
-  keeper_.OnFenceRead(reading, base::MonotonicNow());
-  if (keeper_.IsSuperseded()) {
+  reconciler_.OnFenceRead(reading, base::MonotonicNow());
+  if (reconciler_.IsSuperseded()) {
     base::Log(kOrdersSuperseded, { { "key", key_ } });
   }
 }
 
 void
-EngineOrders::Do(const SwapFence& aStep, endpoint::EngineClient& /*aEngine*/)
+EngineReconcilerRunner::Execute(const SwapFence& aStep,
+                                endpoint::EngineClient& /*aEngine*/)
 {
   const auto swapped = base::Capture([&] {
     return keyValue_.CompareAndSwap({ platform::Swap{
@@ -77,23 +78,24 @@
   const ResultCode code = failure == nullptr ? ResultCode::Ok : failure->code_;
   const std::uint64_t revision = failure == nullptr ? std::get<0>(swapped) : 0;
   const std::scoped_lock lock(mutex_);
-  keeper_.OnFenceSwapped(code, revision, base::MonotonicNow());
+  reconciler_.OnFenceSwapped(code, revision, base::MonotonicNow());
 }
 
 void
-EngineOrders::Do(const SendOrder& aStep, endpoint::EngineClient& aEngine)
+EngineReconcilerRunner::Execute(const SendCommand& aStep,
+                                endpoint::EngineClient& aEngine)
 {
   const auto sent =
-    base::Capture([&] { return aEngine.SendOrder(aStep.order_); });
+    base::Capture([&] { return aEngine.SendCommand(aStep.command_); });
   const auto* failure = std::get_if<base::Failure>(&sent);
   const ResultCode code = failure == nullptr ? ResultCode::Ok : failure->code_;
   base::Log(kOrderSent,
-            { { "name", aStep.order_.name_ },
-              { "version", aStep.order_.version_ },
-              { "fence", aStep.order_.fence_ },
+            { { "name", aStep.command_.name_ },
+              { "version", aStep.command_.version_ },
+              { "fence", aStep.command_.fence_ },
               { "code", base::NameOf(code) } });
   const std::scoped_lock lock(mutex_);
-  keeper_.OnOrderSent(code, base::MonotonicNow());
+  reconciler_.OnCommandSent(code, base::MonotonicNow());
 }
 
 } // namespace pumiceturn::agent
--- a/Libraries/LibAgent/StreamRunner.cpp
+++ b/Libraries/LibAgent/StreamRunner.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr base::Duration kLongestPlainCall{ std::chrono::seconds{ 60 } };
+constexpr base::Duration kMaxPlainCallTime{ std::chrono::seconds{ 60 } };
 
-/// A stream's name at the engine. The generation keeps a resumed stream apart
-/// from the one whose cancel may still be under way.
+/// @return the stream's id at the engine. It contains the generation, so that a
+/// late cancellation of a preempted stream does not hit the resumed one.
 std::string
-NameOf(const dispatch::StreamId& aStream)
+StreamNameOf(const dispatch::StreamId& aStream)
 {
   return base::ToString(aStream.run_) + "/" +
          std::to_string(aStream.generation_);
@@ -41,7 +41,7 @@
   }
 }
 
-/// Runs one stream at whatever stands at the endpoint.
+/// Runs one stream on either kind of endpoint.
 struct StreamVisitor
 {
   const dispatch::StartStream& start_;
@@ -53,14 +53,14 @@
     const std::shared_ptr<endpoint::EngineClient>& aEngine) const
   {
     endpoint::CompletionRequest request;
-    request.id_ = NameOf(start_.stream_);
+    request.id_ = StreamNameOf(start_.stream_);
     request.model_ = model_;
     request.prompt_ = start_.payload_;
     request.maxTokens_ = start_.maxTokens_;
     request.resumeTokens_ = start_.resumeTokens_;
     const auto onToken = [this](std::string_view aText) {
-      handlers_.tokens_(start_.stream_,
-                        dispatch::AnswerPart{ std::string(aText), 1 });
+      handlers_.chunk_(start_.stream_,
+                       dispatch::ResponseChunk{ std::string(aText), 1 });
       return cancelled_ ? endpoint::TokenDecision::Stop
                         : endpoint::TokenDecision::Continue;
     };
@@ -81,15 +81,15 @@
     }
     const base::Duration timeLeft = start_.timeLeft_ > base::Duration::zero()
                                       ? start_.timeLeft_
-                                      : kLongestPlainCall;
-    // All attempts at an item carry the same key, by which a service that
-    // wants to can find a repeated call.
+                                      : kMaxPlainCallTime;
+    // All attempts at an item have the same key, by which the service can
+    // detect repeated calls.
     const std::string key = base::ToString(start_.stream_.run_.job_) + "/" +
                             std::to_string(start_.stream_.run_.item_);
     endpoint::PlainCallEnd end = aService.Call(start_.payload_, key, timeLeft);
     if (end.code_ == ResultCode::Ok) {
-      handlers_.tokens_(start_.stream_,
-                        dispatch::AnswerPart{ std::move(end.body_), 1 });
+      handlers_.chunk_(start_.stream_,
+                       dispatch::ResponseChunk{ std::move(end.body_), 1 });
     }
     return StreamEnd{
       ResultOf(end.code_, end.ran_), end.ran_, end.code_, end.detail_
@@ -128,7 +128,7 @@
   auto cancelled = std::make_shared<std::atomic<bool>>(false);
   {
     const std::scoped_lock lock(mutex_);
-    streams_[NameOf(aStart.stream_)] = cancelled;
+    streams_[StreamNameOf(aStart.stream_)] = cancelled;
   }
   Run(
     [this,
@@ -146,7 +146,7 @@
     StreamVisitor{ aStart, aModel, *aCancelled, handlers_ }, backend_);
   {
     const std::scoped_lock lock(mutex_);
-    streams_.erase(NameOf(aStart.stream_));
+    streams_.erase(StreamNameOf(aStart.stream_));
   }
   handlers_.ended_(aStart.stream_, end);
 }
@@ -154,14 +154,14 @@
 void
 StreamRunner::Cancel(const dispatch::StreamId& aStream)
 {
-  const std::string name = NameOf(aStream);
+  const std::string name = StreamNameOf(aStream);
   {
     const std::scoped_lock lock(mutex_);
     const auto found = streams_.find(name);
     if (found == streams_.end()) {
       return;
     }
-    // A stream whose request is not sent yet sees the flag before it sends.
+    // A stream checks this flag before it sends its request.
     found->second->store(true);
   }
   const auto* engine =
@@ -170,19 +170,20 @@
     return;
   }
   Run([engine = *engine, name] {
-    // Without a confirmation the closed connection ends the stream.
+    // If the engine does not confirm, Cancel() closes the connection, which
+    // ends the stream.
     static_cast<void>(base::Capture([&] { return engine->Cancel(name); }));
   });
 }
 
 void
-StreamRunner::Run(std::function<void()> aExchange)
+StreamRunner::Run(std::function<void()> aTask)
 {
   const std::scoped_lock lock(mutex_);
   if (stopping_) {
     return;
   }
-  tasks_.push_back(std::move(aExchange));
+  tasks_.push_back(std::move(aTask));
   if (idle_ < tasks_.size()) {
     threads_.emplace_back([this] { RunThread(); });
   }
--- a/Libraries/LibAgent/StreamRunner.h
+++ b/Libraries/LibAgent/StreamRunner.h
@@ -20,21 +20,21 @@
 
 namespace pumiceturn::agent {
 
-/// What stands at the endpoint.
+/// Client of the endpoint.
 using Backend = std::variant<std::shared_ptr<endpoint::EngineClient>,
                              endpoint::PlainServiceClient>;
 
-/// Threads that hold the HTTP exchanges with the endpoint: one for each running
-/// stream, and as many more as there are cancels and probes under way. Threads
-/// are kept for reuse. Thread-safe; handlers are called on these threads with
-/// no lock held.
+/// Growing thread pool for the blocking HTTP exchanges with the endpoint: one
+/// thread for each running stream, cancellation and probe. Idle threads are
+/// reused. Thread-safe; handlers are called on these threads without a lock
+/// held.
 class StreamRunner
 {
 public:
   struct Handlers
   {
-    std::function<void(const dispatch::StreamId&, dispatch::AnswerPart)>
-      tokens_;
+    std::function<void(const dispatch::StreamId&, dispatch::ResponseChunk)>
+      chunk_;
     std::function<void(const dispatch::StreamId&, const dispatch::StreamEnd&)>
       ended_;
   };
@@ -44,18 +44,21 @@
   StreamRunner(const StreamRunner&) = delete;
   StreamRunner& operator=(const StreamRunner&) = delete;
 
-  /// @param aModel Model name in engine requests.
+  /// Starts a stream on its own thread.
+  /// @param aModel Model name sent to the engine.
   void Start(dispatch::StartStream aStart, std::string aModel);
 
-  /// Ends a stream; also one whose request has not been sent yet.
+  /// Cancels a stream, even if its request has not been sent yet.
   void Cancel(const dispatch::StreamId& aStream);
 
-  /// Runs a blocking exchange on a thread of its own.
-  void Run(std::function<void()> aExchange);
+  /// Runs a blocking task on a thread of the pool. Does nothing after Stop().
+  void Run(std::function<void()> aTask);
 
+  /// @return whether the endpoint responds to a health check. Blocks.
   [[nodiscard]] bool IsHealthy() const;
 
-  /// Ends all streams and threads. Handlers may be called until it returns.
+  /// Cancels all streams and joins the threads. Handlers may be called until it
+  /// returns.
   void Stop();
 
 private:
@@ -68,7 +71,7 @@
 
   const Backend backend_;
   const Handlers handlers_;
-  std::mutex mutex_; ///< Guards what follows.
+  std::mutex mutex_; ///< Guards the members below.
   std::condition_variable wake_;
   std::deque<std::function<void()>> tasks_;
   std::vector<std::thread> threads_;
--- a/Libraries/LibDispatch/Action.h
+++ b/Libraries/LibDispatch/Action.h
@@ -9,19 +9,20 @@
 #include <variant>
 #include <vector>
 
-/// What the gate hears of time and engine, and what it wants done. All plain
-/// data, so that a test can play both sides.
+/// Inputs and outputs of EndpointScheduler. All of them are plain data, so that
+/// tests can run without an engine or a clock.
 namespace pumiceturn::dispatch {
 
-/// The time of an input, on both clocks.
+/// The time of an input on the monotonic and the wall clock.
 struct Moment
 {
   base::Instant now_;
   base::WallTime wall_;
 };
 
-/// Names one stream of a run. A run that was preempted and resumed has several,
-/// and what a former one still says is told apart by the generation.
+/// Identifies one stream of a run. Each resumption of a preempted run starts a
+/// new stream with the next generation, so that late events of earlier streams
+/// can be ignored.
 struct StreamId
 {
   wire::RunId run_;
@@ -30,24 +31,25 @@
   bool operator==(const StreamId&) const = default;
 };
 
-/// A part of the answer; its sequence number is its place, from 1.
-struct AnswerPart
+/// A part of a response. Its sequence number is its position, starting at 1.
+struct ResponseChunk
 {
   std::string text_;
   std::uint32_t tokens_ = 0;
 };
 
-/// How a stream ended, as the engine client knows it.
+/// How a stream ended, as reported by the engine client.
 enum class StreamResult : std::uint8_t
 {
-  Finished,  ///< The answer is whole.
+  Finished,  ///< The response is complete.
   Cancelled, ///< Ended by CancelStream.
-  NotSent,   ///< No connection: certainly not run.
-  Rejected,  ///< Refused before sending, for what the request holds.
+  NotSent,   ///< No connection was made, so the request did not run.
+  Rejected,  ///< Refused before sending because the request is invalid.
   Broken,    ///< The connection broke after sending.
-  Failed,    ///< An error answer, or silence for too long.
+  Failed,    ///< The endpoint returned an error or timed out.
 };
 
+/// How a stream ended, and whether the request ran.
 struct StreamEnd
 {
   StreamResult result_ = StreamResult::Finished;
@@ -56,12 +58,14 @@
   std::string detail_;
 };
 
-/// Sums of the gate's state, for heartbeats, metrics and the decision log.
-struct GateLoad
+/// Summary of the scheduler's state for heartbeats, metrics and the decision
+/// log.
+struct SchedulerLoad
 {
   std::uint32_t onlineRunning_ = 0;
   std::uint32_t batchRunning_ = 0;
-  std::uint32_t yielding_ = 0; ///< Cancelled at the engine, not yet ended.
+  /// Streams cancelled but not yet reported as ended.
+  std::uint32_t cancelling_ = 0;
   std::uint32_t onlineWaiting_ = 0;
   std::uint32_t batchWaiting_ = 0;
   std::uint32_t limit_ = 0;
@@ -81,11 +85,13 @@
   std::string payload_;
   std::uint64_t prefix_ = 0;
   std::uint32_t maxTokens_ = 0;
-  std::uint32_t resumeTokens_ = 0; ///< Tokens the run already has.
-  base::Duration timeLeft_{};      ///< Until the deadline; zero without one.
+  /// Tokens received by earlier streams of the run.
+  std::uint32_t resumeTokens_ = 0;
+  base::Duration timeLeft_{}; ///< Until the deadline; zero if there is none.
 };
 
-/// Ends a stream at the engine. Its end is reported as any other.
+/// Cancels a stream at the engine. Its end is reported by
+/// EndpointScheduler::OnStreamEnded().
 struct CancelStream
 {
   StreamId stream_;
@@ -97,35 +103,38 @@
   wire::Message message_;
 };
 
-/// Sends a heartbeat to every peer now.
-struct SpreadHeartbeat
+/// Sends a heartbeat to every peer immediately.
+struct BroadcastHeartbeat
 {};
 
-/// Tells the quarantine what ran when the engine crashed.
+/// Reports to the quarantine which content was in flight when the engine
+/// crashed.
 struct RecordCrash
 {
   std::vector<std::uint64_t> fingerprints_;
 };
 
-/// Asks whether the engine answers; Gate::OnEngineUp() if it does.
+/// Checks the engine's health; EndpointScheduler::OnEngineUp() is to be called
+/// if it responds.
 struct ProbeEngine
 {};
 
-/// One line of the decision log.
+/// One entry of the decision log.
 struct LogDecision
 {
   const base::Event* event_ = nullptr;
   wire::RunId run_;
   std::string peer_;
   wire::ResultCode code_ = wire::ResultCode::Ok;
-  base::Duration weighedWait_{}; ///< Expected wait, or laxity of a victim.
-  GateLoad load_;
+  base::Duration waitOrSlack_{}; ///< Expected or actual wait, or the slack of a
+                                 ///< preempted run.
+  SchedulerLoad load_;
 };
 
 using Action = std::variant<StartStream,
                             CancelStream,
                             SendMessage,
-                            SpreadHeartbeat,
+                            BroadcastHeartbeat,
                             RecordCrash,
                             ProbeEngine,
                             LogDecision>;
--- a/Libraries/LibDispatch/BurstTracker.cpp
+++ b/Libraries/LibDispatch/BurstTracker.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-constexpr double kWeightOfOne = 0.1;
+constexpr double kSampleWeight = 0.1;
 
-// Half of a preemption is the way of the cancel, the rest that of its news.
+// Share of a preemption's latency until the cancel reaches the engine. The rest
+// is the time until the end of the stream is reported.
 constexpr double kCancelShare = 0.5;
 
 double
-HalvedBy(base::Duration aTime, base::Duration aHalfLife)
+RecencyWeight(base::Duration aElapsed, base::Duration aHalfLife)
 {
-  return std::exp2(-static_cast<double>(aTime.count()) /
+  return std::exp2(-static_cast<double>(aElapsed.count()) /
                    static_cast<double>(aHalfLife.count()));
 }
 
@@ -28,19 +29,20 @@
     PreemptionTime(aNow)) };
   if (aNow - windowStart_ > window) {
     windowStart_ = aNow;
-    inWindow_ = 0;
+    windowArrivals_ = 0;
   }
-  ++inWindow_;
-  peak_ = std::max(DecayedPeak(aNow), static_cast<double>(inWindow_));
+  ++windowArrivals_;
+  peak_ = std::max(DecayedPeak(aNow), static_cast<double>(windowArrivals_));
   peakTime_ = aNow;
 }
 
 void
-BurstTracker::OnPreempted(base::Duration aTime, base::Instant aNow)
+BurstTracker::OnPreempted(base::Duration aLatency, base::Instant aNow)
 {
-  const auto time = static_cast<double>(aTime.count());
-  const double known = PreemptionTime(aNow);
-  preemptionTime_ = known == 0.0 ? time : known + (time - known) * kWeightOfOne;
+  const auto latency = static_cast<double>(aLatency.count());
+  const double average = PreemptionTime(aNow);
+  preemptionTime_ =
+    average == 0.0 ? latency : average + (latency - average) * kSampleWeight;
   lastPreemption_ = aNow;
 }
 
@@ -53,23 +55,24 @@
   if (cancelTime <= static_cast<double>(aStep.count())) {
     return 0;
   }
-  const double most = static_cast<double>(aPlaces) * options_.maxShare_;
+  const double maxHeadroom = static_cast<double>(aPlaces) * options_.maxShare_;
   const double wanted = std::ceil(DecayedPeak(aNow));
-  return static_cast<std::uint32_t>(std::min(wanted, most));
+  return static_cast<std::uint32_t>(std::min(wanted, maxHeadroom));
 }
 
 double
 BurstTracker::DecayedPeak(base::Instant aNow) const
 {
-  return peak_ * HalvedBy(aNow - peakTime_, options_.halfLife_);
+  return peak_ * RecencyWeight(aNow - peakTime_, options_.halfLife_);
 }
 
-// Where places are kept free, few preemptions happen, so an old slow one must
-// not count for ever.
+// Decays with time: headroom makes preemptions rare, so one slow preemption
+// must not keep the estimate high for ever.
 double
 BurstTracker::PreemptionTime(base::Instant aNow) const
 {
-  return preemptionTime_ * HalvedBy(aNow - lastPreemption_, options_.halfLife_);
+  return preemptionTime_ *
+         RecencyWeight(aNow - lastPreemption_, options_.halfLife_);
 }
 
 } // namespace pumiceturn::dispatch
--- a/Libraries/LibDispatch/BurstTracker.h
+++ b/Libraries/LibDispatch/BurstTracker.h
@@ -6,18 +6,18 @@
 
 namespace pumiceturn::dispatch {
 
-/// Sizes the headroom from recent online bursts: the most arrivals within the
-/// time that a preemption takes, decaying as bursts stay away. What comes later
-/// than that finds a place by preemption. An engine admits between two steps
-/// only, so where a cancel reaches it within a step, a preemption costs an
-/// online request nothing, and no place is kept free. Not thread-safe.
+/// Computes the headroom for online requests from recent bursts: the largest
+/// number of arrivals within the duration of one preemption, decaying over
+/// time. Later arrivals get their place by preemption. An engine admits
+/// requests only between two decoding steps, so no headroom is needed if a
+/// cancel reaches it within one step. Not thread-safe.
 class BurstTracker
 {
 public:
   struct Options
   {
     base::Duration halfLife_{ std::chrono::seconds{ 10 } };
-    double maxShare_ = 0.25; ///< Of the places; batch needs the rest.
+    double maxShare_ = 0.25; ///< Maximum headroom as a share of all places.
   };
 
   explicit BurstTracker(Options aOptions)
@@ -27,11 +27,13 @@
 
   void OnArrival(base::Instant aNow);
 
-  /// @param aTime From the decision to the stream's reported end.
-  void OnPreempted(base::Duration aTime, base::Instant aNow);
+  /// @param aLatency Time from the preemption decision to the reported end of
+  /// the stream.
+  void OnPreempted(base::Duration aLatency, base::Instant aNow);
 
-  /// @param aPlaces Requests that the engine runs at once.
+  /// @param aPlaces Number of requests that the engine runs concurrently.
   /// @param aStep   Time between two tokens of a stream.
+  /// @return the number of places to keep free of batch.
   [[nodiscard]] std::uint32_t Headroom(std::uint32_t aPlaces,
                                        base::Duration aStep,
                                        base::Instant aNow) const;
@@ -41,10 +43,11 @@
   [[nodiscard]] double PreemptionTime(base::Instant aNow) const;
 
   Options options_;
-  double preemptionTime_ = 0.0; ///< Microseconds; 0 before the first one.
+  /// Microseconds; 0 before the first preemption.
+  double preemptionTime_ = 0.0;
   base::Instant lastPreemption_;
   base::Instant windowStart_;
-  std::uint32_t inWindow_ = 0;
+  std::uint32_t windowArrivals_ = 0;
   double peak_ = 0.0;
   base::Instant peakTime_;
 };
--- a/Libraries/LibDispatch/ConcurrencyLimit.h
+++ b/Libraries/LibDispatch/ConcurrencyLimit.h
@@ -6,40 +6,44 @@
 
 namespace pumiceturn::dispatch {
 
-/// How many requests the engine runs at once without making one wait, found by
-/// feedback on first-token time: an engine that is given more than it runs
-/// queues the rest, and their first token comes late. The engine's own report
-/// of its load lags by seconds, so it is not used. Not thread-safe.
+/// Adapts the number of concurrent requests at the engine by feedback on the
+/// time to first token, which rises when the engine queues requests. The
+/// engine's own load report is not used, because it lags by seconds. Not
+/// thread-safe.
 class ConcurrencyLimit
 {
 public:
   struct Options
   {
-    std::uint32_t most_ = 16; ///< Declared; the limit starts here.
-    std::uint32_t least_ = 1;
+    /// Upper bound and initial limit.
+    std::uint32_t max_ = 16;
+    std::uint32_t min_ = 1;
     base::Duration firstTokenTarget_{ std::chrono::milliseconds{ 700 } };
   };
 
   explicit ConcurrencyLimit(Options aOptions);
 
-  /// Changes the bounds; the limit found is kept within them.
+  /// Changes the options and clamps the current limit to the new bounds. A
+  /// limit at its old maximum moves to the new one.
   void SetOptions(Options aOptions);
 
-  /// @param aDelay   From the request to its first token.
-  /// @param aAtStart Requests at the engine when it was sent, itself included.
-  void OnFirstToken(base::Duration aDelay, std::uint32_t aAtStart);
+  /// @param aDelay   Time from sending the request to its first token.
+  /// @param aInFlight Number of requests at the engine, including this one.
+  void OnFirstToken(base::Duration aDelay, std::uint32_t aInFlight);
 
+  /// @return the maximum number of concurrent requests.
   [[nodiscard]] std::uint32_t Current() const { return limit_; }
 
 private:
-  void CloseWindow();
+  void EvaluateWindow();
 
   Options options_;
   std::uint32_t limit_;
   std::uint32_t samples_ = 0;
-  std::uint32_t late_ = 0;
-  std::uint32_t mostSeen_ = 0;
-  base::Duration usual_{}; ///< Slowly following shortest first-token time.
+  std::uint32_t lateSamples_ = 0;
+  std::uint32_t peakInFlight_ = 0;
+  base::Duration baseline_{}; ///< Shortest first-token time, slowly rising to
+                              ///< follow changes.
 };
 
 } // namespace pumiceturn::dispatch
--- a/Libraries/LibDispatch/GrantBook.cpp
+++ b/Libraries/LibDispatch/CreditLedger.cpp
@@ -1,4 +1,4 @@
-#include "LibDispatch/GrantBook.h"
+#include "LibDispatch/CreditLedger.h"
 
 #include <algorithm>
 #include <set>
@@ -7,23 +7,23 @@
 
 namespace {
 
-/// Weight of an owner's demand by the least slack of its items.
-struct UrgencyStep
+/// Weight of an owner's demand, by the smallest slack of its items.
+struct SlackWeight
 {
   std::int64_t belowSlackMs_;
   double weight_;
 };
 
-constexpr UrgencyStep kUrgency[] = {
+constexpr SlackWeight kSlackWeights[] = {
   { 0, 8.0 },
   { 60'000, 4.0 },
   { 600'000, 2.0 },
 };
 
 double
-UrgencyOf(std::int64_t aSlackMs)
+WeightOf(std::int64_t aSlackMs)
 {
-  for (const UrgencyStep& step : kUrgency) {
+  for (const SlackWeight& step : kSlackWeights) {
     if (aSlackMs < step.belowSlackMs_) {
       return step.weight_;
     }
@@ -34,7 +34,7 @@
 } // namespace
 
 std::uint32_t
-GrantBook::OutstandingOf(const Owner& aOwner)
+CreditLedger::OutstandingOf(const Owner& aOwner)
 {
   if (aOwner.received_ >= aOwner.granted_) {
     return 0;
@@ -45,29 +45,29 @@
 }
 
 double
-GrantBook::ClaimOf(const Owner& aOwner)
+CreditLedger::PriorityOf(const Owner& aOwner)
 {
-  // Highest averages: the next credit goes to the one with most demand for each
-  // place it has or may still take.
+  // Highest averages method: the next credit goes to the owner with the most
+  // demand per run that it has or may still send.
   const double demand =
-    static_cast<double>(aOwner.waiting_) * UrgencyOf(aOwner.slackMs_);
-  return demand /
-         (1.0 + static_cast<double>(aOwner.here_ + OutstandingOf(aOwner)));
+    static_cast<double>(aOwner.waiting_) * WeightOf(aOwner.slackMs_);
+  return demand / (1.0 + static_cast<double>(aOwner.activeRuns_ +
+                                             OutstandingOf(aOwner)));
 }
 
 void
-GrantBook::OnDemand(std::string_view aOwner,
-                    std::uint32_t aWaiting,
-                    std::int64_t aSlackMs)
+CreditLedger::OnDemand(std::string_view aOwner,
+                       std::uint32_t aWaiting,
+                       std::int64_t aSlackMs)
 {
   Owner& owner = owners_[std::string(aOwner)];
   owner.waiting_ = aWaiting;
   owner.slackMs_ = aSlackMs;
-  Recount();
+  UpdateTotals();
 }
 
 void
-GrantBook::OnLinkUp(std::string_view aOwner)
+CreditLedger::OnLinkUp(std::string_view aOwner)
 {
   const auto found = owners_.find(aOwner);
   if (found == owners_.end()) {
@@ -76,63 +76,62 @@
   found->second.granted_ = 0;
   found->second.received_ = 0;
   found->second.waiting_ = 0;
-  Recount();
+  UpdateTotals();
 }
 
 void
-GrantBook::OnLinkLost(std::string_view aOwner)
+CreditLedger::OnLinkLost(std::string_view aOwner)
 {
   const auto found = owners_.find(aOwner);
   if (found == owners_.end()) {
     return;
   }
   found->second.waiting_ = 0;
-  if (found->second.here_ == 0) {
+  if (found->second.activeRuns_ == 0) {
     owners_.erase(found);
   }
-  Recount();
+  UpdateTotals();
 }
 
 void
-GrantBook::OnCreditUsed(std::string_view aOwner)
+CreditLedger::OnCreditUsed(std::string_view aOwner)
 {
   Owner& owner = owners_[std::string(aOwner)];
   ++owner.received_;
   owner.waiting_ -= std::min(owner.waiting_, 1U);
-  Recount();
+  UpdateTotals();
 }
 
 void
-GrantBook::OnRunTaken(std::string_view aOwner)
+CreditLedger::OnRunAccepted(std::string_view aOwner)
 {
-  ++owners_[std::string(aOwner)].here_;
+  ++owners_[std::string(aOwner)].activeRuns_;
 }
 
 void
-GrantBook::OnRunGone(std::string_view aOwner)
+CreditLedger::OnRunRemoved(std::string_view aOwner)
 {
   const auto found = owners_.find(aOwner);
-  if (found != owners_.end() && found->second.here_ > 0) {
-    --found->second.here_;
+  if (found != owners_.end() && found->second.activeRuns_ > 0) {
+    --found->second.activeRuns_;
   }
 }
 
-std::vector<GrantBook::Grant>
-GrantBook::Allocate(std::uint32_t aCredits)
+std::vector<CreditLedger::Grant>
+CreditLedger::Allocate(std::uint32_t aCredits)
 {
   std::set<std::string_view> changed;
   for (std::uint32_t credit = 0; credit < aCredits; ++credit) {
-    const auto best =
-      std::max_element(owners_.begin(),
-                       owners_.end(),
-                       [](const auto& aLeft, const auto& aRight) {
-                         const auto claim = [](const Owner& aOwner) {
-                           return aOwner.waiting_ > OutstandingOf(aOwner)
-                                    ? ClaimOf(aOwner)
-                                    : 0.0;
-                         };
-                         return claim(aLeft.second) < claim(aRight.second);
-                       });
+    const auto best = std::max_element(
+      owners_.begin(),
+      owners_.end(),
+      [](const auto& aLeft, const auto& aRight) {
+        const auto priority = [](const Owner& aOwner) {
+          return aOwner.waiting_ > OutstandingOf(aOwner) ? PriorityOf(aOwner)
+                                                         : 0.0;
+        };
+        return priority(aLeft.second) < priority(aRight.second);
+      });
     if (best == owners_.end() ||
         best->second.waiting_ <= OutstandingOf(best->second)) {
       break;
@@ -140,7 +139,7 @@
     ++best->second.granted_;
     changed.insert(best->first);
   }
-  Recount();
+  UpdateTotals();
   std::vector<Grant> grants;
   grants.reserve(changed.size());
   for (const std::string_view owner : changed) {
@@ -151,14 +150,14 @@
 }
 
 void
-GrantBook::Recount()
+CreditLedger::UpdateTotals()
 {
   outstanding_ = 0;
-  unmet_ = 0;
+  unmetDemand_ = 0;
   for (const auto& [name, owner] : owners_) {
     const std::uint32_t outstanding = OutstandingOf(owner);
     outstanding_ += outstanding;
-    unmet_ += owner.waiting_ - outstanding;
+    unmetDemand_ += owner.waiting_ - outstanding;
   }
 }
 
--- a/Libraries/LibDispatch/GateDispatch.cpp
+++ b/Libraries/LibDispatch/EndpointSchedulerDispatch.cpp
@@ -1,5 +1,5 @@
+#include "LibDispatch/EndpointScheduler.h"
 #include "LibDispatch/Events.h"
-#include "LibDispatch/Gate.h"
 #include "LibDispatch/Preemption.h"
 
 #include <algorithm>
@@ -11,22 +11,21 @@
 
 namespace {
 
-// Credits beyond the free places, as a share of all places: enough that the
-// next item is here when a place falls free, few enough that it is given back
-// at little cost when online takes the place.
-constexpr std::uint32_t kPipelineShare = 8;
-constexpr std::uint32_t kUngatedFactor = 2;
+// Grants credits for 1/8 more runs than there are places, so that the next item
+// is already queued when a place becomes free.
+constexpr std::uint32_t kCreditPipelineDivisor = 8;
+constexpr std::uint32_t kPassThroughCreditFactor = 2;
 
 std::uint32_t
-PipelineOf(std::uint32_t aPlaces)
+PipelineCredits(std::uint32_t aPlaces)
 {
-  return std::max(aPlaces / kPipelineShare, 1U);
+  return std::max(aPlaces / kCreditPipelineDivisor, 1U);
 }
 
 } // namespace
 
 void
-Gate::Dispatch(Moment aMoment)
+EndpointScheduler::Dispatch(Moment aMoment)
 {
   if (engineDown_ || !broken_.empty()) {
     return;
@@ -37,45 +36,45 @@
 }
 
 bool
-Gate::HasRoomForOnline() const
+EndpointScheduler::HasRoomForOnline() const
 {
-  // A place that a batch stream is leaving counts as free: the engine admits at
-  // its next step, and by then that stream is gone.
-  return !IsGated(options_.policy_) ||
+  // The place of a cancelled stream counts as free: the engine admits at its
+  // next step, when the stream has ended.
+  return !QueuesAtAgent(options_.policy_) ||
          onlineRunning_ + batchRunning_ < limit_.Current();
 }
 
 bool
-Gate::HasRoomForBatch(base::Instant aNow) const
+EndpointScheduler::HasRoomForBatch(base::Instant aNow) const
 {
-  if (!IsGated(options_.policy_)) {
+  if (!QueuesAtAgent(options_.policy_)) {
     return true;
   }
   return AtEngineCount() + Headroom(aNow) < limit_.Current();
 }
 
 std::uint32_t
-Gate::Headroom(base::Instant aNow) const
+EndpointScheduler::Headroom(base::Instant aNow) const
 {
   const std::uint32_t burst =
-    bursts_.Headroom(limit_.Current(), estimate_.Step(), aNow);
+    bursts_.Headroom(limit_.Current(), estimate_.StepTime(), aNow);
   return HeadroomOf(options_.policy_, burst);
 }
 
-// Suspects never share an endpoint: if two of them were there when it crashed,
-// it could not be told which one to blame, and an innocent one might end up
-// refused. What became quarantined while it waited is not run at all.
+// Refuses a run whose content was quarantined while it waited, and holds back a
+// suspect while another one is at the engine: if two suspects ran during a
+// crash, the one that caused it could not be identified.
 // @return whether the run was refused or held back.
 bool
-Gate::Screen(Run& aRun, Moment aMoment)
+EndpointScheduler::ScreenContent(Run& aRun, Moment aMoment)
 {
-  const ContentStanding standing =
-    standingOf_(aRun.order_.fingerprint_, aMoment);
-  if (standing == ContentStanding::Quarantined) {
+  const ContentStatus status =
+    contentStatusOf_(aRun.request_.fingerprint_, aMoment);
+  if (status == ContentStatus::Quarantined) {
     Stop(aRun, ResultCode::Quarantined, aMoment);
     return true;
   }
-  aRun.isSuspect_ = standing == ContentStanding::Suspect;
+  aRun.isSuspect_ = status == ContentStatus::Suspect;
   if (!aRun.isSuspect_ || suspectsAtEngine_ == 0) {
     return false;
   }
@@ -86,16 +85,16 @@
 }
 
 bool
-Gate::StartHeld(Moment aMoment)
+EndpointScheduler::StartHeld(Moment aMoment)
 {
   if (held_.empty() || suspectsAtEngine_ > 0) {
     return false;
   }
   Run& run = *held_.front();
-  if (Screen(run, aMoment)) {
+  if (ScreenContent(run, aMoment)) {
     return true;
   }
-  if (run.IsOnline() ? !(HasRoomForOnline() || MakeRoom(run, aMoment))
+  if (run.IsOnline() ? !(HasRoomForOnline() || PreemptBatchFor(run, aMoment))
                      : !HasRoomForBatch(aMoment.now_)) {
     return false;
   }
@@ -105,42 +104,43 @@
 }
 
 bool
-Gate::StartOnline(Moment aMoment)
+EndpointScheduler::StartOnline(Moment aMoment)
 {
   Run* run = queue_.FirstOnline();
   if (run == nullptr) {
     return false;
   }
-  if (Screen(*run, aMoment)) {
+  if (ScreenContent(*run, aMoment)) {
     return true;
   }
   while (!HasRoomForOnline()) {
-    if (!MakeRoom(*run, aMoment)) {
+    if (!PreemptBatchFor(*run, aMoment)) {
       return false;
     }
   }
-  if (IsTooLate(*run, aMoment.now_)) {
+  if (CannotMeetDeadline(*run, aMoment.now_)) {
     Stop(*run, ResultCode::DeadlineTooShort, aMoment);
     return true;
   }
-  NoteQueuedStart(aMoment.now_);
+  RecordQueuedStart(aMoment.now_);
   queue_.Remove(*run);
   Start(*run, aMoment);
   return true;
 }
 
-// A run that cannot end in time would take its place from one that can. Only
-// what has waited is judged: on a free engine there is nobody to lose by it.
+// Starting a run that cannot finish in time would delay runs that can. A run
+// that starts on arrival delays no other run, so it is not checked.
 bool
-Gate::IsTooLate(const Run& aRun, base::Instant aNow) const
+EndpointScheduler::CannotMeetDeadline(const Run& aRun, base::Instant aNow) const
 {
   const base::Duration expected =
-    estimate_.ExpectedRun(aRun.order_.maxTokens_) * kRunMarginPercent / 100;
+    estimate_.ExpectedRunTime(aRun.request_.maxTokens_) * kRunMarginPercent /
+    100;
   return aRun.arrived_ < aNow && aRun.deadline_ - aNow < expected;
 }
 
 void
-Gate::NoteQueuedStart(base::Instant aNow)
+EndpointScheduler::RecordQueuedStart(base::Instant aNow)
 {
   if (queue_.OnlineCount() > 1) {
     estimate_.OnQueuedStart(aNow);
@@ -150,13 +150,13 @@
 }
 
 bool
-Gate::StartBatch(Moment aMoment)
+EndpointScheduler::StartBatch(Moment aMoment)
 {
   Run* run = queue_.FirstBatch();
   if (run == nullptr || !HasRoomForBatch(aMoment.now_)) {
     return false;
   }
-  if (Screen(*run, aMoment)) {
+  if (ScreenContent(*run, aMoment)) {
     return true;
   }
   queue_.Remove(*run);
@@ -165,7 +165,7 @@
 }
 
 bool
-Gate::MakeRoom(const Run& aFor, Moment aMoment)
+EndpointScheduler::PreemptBatchFor(const Run& aRequester, Moment aMoment)
 {
   if (!MayPreempt(options_.policy_) ||
       options_.resumption_ == Resumption::None ||
@@ -177,28 +177,28 @@
     return false;
   }
   const base::Duration slack = SlackOf(*victim, estimate_, aMoment.now_);
-  SetPhase(*victim, RunPhase::Yielding);
+  SetPhase(*victim, RunPhase::Preempting);
   victim->preempted_ = aMoment.now_;
   ++victim->preemptions_;
-  NoteDecision(kRunPreempted,
-               victim->order_.run_,
-               aFor.peer_,
-               ResultCode::Preempted,
-               slack,
-               aMoment.now_);
+  RecordDecision(kRunPreempted,
+                 victim->request_.run_,
+                 aRequester.peer_,
+                 ResultCode::Preempted,
+                 slack,
+                 aMoment.now_);
   actions_.emplace_back(CancelStream{ victim->Stream() });
   return true;
 }
 
 void
-Gate::Start(Run& aRun, Moment aMoment)
+EndpointScheduler::Start(Run& aRun, Moment aMoment)
 {
-  NoteDecision(kRunStarted,
-               aRun.order_.run_,
-               aRun.peer_,
-               ResultCode::Ok,
-               aMoment.now_ - aRun.arrived_,
-               aMoment.now_);
+  RecordDecision(kRunStarted,
+                 aRun.request_.run_,
+                 aRun.peer_,
+                 ResultCode::Ok,
+                 aMoment.now_ - aRun.arrived_,
+                 aMoment.now_);
   ++aRun.generation_;
   aRun.started_ = aMoment.now_;
   aRun.lastToken_ = aMoment.now_;
@@ -206,10 +206,10 @@
   EnterEngine(aRun);
   StartStream start;
   start.stream_ = aRun.Stream();
-  start.kind_ = aRun.order_.kind_;
-  start.payload_ = aRun.order_.payload_;
-  start.prefix_ = aRun.order_.prefix_;
-  start.maxTokens_ = aRun.order_.maxTokens_;
+  start.kind_ = aRun.request_.kind_;
+  start.payload_ = aRun.request_.payload_;
+  start.prefix_ = aRun.request_.prefix_;
+  start.maxTokens_ = aRun.request_.maxTokens_;
   start.resumeTokens_ = aRun.tokens_;
   if (aRun.deadline_ != base::Instant::max()) {
     start.timeLeft_ = aRun.deadline_ - aMoment.now_;
@@ -218,16 +218,17 @@
 }
 
 void
-Gate::GrantCredits(Moment aMoment)
+EndpointScheduler::GrantCredits(Moment aMoment)
 {
-  if (intake_ == Intake::Draining || !grants_.HasDemand() ||
-      answerBytes_ > options_.maxAnswerBytes_) {
+  if (admissionState_ == AdmissionState::Draining ||
+      !creditLedger_.HasDemand() ||
+      responseBytes_ > options_.maxUnrecordedBytes_) {
     return;
   }
-  const GateLoad load = Load(aMoment.now_);
-  const std::uint32_t places = IsGated(options_.policy_)
-                                 ? load.limit_ + PipelineOf(load.limit_)
-                                 : load.limit_ * kUngatedFactor;
+  const SchedulerLoad load = Load(aMoment.now_);
+  const std::uint32_t places = QueuesAtAgent(options_.policy_)
+                                 ? load.limit_ + PipelineCredits(load.limit_)
+                                 : load.limit_ * kPassThroughCreditFactor;
   const std::uint32_t taken = AtEngineCount() + load.onlineWaiting_ +
                               load.batchWaiting_ + load.headroom_ +
                               load.creditsOutstanding_ +
@@ -235,20 +236,21 @@
   if (taken >= places) {
     return;
   }
-  const std::vector<GrantBook::Grant> grants = grants_.Allocate(places - taken);
-  for (const GrantBook::Grant& grant : grants) {
-    NoteDecision(kCreditsGranted,
-                 {},
-                 grant.owner_,
-                 ResultCode::Ok,
-                 base::Duration{},
-                 aMoment.now_);
+  const std::vector<CreditLedger::Grant> grants =
+    creditLedger_.Allocate(places - taken);
+  for (const CreditLedger::Grant& grant : grants) {
+    RecordDecision(kCreditsGranted,
+                   {},
+                   grant.owner_,
+                   ResultCode::Ok,
+                   base::Duration{},
+                   aMoment.now_);
     Send(grant.owner_, wire::BatchGrant{ options_.service_, grant.granted_ });
   }
 }
 
 void
-Gate::SetPhase(Run& aRun, RunPhase aPhase)
+EndpointScheduler::SetPhase(Run& aRun, RunPhase aPhase)
 {
   CountAtEngine(aRun, -1);
   aRun.phase_ = aPhase;
@@ -256,15 +258,15 @@
 }
 
 void
-Gate::CountAtEngine(const Run& aRun, int aStep)
+EndpointScheduler::CountAtEngine(const Run& aRun, int aStep)
 {
   switch (aRun.phase_) {
     case RunPhase::Running:
       (aRun.IsOnline() ? onlineRunning_ : batchRunning_) += aStep;
       return;
-    case RunPhase::Yielding:
+    case RunPhase::Preempting:
     case RunPhase::Stopping:
-      leaving_ += aStep;
+      cancelling_ += aStep;
       return;
     default:
       return;
@@ -272,7 +274,7 @@
 }
 
 void
-Gate::EnterEngine(Run& aRun)
+EndpointScheduler::EnterEngine(Run& aRun)
 {
   aRun.engineIndex_ = atEngine_.size();
   atEngine_.push_back(&aRun);
@@ -282,7 +284,7 @@
 }
 
 void
-Gate::LeaveEngine(Run& aRun)
+EndpointScheduler::LeaveEngine(Run& aRun)
 {
   Run* last = atEngine_.back();
   atEngine_[aRun.engineIndex_] = last;
--- a/Libraries/LibDispatch/Policy.cpp
+++ b/Libraries/LibDispatch/Policy.cpp
@@ -10,18 +10,18 @@
 {
   std::uint32_t burst_;
 
-  std::uint32_t operator()(const EngineOrder& /*aPolicy*/) const { return 0; }
+  std::uint32_t operator()(const PassThrough& /*aPolicy*/) const { return 0; }
   std::uint32_t operator()(const StrictPriority& /*aPolicy*/) const
   {
     return 0;
   }
   std::uint32_t operator()(const StaticHeadroom& aPolicy) const
   {
-    return aPolicy.slots_;
+    return aPolicy.places_;
   }
   std::uint32_t operator()(const BurstHeadroom& aPolicy) const
   {
-    return std::max(burst_, aPolicy.least_);
+    return std::max(burst_, aPolicy.min_);
   }
 };
 
@@ -34,9 +34,9 @@
 }
 
 bool
-IsGated(const Policy& aPolicy)
+QueuesAtAgent(const Policy& aPolicy)
 {
-  return !std::holds_alternative<EngineOrder>(aPolicy);
+  return !std::holds_alternative<PassThrough>(aPolicy);
 }
 
 std::uint32_t
--- a/Libraries/LibDispatch/Policy.h
+++ b/Libraries/LibDispatch/Policy.h
@@ -5,42 +5,42 @@
 
 namespace pumiceturn::dispatch {
 
-/// Baseline: every request goes to the engine as it comes, and waits there.
-struct EngineOrder
+/// Baseline: sends every request to the engine on arrival; the engine queues.
+struct PassThrough
 {};
 
-/// Baseline: online before batch in the agent's queue; what runs is left alone.
+/// Baseline: queues online before batch at the agent; never preempts.
 struct StrictPriority
 {};
 
-/// Baseline: a fixed number of places is kept free of batch.
+/// Baseline: keeps a fixed number of places free of batch.
 struct StaticHeadroom
 {
-  std::uint32_t slots_ = 0;
+  std::uint32_t places_ = 0;
 };
 
-/// Places kept free by recent bursts, and batch streams preempted when these
-/// are used up.
+/// Keeps places free according to recent bursts, and preempts batch streams
+/// when these are used up.
 struct BurstHeadroom
 {
-  std::uint32_t least_ = 0; ///< Places kept free in any case: a shorter step
-                            ///< for online against less batch.
+  /// Minimum number of places kept free.
+  std::uint32_t min_ = 0;
 };
 
-/// How an agent shares its engine between online and batch.
+/// How an agent divides its engine between online and batch.
 using Policy =
-  std::variant<EngineOrder, StrictPriority, StaticHeadroom, BurstHeadroom>;
+  std::variant<PassThrough, StrictPriority, StaticHeadroom, BurstHeadroom>;
 
-/// @return whether a batch stream gives its place to a waiting online request.
+/// @return whether a batch stream may be preempted for an online request.
 bool
 MayPreempt(const Policy& aPolicy);
 
-/// @return whether requests wait at the agent for room, not at the engine.
+/// @return whether requests queue at the agent rather than at the engine.
 bool
-IsGated(const Policy& aPolicy);
+QueuesAtAgent(const Policy& aPolicy);
 
-/// @param aBurst Places that recent bursts would have needed.
-/// @return places kept free of batch.
+/// @param aBurst Headroom computed from recent bursts.
+/// @return the number of places to keep free of batch.
 std::uint32_t
 HeadroomOf(const Policy& aPolicy, std::uint32_t aBurst);
 
--- a/Libraries/LibDispatch/Preemption.cpp
+++ b/Libraries/LibDispatch/Preemption.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr double kBytesOfOneToken = 4.0;
-constexpr double kLeastSlackSeconds = 0.001;
+constexpr double kBytesPerToken = 4.0;
+constexpr double kMinSlackSeconds = 0.001;
 
 double
-LostWork(const Run& aRun)
+LostTokens(const Run& aRun)
 {
   const double promptTokens =
-    static_cast<double>(aRun.order_.payload_.size()) / kBytesOfOneToken;
+    static_cast<double>(aRun.request_.payload_.size()) / kBytesPerToken;
   return promptTokens + static_cast<double>(aRun.tokens_);
 }
 
@@ -22,15 +22,16 @@
 {
   const double slack =
     std::chrono::duration<double>(SlackOf(aRun, aEstimate, aNow)).count();
-  const double again = 1.0 + static_cast<double>(aRun.preemptions_);
-  return LostWork(aRun) * again / std::max(slack, kLeastSlackSeconds);
+  const double preemptionFactor = 1.0 + static_cast<double>(aRun.preemptions_);
+  return LostTokens(aRun) * preemptionFactor /
+         std::max(slack, kMinSlackSeconds);
 }
 
 bool
-MayGiveWay(const Run& aRun)
+IsPreemptible(const Run& aRun)
 {
   return !aRun.IsOnline() && aRun.phase_ == RunPhase::Running &&
-         aRun.order_.idempotent_;
+         aRun.request_.idempotent_;
 }
 
 } // namespace
@@ -41,8 +42,10 @@
   if (aRun.due_ == base::Instant::max()) {
     return base::Duration::max();
   }
-  const std::uint32_t most = std::max(aRun.order_.maxTokens_, aRun.tokens_);
-  return aRun.due_ - aNow - aEstimate.ExpectedWork(most - aRun.tokens_);
+  const std::uint32_t maxTokens =
+    std::max(aRun.request_.maxTokens_, aRun.tokens_);
+  return aRun.due_ - aNow -
+         aEstimate.ExpectedDecodeTime(maxTokens - aRun.tokens_);
 }
 
 Run*
@@ -51,15 +54,15 @@
              base::Instant aNow)
 {
   Run* victim = nullptr;
-  double least = 0.0;
+  double lowestCost = 0.0;
   for (Run* run : aAtEngine) {
-    if (!MayGiveWay(*run)) {
+    if (!IsPreemptible(*run)) {
       continue;
     }
     const double cost = CostOf(*run, aEstimate, aNow);
-    if (victim == nullptr || cost < least) {
+    if (victim == nullptr || cost < lowestCost) {
       victim = run;
-      least = cost;
+      lowestCost = cost;
     }
   }
   return victim;
--- a/Libraries/LibDispatch/Preemption.h
+++ b/Libraries/LibDispatch/Preemption.h
@@ -7,16 +7,17 @@
 
 namespace pumiceturn::dispatch {
 
-/// @return time that remains before a batch run must go on to be done when due.
+/// @return how long a batch run may be paused and still be done when due;
+/// Duration::max() without a due time.
 base::Duration
 SlackOf(const Run& aRun, const WaitEstimate& aEstimate, base::Instant aNow);
 
-/// Chooses the batch stream to give way: the one whose loss (prompt and tokens
-/// that must be read again to resume it) takes the smallest part of its slack.
-/// Earlier preemptions count against choosing it again. A non-idempotent run is
-/// never chosen, because a resumed stream is a second request to the engine.
+/// Chooses the batch stream to preempt: the one with the lowest ratio of lost
+/// work (prompt and tokens to be processed again on resumption) to slack.
+/// Earlier preemptions raise the cost. Non-idempotent runs are never chosen,
+/// because a resumed stream is a second request to the engine.
 /// @param aAtEngine Runs at the engine.
-/// @return null if none may give way.
+/// @return null if no run can be preempted.
 Run*
 ChooseVictim(std::span<Run* const> aAtEngine,
              const WaitEstimate& aEstimate,
--- a/Libraries/LibDispatch/RunMemory.cpp
+++ b/Libraries/LibDispatch/RunHistory.cpp
@@ -1,4 +1,4 @@
-#include "LibDispatch/RunMemory.h"
+#include "LibDispatch/RunHistory.h"
 
 namespace pumiceturn::dispatch {
 
@@ -13,7 +13,7 @@
 } // namespace
 
 void
-RunMemory::Remember(const wire::RunEnded& aEnded)
+RunHistory::RecordEnd(const wire::RunEnded& aEnded)
 {
   const wire::RunId run = aEnded.run_;
   if (!ended_.try_emplace(run, aEnded).second) {
@@ -27,14 +27,14 @@
 }
 
 const wire::RunEnded*
-RunMemory::Find(const wire::RunId& aRun) const
+RunHistory::Find(const wire::RunId& aRun) const
 {
   const auto found = ended_.find(aRun);
   return found == ended_.end() ? nullptr : &found->second;
 }
 
 void
-RunMemory::RememberItem(const wire::RunId& aRun)
+RunHistory::RecordItem(const wire::RunId& aRun)
 {
   const wire::RunId item = ItemOf(aRun);
   if (!items_.insert(item).second) {
@@ -48,13 +48,13 @@
 }
 
 void
-RunMemory::ForgetItem(const wire::RunId& aRun)
+RunHistory::RemoveItem(const wire::RunId& aRun)
 {
   items_.erase(ItemOf(aRun));
 }
 
 bool
-RunMemory::HasItem(const wire::RunId& aRun) const
+RunHistory::HasItem(const wire::RunId& aRun) const
 {
   return items_.contains(ItemOf(aRun));
 }
--- a/Libraries/LibDispatch/RunMemory.h
+++ b/Libraries/LibDispatch/RunHistory.h
@@ -10,26 +10,26 @@
 
 namespace pumiceturn::dispatch {
 
-/// What is remembered of runs that are over, so that a message that comes twice
-/// or late gets the same answer and starts nothing. Bounded: the oldest are
-/// forgotten first. Not thread-safe.
-class RunMemory
+/// Remembers how runs ended, so that duplicate or late messages get the same
+/// response and start nothing, and which non-idempotent items may have run.
+/// Bounded; evicts the oldest entries first. Not thread-safe.
+class RunHistory
 {
 public:
   static constexpr std::size_t kMaxEnded = 8192;
   static constexpr std::size_t kMaxItems = 65536;
 
-  /// Remembers how a run ended; the first end stays.
-  void Remember(const wire::RunEnded& aEnded);
+  /// Records how a run ended; a second end of the same run is ignored.
+  void RecordEnd(const wire::RunEnded& aEnded);
 
-  /// @return null if nothing is remembered.
+  /// @return the recorded end, or null.
   [[nodiscard]] const wire::RunEnded* Find(const wire::RunId& aRun) const;
 
-  /// Remembers that an item of a non-idempotent kind may have run.
-  void RememberItem(const wire::RunId& aRun);
+  /// Records that a non-idempotent item may have run.
+  void RecordItem(const wire::RunId& aRun);
 
-  /// Takes that back for a run that certainly did not reach the endpoint.
-  void ForgetItem(const wire::RunId& aRun);
+  /// Removes the record of an item that did not reach the endpoint.
+  void RemoveItem(const wire::RunId& aRun);
 
   /// @return whether any attempt at the item may have run here.
   [[nodiscard]] bool HasItem(const wire::RunId& aRun) const;
--- a/Libraries/LibDispatch/RunQueue.h
+++ b/Libraries/LibDispatch/RunQueue.h
@@ -7,21 +7,21 @@
 
 namespace pumiceturn::dispatch {
 
-/// Runs that wait for room at the engine: online in order of arrival, so that
-/// the wait promised at admission holds; batch by least laxity. Each change
-/// costs O(log n). Not thread-safe.
+/// Runs that wait for a place at the engine. Online runs are in order of
+/// arrival, so that the wait estimated at admission holds; batch runs are
+/// ordered by their latest start. Changes take O(log n). Not thread-safe.
 class RunQueue
 {
 public:
   void PushOnline(Run& aRun);
 
-  /// @param aLatestStart Due time less the work that remains.
+  /// @param aLatestStart Due time minus the remaining run time.
   void PushBatch(Run& aRun, base::Instant aLatestStart);
 
-  /// Takes a run out from wherever it waits.
+  /// Removes a run from its queue.
   void Remove(Run& aRun);
 
-  /// @return null when none waits.
+  /// @return the next run, or null if the queue is empty.
   [[nodiscard]] Run* FirstOnline() const;
   [[nodiscard]] Run* FirstBatch() const;
 
--- a/Libraries/LibDispatch/WaitEstimate.cpp
+++ b/Libraries/LibDispatch/WaitEstimate.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr double kWeightOfOne = 0.05;
+constexpr double kSampleWeight = 0.05;
 
 void
-Follow(double& aAverage, double aSample)
+UpdateAverage(double& aAverage, double aSample)
 {
   if (aAverage == 0.0) {
     aAverage = aSample;
     return;
   }
-  aAverage += (aSample - aAverage) * kWeightOfOne;
+  aAverage += (aSample - aAverage) * kSampleWeight;
 }
 
 base::Duration
@@ -29,20 +29,20 @@
 void
 WaitEstimate::OnFirstToken(base::Duration aDelay)
 {
-  Follow(firstToken_, static_cast<double>(aDelay.count()));
+  UpdateAverage(firstToken_, static_cast<double>(aDelay.count()));
 }
 
 void
-WaitEstimate::OnBetweenTokens(base::Duration aDelay)
+WaitEstimate::OnInterTokenDelay(base::Duration aDelay)
 {
-  Follow(betweenTokens_, static_cast<double>(aDelay.count()));
+  UpdateAverage(interTokenDelay_, static_cast<double>(aDelay.count()));
 }
 
 void
 WaitEstimate::OnOnlineFinished(base::Duration aTime, std::uint32_t aTokens)
 {
-  Follow(onlineRun_, static_cast<double>(aTime.count()));
-  Follow(onlineTokens_, static_cast<double>(aTokens));
+  UpdateAverage(onlineRunTime_, static_cast<double>(aTime.count()));
+  UpdateAverage(onlineTokens_, static_cast<double>(aTokens));
 }
 
 void
@@ -50,34 +50,35 @@
 {
   if (lastQueuedStart_) {
     const base::Duration interval = aNow - *lastQueuedStart_;
-    // Several can start at one moment; the average needs them all.
-    Follow(startInterval_,
-           std::max(1.0, static_cast<double>(interval.count())));
+    // Several requests can start at the same time. An average of zero would
+    // mean that there are no samples.
+    UpdateAverage(startInterval_,
+                  std::max(1.0, static_cast<double>(interval.count())));
   }
   lastQueuedStart_ = aNow;
 }
 
 base::Duration
-WaitEstimate::ExpectedRun(std::uint32_t aMaxTokens) const
+WaitEstimate::ExpectedRunTime(std::uint32_t aMaxTokens) const
 {
-  const double most =
+  const double maxTokens =
     aMaxTokens == 0 ? onlineTokens_ : static_cast<double>(aMaxTokens);
-  const double tokens = std::min(most, onlineTokens_);
-  return ToDuration(firstToken_ + tokens * betweenTokens_);
+  const double tokens = std::min(maxTokens, onlineTokens_);
+  return ToDuration(firstToken_ + tokens * interTokenDelay_);
 }
 
 base::Duration
-WaitEstimate::ExpectedWork(std::uint32_t aTokens) const
+WaitEstimate::ExpectedDecodeTime(std::uint32_t aTokens) const
 {
-  return ToDuration(static_cast<double>(aTokens) * betweenTokens_);
+  return ToDuration(static_cast<double>(aTokens) * interTokenDelay_);
 }
 
 base::Duration
-WaitEstimate::ExpectedWait(std::uint32_t aAhead, std::uint32_t aPlaces) const
+WaitEstimate::ExpectedWait(std::uint32_t aPosition, std::uint32_t aPlaces) const
 {
   const double places = std::max(1.0, static_cast<double>(aPlaces));
-  const double interval = std::max(onlineRun_ / places, startInterval_);
-  return ToDuration(interval * static_cast<double>(aAhead));
+  const double interval = std::max(onlineRunTime_ / places, startInterval_);
+  return ToDuration(interval * static_cast<double>(aPosition));
 }
 
 } // namespace pumiceturn::dispatch
--- a/Libraries/LibDispatch/WaitEstimate.h
+++ b/Libraries/LibDispatch/WaitEstimate.h
@@ -7,45 +7,49 @@
 
 namespace pumiceturn::dispatch {
 
-/// Estimates how long requests wait and run, from those before. Not
-/// thread-safe.
+/// Estimates how long requests wait and run from moving averages of earlier
+/// requests. Not thread-safe.
 class WaitEstimate
 {
 public:
-  /// @param aDelay From the request to its first token.
+  /// @param aDelay Time from sending the request to its first token.
   void OnFirstToken(base::Duration aDelay);
-  void OnBetweenTokens(base::Duration aDelay);
+  void OnInterTokenDelay(base::Duration aDelay);
 
-  /// @param aTime From the request to the end of its answer.
+  /// @param aTime Time from sending the request to the end of its response.
   void OnOnlineFinished(base::Duration aTime, std::uint32_t aTokens);
 
-  /// A request was started that had waited, and others wait still. The time
-  /// between two such starts is what a place in the queue costs, with all that
-  /// the engine and the links add to the runs.
+  /// A queued request was started while others still wait. The interval between
+  /// two such starts is the wait per position in the queue, including engine
+  /// and link overhead.
   void OnQueuedStart(base::Instant aNow);
 
-  /// No request waits.
+  /// The queue is empty.
   void OnQueueEmpty() { lastQueuedStart_.reset(); }
 
-  /// @return time of a whole run, from its start at the engine; zero before
-  /// anything was measured.
-  [[nodiscard]] base::Duration ExpectedRun(std::uint32_t aMaxTokens) const;
+  /// @return the expected time from the start of a run at the engine to its
+  /// end; zero without samples.
+  [[nodiscard]] base::Duration ExpectedRunTime(std::uint32_t aMaxTokens) const;
 
-  /// @return time to generate that many tokens more.
-  [[nodiscard]] base::Duration ExpectedWork(std::uint32_t aTokens) const;
+  /// @return the expected time to generate aTokens more tokens.
+  [[nodiscard]] base::Duration ExpectedDecodeTime(std::uint32_t aTokens) const;
 
-  /// @return time between two tokens of a stream.
-  [[nodiscard]] base::Duration Step() const { return ExpectedWork(1); }
+  /// @return the expected time between two tokens of a stream.
+  [[nodiscard]] base::Duration StepTime() const
+  {
+    return ExpectedDecodeTime(1);
+  }
 
-  /// @param aAhead  Requests that get a place before this one.
-  /// @param aPlaces Places that online requests can have.
-  [[nodiscard]] base::Duration ExpectedWait(std::uint32_t aAhead,
+  /// @param aPosition Position in the queue; 1 is the next request to start.
+  /// @param aPlaces   Number of places available to online requests.
+  [[nodiscard]] base::Duration ExpectedWait(std::uint32_t aPosition,
                                             std::uint32_t aPlaces) const;
 
 private:
-  double firstToken_ = 0.0; ///< Microseconds.
-  double betweenTokens_ = 0.0;
-  double onlineRun_ = 0.0;
+  /// Averages in microseconds, except onlineTokens_.
+  double firstToken_ = 0.0;
+  double interTokenDelay_ = 0.0;
+  double onlineRunTime_ = 0.0;
   double onlineTokens_ = 0.0;
   double startInterval_ = 0.0;
   std::optional<base::Instant> lastQueuedStart_;
--- a/Libraries/LibEndpoint/CompletionStream.cpp
+++ b/Libraries/LibEndpoint/CompletionStream.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view kCancelledByEngine = "cancelled";
 
 std::string
-TextOr(const nlohmann::json& aObject, const char* aKey)
+StringOrEmpty(const nlohmann::json& aObject, const char* aKey)
 {
   const auto found = aObject.find(aKey);
   if (found == aObject.end() || !found->is_string()) {
@@ -38,20 +38,20 @@
 }
 
 bool
-CompletionStream::OnHead(int aStatus, base::Instant aNow)
+CompletionStream::OnStatus(int aStatus, base::Instant aNow)
 {
-  lastHeard_ = aNow;
+  lastReceived_ = aNow;
   end_.httpStatus_ = aStatus;
   stopped_ = shouldStop_();
   return !stopped_;
 }
 
 bool
-CompletionStream::OnBody(std::string_view aPiece, base::Instant aNow)
+CompletionStream::OnBody(std::string_view aChunk, base::Instant aNow)
 {
-  lastHeard_ = aNow;
+  lastReceived_ = aNow;
   if (end_.httpStatus_ != kHttpOk) {
-    errorBody_.append(aPiece.substr(0, kMaxErrorBytes - errorBody_.size()));
+    errorBody_.append(aChunk.substr(0, kMaxErrorBytes - errorBody_.size()));
     return true;
   }
   if (shouldStop_()) {
@@ -59,7 +59,7 @@
     return false;
   }
   const auto onData = [this](std::string_view aData) { return OnData(aData); };
-  if (parser_.Push(aPiece, onData)) {
+  if (parser_.Push(aChunk, onData)) {
     return true;
   }
   malformed_ = malformed_ || !stopped_;
@@ -89,12 +89,12 @@
   if (!choice.is_object()) {
     return false;
   }
-  const std::string text = TextOr(choice, "text");
+  const std::string text = StringOrEmpty(choice, "text");
   if (!text.empty()) {
     ++end_.tokens_;
     stopped_ = onToken_(text) == TokenDecision::Stop;
   }
-  const std::string reason = TextOr(choice, "finish_reason");
+  const std::string reason = StringOrEmpty(choice, "finish_reason");
   if (!reason.empty()) {
     end_.finishReason_ = reason;
   }
@@ -126,7 +126,7 @@
   if (!done_ || end.finishReason_.empty()) {
     end.code_ = base::ResultCode::EndpointCrashed;
     end.ran_ = base::Ran::Unknown;
-    end.detail_ = "the stream ended before the answer was whole";
+    end.detail_ = "event stream ended before the response was complete";
   }
   return end;
 }
--- a/Libraries/LibEndpoint/CompletionStream.h
+++ b/Libraries/LibEndpoint/CompletionStream.h
@@ -10,7 +10,7 @@
 
 namespace pumiceturn::endpoint {
 
-/// Reads the answer of one streamed completion. One thread uses it.
+/// Parses the response of one streamed completion. Not thread-safe.
 class CompletionStream
 {
 public:
@@ -23,21 +23,29 @@
   {
   }
 
-  /// @return the body of the request.
+  /// @return the JSON body of the request.
+  /// @throws nlohmann::json::exception if the prompt is not valid UTF-8.
   static std::string MakeBody(const CompletionRequest& aRequest);
 
-  /// Takes the answer's head. @return false to end the exchange.
-  bool OnHead(int aStatus, base::Instant aNow);
+  /// Handles the status line of the response.
+  /// @return false to abort the exchange.
+  bool OnStatus(int aStatus, base::Instant aNow);
 
-  /// Takes the next piece of the body. @return false to end the exchange.
-  bool OnBody(std::string_view aPiece, base::Instant aNow);
+  /// Handles the next part of the response body.
+  /// @return false to abort the exchange.
+  bool OnBody(std::string_view aChunk, base::Instant aNow);
 
-  /// @return whether the engine said that the stream is over.
+  /// @return whether the engine sent the end marker.
   [[nodiscard]] bool IsDone() const { return done_; }
+
+  /// @return whether the receiver stopped the stream.
   [[nodiscard]] bool IsStopped() const { return stopped_; }
-  [[nodiscard]] base::Instant LastHeard() const { return lastHeard_; }
 
-  /// @return the end as far as the answer alone tells it.
+  /// @return when data was last received.
+  [[nodiscard]] base::Instant LastReceived() const { return lastReceived_; }
+
+  /// @return the result according to the response alone; connection errors are
+  /// not included.
   [[nodiscard]] CompletionEnd End() const;
 
 private:
@@ -48,7 +56,7 @@
   EventStreamParser parser_;
   CompletionEnd end_;
   std::string errorBody_;
-  base::Instant lastHeard_;
+  base::Instant lastReceived_;
   bool malformed_ = false;
   bool stopped_ = false;
   bool done_ = false;
--- a/Libraries/LibEndpoint/ConnectionPool.cpp
+++ b/Libraries/LibEndpoint/ConnectionPool.cpp
@@ -10,23 +10,24 @@
   const std::size_t colon = aAddress.rfind(':');
   if (colon == std::string::npos || colon == 0) {
     return base::Fail(base::ResultCode::OutOfRange,
-                      "not an IP:port: " + aAddress);
+                      "address is not IP:port: " + aAddress);
   }
   Options options;
   options.host_ = aAddress.substr(0, colon);
   const char* first = aAddress.data() + colon + 1;
   const char* last = aAddress.data() + aAddress.size();
   const auto parsed = std::from_chars(first, last, options.port_);
-  constexpr int kHighestPort = 65535;
+  constexpr int kMaxPort = 65535;
   if (parsed.ec != std::errc{} || parsed.ptr != last || options.port_ < 1 ||
-      options.port_ > kHighestPort) {
-    return base::Fail(base::ResultCode::OutOfRange, "no port in " + aAddress);
+      options.port_ > kMaxPort) {
+    return base::Fail(base::ResultCode::OutOfRange,
+                      "address has no valid port: " + aAddress);
   }
   return options;
 }
 
 std::unique_ptr<httplib::Client>
-ConnectionPool::Take()
+ConnectionPool::Acquire()
 {
   const base::Instant oldest = base::MonotonicNow() - options_.maxIdleTime_;
   {
@@ -48,7 +49,7 @@
 }
 
 void
-ConnectionPool::GiveBack(std::unique_ptr<httplib::Client> aClient)
+ConnectionPool::Release(std::unique_ptr<httplib::Client> aClient)
 {
   const std::scoped_lock lock(mutex_);
   if (idle_.size() < options_.maxIdle_) {
--- a/Libraries/LibEndpoint/ConnectionPool.h
+++ b/Libraries/LibEndpoint/ConnectionPool.h
@@ -13,8 +13,8 @@
 
 namespace pumiceturn::endpoint {
 
-/// Kept-alive HTTP connections to one address. Thread-safe; a connection taken
-/// belongs to the taker until given back.
+/// Pool of keep-alive HTTP connections to one address. Thread-safe; an acquired
+/// connection belongs to the caller until it is released.
 class ConnectionPool
 {
 public:
@@ -24,14 +24,14 @@
     int port_ = 0;
     base::Duration connectTimeout_{ std::chrono::seconds{ 1 } };
     std::size_t maxIdle_ = 64;
-    /// Connections idle for longer are closed. Shorter than the servers' own
-    /// limit, because a request sent just as the server closes an idle
-    /// connection has an unknown outcome.
+    /// Connections that have been idle for longer are closed. Must be shorter
+    /// than the server's own limit, because a request that is sent while the
+    /// server closes an idle connection has an unknown outcome.
     base::Duration maxIdleTime_{ std::chrono::seconds{ 1 } };
   };
 
   /// @param aAddress IP:port.
-  /// @return OutOfRange if it is none.
+  /// @return OutOfRange if the address is malformed.
   static base::Result<Options> ParseAddress(const std::string& aAddress);
 
   explicit ConnectionPool(Options aOptions)
@@ -40,10 +40,11 @@
   }
 
   /// @return an idle connection, or one that connects on its first request.
-  std::unique_ptr<httplib::Client> Take();
+  std::unique_ptr<httplib::Client> Acquire();
 
-  /// Keeps a connection whose last answer was read to its end.
-  void GiveBack(std::unique_ptr<httplib::Client> aClient);
+  /// Returns a connection to the pool. Its last response must have been read
+  /// completely.
+  void Release(std::unique_ptr<httplib::Client> aClient);
 
 private:
   struct Idle
--- a/Libraries/LibEndpoint/EngineClient.cpp
+++ b/Libraries/LibEndpoint/EngineClient.cpp
@@ -19,8 +19,8 @@
 constexpr int kHttpConflict = 409;
 constexpr const char* kJsonType = "application/json";
 
-/// A stream that a thread is running now. The thread keeps both members alive
-/// until it has taken the entry out of the table under the table's lock.
+/// A running stream. Its thread keeps both pointers valid until it has removed
+/// the entry from the table under the table's lock.
 struct RunningStream
 {
   httplib::Client* client_ = nullptr;
@@ -28,21 +28,21 @@
 };
 
 std::string_view
-NameOfOrder(OrderType aType)
+NameOfCommand(CommandType aType)
 {
   switch (aType) {
-    case OrderType::LoadModel:
+    case CommandType::LoadModel:
       return "load_model";
-    case OrderType::LoadAdapter:
+    case CommandType::LoadAdapter:
       return "load_adapter";
-    case OrderType::SetRole:
+    case CommandType::SetRole:
       break;
   }
   return "set_role";
 }
 
 CompletionEnd
-NotSent(base::ResultCode aCode, std::string aDetail)
+MakeNotSent(base::ResultCode aCode, std::string aDetail)
 {
   CompletionEnd end;
   end.code_ = aCode;
@@ -53,7 +53,7 @@
 
 template<typename Parse>
 auto
-ParseAnswer(const std::string& aBody, Parse aParse)
+ParseResponse(const std::string& aBody, Parse aParse)
   -> base::Result<decltype(aParse(nlohmann::json{}))>
 {
   try {
@@ -64,13 +64,13 @@
 }
 
 EngineLoad
-ParseLoad(const nlohmann::json& aAnswer)
+ParseLoad(const nlohmann::json& aResponse)
 {
   EngineLoad load;
-  load.running_ = aAnswer.at("running").get<std::uint32_t>();
-  load.waiting_ = aAnswer.at("waiting").get<std::uint32_t>();
-  load.maxRunning_ = aAnswer.value("max_running", 0U);
-  load.ageMs_ = aAnswer.value("age_ms", std::uint64_t{ 0 });
+  load.running_ = aResponse.at("running").get<std::uint32_t>();
+  load.waiting_ = aResponse.at("waiting").get<std::uint32_t>();
+  load.maxRunning_ = aResponse.value("max_running", 0U);
+  load.ageMs_ = aResponse.value("age_ms", std::uint64_t{ 0 });
   return load;
 }
 
@@ -88,13 +88,13 @@
 }
 
 CacheEventPage
-ParseCacheEvents(const nlohmann::json& aAnswer, std::uint64_t aAfter)
+ParseCacheEvents(const nlohmann::json& aResponse, std::uint64_t aAfter)
 {
   CacheEventPage page;
   page.lastSequence_ = aAfter;
-  for (const nlohmann::json& element : aAnswer.at("events")) {
+  for (const nlohmann::json& element : aResponse.at("events")) {
     const CacheEvent event = ParseCacheEvent(element);
-    // A restarted engine counts from 1 again; its cache is empty then.
+    // A restarted engine counts from 1 again and has an empty cache.
     page.hasGap_ = page.hasGap_ || event.sequence_ != page.lastSequence_ + 1;
     page.lastSequence_ = event.sequence_;
     page.events_.push_back(event);
@@ -112,15 +112,16 @@
   {
   }
 
-  /// Makes one short exchange.
+  /// Sends one control request and reads its response.
   template<typename Send>
   base::Result<httplib::Response> Exchange(Send aSend);
 
+  /// Adds a running stream.
   /// @return false if the id is in use.
   bool Register(const std::string& aId, RunningStream aStream);
   void Unregister(const std::string& aId);
 
-  /// Closes a stream's connection, if the stream runs here.
+  /// Closes the connection of a stream, if it is running.
   void Disconnect(const std::string& aId);
 
   CompletionEnd RunStream(httplib::Client& aClient,
@@ -138,17 +139,17 @@
 base::Result<httplib::Response>
 EngineClient::State::Exchange(Send aSend)
 {
-  auto client = pool_.Take();
+  auto client = pool_.Acquire();
   client->set_read_timeout(options_.controlTimeout_);
   const base::Instant begin = base::MonotonicNow();
   httplib::Result result = aSend(*client);
   if (!result) {
-    const base::Duration silent = base::MonotonicNow() - begin;
+    const base::Duration idleTime = base::MonotonicNow() - begin;
     const HttpFailure failure =
-      ClassifyError(result.error(), silent, options_.controlTimeout_);
+      ClassifyError(result.error(), idleTime, options_.controlTimeout_);
     return base::Fail(failure.code_, httplib::to_string(result.error()));
   }
-  pool_.GiveBack(std::move(client));
+  pool_.Release(std::move(client));
   return std::move(*result);
 }
 
@@ -189,7 +190,7 @@
   request.headers.emplace("Accept", "text/event-stream");
   request.body = aBody;
   request.response_handler = [&](const httplib::Response& aHead) {
-    return aStream.OnHead(aHead.status, base::MonotonicNow());
+    return aStream.OnStatus(aHead.status, base::MonotonicNow());
   };
   request.content_receiver = [&](const char* aData,
                                  std::size_t aLength,
@@ -198,20 +199,21 @@
     return aStream.OnBody({ aData, aLength }, base::MonotonicNow());
   };
   const base::Instant begin = base::MonotonicNow();
-  aClient.set_read_timeout(options_.silenceLimit_);
+  aClient.set_read_timeout(options_.idleTimeout_);
   const httplib::Result result = aClient.send(request);
   CompletionEnd end = aStream.End();
   if (result || aStream.IsStopped() || aStream.IsDone()) {
     return end;
   }
-  // A body that was refused as malformed is the only other reason to cancel.
+  // Apart from a stop, only a malformed body aborts the exchange; End() reports
+  // it.
   if (result.error() == httplib::Error::Canceled) {
     return end;
   }
-  const base::Duration silent =
-    base::MonotonicNow() - std::max(begin, aStream.LastHeard());
+  const base::Duration idleTime =
+    base::MonotonicNow() - std::max(begin, aStream.LastReceived());
   const HttpFailure failure =
-    ClassifyError(result.error(), silent, options_.silenceLimit_);
+    ClassifyError(result.error(), idleTime, options_.idleTimeout_);
   end.code_ = failure.code_;
   end.ran_ = failure.ran_;
   end.detail_ = httplib::to_string(result.error());
@@ -247,12 +249,12 @@
   try {
     body = CompletionStream::MakeBody(aRequest);
   } catch (const nlohmann::json::exception& error) {
-    return NotSent(base::ResultCode::InvalidRequest, error.what());
+    return MakeNotSent(base::ResultCode::InvalidRequest, error.what());
   }
   std::atomic<bool> cancelled = false;
-  auto client = state_->pool_.Take();
+  auto client = state_->pool_.Acquire();
   if (!state_->Register(aRequest.id_, { client.get(), &cancelled })) {
-    return NotSent(base::ResultCode::InvalidRequest, "stream id is in use");
+    return MakeNotSent(base::ResultCode::InvalidRequest, "stream id is in use");
   }
   const ShouldStop shouldStop = [&] {
     return cancelled.load() || aShouldStop();
@@ -260,11 +262,11 @@
   CompletionStream stream(aOnToken, shouldStop);
   CompletionEnd end =
     shouldStop()
-      ? NotSent(base::ResultCode::Cancelled, "stopped before it was sent")
+      ? MakeNotSent(base::ResultCode::Cancelled, "stopped before it was sent")
       : state_->RunStream(*client, body, stream, cancelled);
   state_->Unregister(aRequest.id_);
   if (stream.IsDone()) {
-    state_->pool_.GiveBack(std::move(client));
+    state_->pool_.Release(std::move(client));
   }
   return end;
 }
@@ -287,16 +289,16 @@
     if (response.status != kHttpOk) {
       return base::Fail(base::ResultCode::EndpointFailed, response.body);
     }
-    return ParseAnswer(response.body, [](const nlohmann::json& aAnswer) {
-      return aAnswer.value("cancelled", false);
+    return ParseResponse(response.body, [](const nlohmann::json& aResponse) {
+      return aResponse.value("cancelled", false);
     });
   });
   const bool* known = std::get_if<bool>(&confirmed);
   if (known != nullptr && *known) {
     return {};
   }
-  // The engine does not answer, or the stream has not reached it yet: the
-  // closed connection ends the stream there.
+  // The engine does not respond, or the stream has not reached it yet. Closing
+  // the connection ends the stream there.
   state_->Disconnect(aId);
   BOOST_LEAF_CHECK(base::Release(std::move(confirmed)));
   return {};
@@ -311,7 +313,7 @@
   if (response.status != kHttpOk) {
     return base::Fail(base::ResultCode::EndpointFailed, response.body);
   }
-  return ParseAnswer(response.body, ParseLoad);
+  return ParseResponse(response.body, ParseLoad);
 }
 
 base::Result<CacheEventPage>
@@ -324,20 +326,20 @@
   if (response.status != kHttpOk) {
     return base::Fail(base::ResultCode::EndpointFailed, response.body);
   }
-  return ParseAnswer(response.body, [&](const nlohmann::json& aAnswer) {
-    return ParseCacheEvents(aAnswer, aAfter);
+  return ParseResponse(response.body, [&](const nlohmann::json& aResponse) {
+    return ParseCacheEvents(aResponse, aAfter);
   });
 }
 
 base::Result<void>
-EngineClient::SendOrder(const EngineOrder& aOrder)
+EngineClient::SendCommand(const EngineCommand& aCommand)
 {
   const std::string body =
     nlohmann::json{
-      { "kind", NameOfOrder(aOrder.type_) },
-      { "name", aOrder.name_ },
-      { "version", aOrder.version_ },
-      { "fence", aOrder.fence_ },
+      { "kind", NameOfCommand(aCommand.type_) },
+      { "name", aCommand.name_ },
+      { "version", aCommand.version_ },
+      { "fence", aCommand.fence_ },
     }
       .dump();
   auto outcome = base::Capture([&] {
@@ -346,7 +348,7 @@
     });
   });
   if (auto* failure = std::get_if<base::Failure>(&outcome)) {
-    // Once the order has left, the engine may have obeyed it.
+    // The engine may have executed a command that was sent.
     const bool notSent = failure->code_ == base::ResultCode::NoEndpoint;
     return base::Fail(notSent ? failure->code_
                               : base::ResultCode::OutcomeUnknown,
--- a/Libraries/LibEndpoint/EngineClient.h
+++ b/Libraries/LibEndpoint/EngineClient.h
@@ -11,58 +11,64 @@
 
 namespace pumiceturn::endpoint {
 
-/// Speaks to one model engine: streamed completions in the published form of
-/// POST /v1/completions with server-sent events, cancel, load, cache events
-/// and orders. Calls block. A stream holds its caller's thread until it ends.
-/// Thread-safe.
+/// Client of one model engine: streamed completions (POST /v1/completions with
+/// server-sent events), cancellation, load, cache events and commands. All
+/// calls block; StreamCompletion() blocks until the stream ends. Thread-safe.
 class EngineClient
 {
 public:
   struct Options
   {
-    std::string address_; ///< IP:port.
+    /// IP:port.
+    std::string address_;
     base::Duration connectTimeout_{ std::chrono::seconds{ 1 } };
     base::Duration controlTimeout_{ std::chrono::seconds{ 2 } };
-    /// A stream that says nothing for so long is given up. It covers the wait
-    /// in the engine's queue and the prefill.
-    base::Duration silenceLimit_{ std::chrono::seconds{ 30 } };
+    /// A stream that receives nothing for longer is aborted. Must exceed the
+    /// queueing time at the engine plus the prefill.
+    base::Duration idleTimeout_{ std::chrono::seconds{ 30 } };
   };
 
   using OnToken = std::function<TokenDecision(std::string_view)>;
   using ShouldStop = std::function<bool()>;
 
-  /// @return OutOfRange for a malformed address. Does not connect yet.
+  /// Creates a client without connecting.
+  /// @return OutOfRange for a malformed address.
   static base::Result<std::unique_ptr<EngineClient>> Make(Options aOptions);
   ~EngineClient();
   EngineClient(const EngineClient&) = delete;
   EngineClient& operator=(const EngineClient&) = delete;
 
-  /// Runs one stream to its end.
-  /// @param aOnToken    Receives each token's text, in order, on this thread.
-  /// @param aShouldStop Asked before anything is sent and whenever something
-  ///                    arrives. To end a stream that is silent, call Cancel()
-  ///                    from another thread.
+  /// Runs one stream until it ends.
+  /// @param aOnToken    Called with each token's text, in order, on this
+  /// thread.
+  /// @param aShouldStop Checked before the request is sent and whenever data
+  /// arrives. To stop a stream that receives nothing, call Cancel() from
+  /// another thread.
   CompletionEnd StreamCompletion(const CompletionRequest& aRequest,
                                  const OnToken& aOnToken,
                                  const ShouldStop& aShouldStop);
 
-  /// Ends a stream that this client runs, at the engine too; it then ends as
-  /// Cancelled, also if the engine does not answer. Calling it for a stream
-  /// that is not running here asks the engine only.
-  /// @return an error if the engine did not confirm; the closed connection then
-  /// ends the stream there.
+  /// Cancels a stream at the engine. A stream of this client ends as Cancelled
+  /// even if the engine does not respond.
+  /// @return an error if the engine did not confirm the cancellation; the
+  /// connection is closed then, which ends the stream at the engine.
   base::Result<void> Cancel(const std::string& aId);
 
-  /// @return NoEndpoint, TimedOut or EndpointFailed otherwise.
+  /// @return the engine's load, or NoEndpoint, TimedOut, EndpointCrashed or
+  /// EndpointFailed.
   base::Result<EngineLoad> ReadLoad();
 
-  /// @param aAfter Sequence number read last; 0 for all that is kept.
+  /// @param aAfter Sequence number of the last event read; 0 for all events
+  /// that the engine keeps.
+  /// @return the events after it, or an error as of ReadLoad().
   base::Result<CacheEventPage> ReadCacheEvents(std::uint64_t aAfter);
 
-  /// @return StaleFence if the engine checks fencing numbers and has seen a
-  /// higher one; OutcomeUnknown if the answer was lost.
-  base::Result<void> SendOrder(const EngineOrder& aOrder);
+  /// @return StaleFence if the engine has seen a higher fencing number,
+  /// NoEndpoint if nothing was sent, OutcomeUnknown if the response was lost,
+  /// EndpointFailed for an HTTP error.
+  base::Result<void> SendCommand(const EngineCommand& aCommand);
 
+  /// @return whether the engine responds to a health check.
   [[nodiscard]] bool IsHealthy();
 
 private:
--- a/Libraries/LibEndpoint/EngineMessages.h
+++ b/Libraries/LibEndpoint/EngineMessages.h
@@ -6,58 +6,58 @@
 #include <string>
 #include <vector>
 
-/// What is said to a model engine and heard from it, as plain data.
+/// Messages to and from a model engine, as plain data.
 namespace pumiceturn::endpoint {
 
 struct CompletionRequest
 {
-  std::string id_; ///< Names the stream for a cancel; unique while it runs.
+  /// Identifies the stream in Cancel(); unique among running streams.
+  std::string id_;
   std::string model_;
   std::string prompt_;
   std::uint32_t maxTokens_ = 0;
-  std::uint32_t resumeTokens_ = 0; ///< Tokens of the answer already received;
-                                   ///< the stream goes on after them.
+  /// Tokens already received; the stream continues after them.
+  std::uint32_t resumeTokens_ = 0;
 };
 
-/// What the receiver of a token wants next.
+/// Whether the receiver of a token wants more.
 enum class TokenDecision : std::uint8_t
 {
   Continue,
-  Stop, ///< End the stream as cancelled.
+  Stop, ///< Ends the stream as cancelled.
 };
 
-/// How a stream ended, and whether the request reached the engine. A failure is
-/// part of this value, because its ran_ must never be lost on the way up.
+/// How a stream ended, and whether the request reached the engine. Failures are
+/// part of this value so that ran_ is always passed on with them.
 ///
-/// | code_           | ran_    | when |
-/// |-----------------|---------|------|
-/// | Ok              | Ran     | the engine finished the answer |
-/// | Cancelled       | Unknown | cancelled by Cancel(), a decision or the
-/// engine; NotRun if nothing was sent | | InvalidRequest  | NotRun  | the
-/// prompt is no UTF-8 text | | NoEndpoint      | NotRun  | no connection: no
-/// byte left for the engine | | EndpointCrashed | Unknown | the connection
-/// broke after sending | | TimedOut        | Unknown | silent for longer than
-/// the silence limit | | EndpointFailed  | Unknown | an HTTP error or a
-/// malformed answer |
+/// - Ok (Ran): the engine completed the response.
+/// - Cancelled (Unknown, or NotRun if nothing was sent): cancelled by Cancel(),
+///   by the receiver or by the engine.
+/// - InvalidRequest (NotRun): the prompt is not UTF-8 or the id is in use.
+/// - NoEndpoint (NotRun): no connection was made, so nothing was sent.
+/// - EndpointCrashed (Unknown): the connection broke after sending.
+/// - TimedOut (Unknown): nothing was received for longer than the idle timeout.
+/// - EndpointFailed (Unknown): HTTP error or malformed response.
 struct CompletionEnd
 {
   base::ResultCode code_ = base::ResultCode::Ok;
   base::Ran ran_ = base::Ran::Ran;
-  std::uint32_t tokens_ = 0; ///< Received in this stream, without resumed ones.
-  std::uint32_t cachedPromptTokens_ = 0; ///< Prompt tokens the engine took from
-                                         ///< its prefix cache.
-  int httpStatus_ = 0;                   ///< 0 if there was none.
-  std::string finishReason_;             ///< As the engine says it.
+  /// Received in this stream, excluding resumeTokens_.
+  std::uint32_t tokens_ = 0;
+  /// Prompt tokens served from the engine's prefix cache.
+  std::uint32_t cachedPromptTokens_ = 0;
+  int httpStatus_ = 0;       ///< 0 if no response was received.
+  std::string finishReason_; ///< As reported by the engine.
   std::string detail_;
 };
 
-/// The engine's own report. It lags, so decisions weigh it by its age.
+/// The engine's own load report. It lags; see ageMs_.
 struct EngineLoad
 {
   std::uint32_t running_ = 0;
   std::uint32_t waiting_ = 0;
   std::uint32_t maxRunning_ = 0;
-  std::uint64_t ageMs_ = 0; ///< How old the figures were when answered.
+  std::uint64_t ageMs_ = 0; ///< Age of the figures when the engine sent them.
 };
 
 enum class CacheChange : std::uint8_t
@@ -66,35 +66,39 @@
   Evicted,
 };
 
-/// A block of prompt text came into the prefix cache or left it.
+/// A block of prompt text was stored in the prefix cache or evicted from it.
 struct CacheEvent
 {
   std::uint64_t sequence_ = 0;
   CacheChange change_ = CacheChange::Stored;
-  std::uint64_t prefixHash_ = 0;  ///< base::HashBytes of the prompt's start.
-  std::uint32_t prefixBytes_ = 0; ///< Length of that start.
+  /// base::HashBytes() of the first prefixBytes_ bytes of the prompt.
+  std::uint64_t prefixHash_ = 0;
+  std::uint32_t prefixBytes_ = 0; ///< Length of the hashed part of the prompt.
 };
 
+/// Cache events read in one call.
 struct CacheEventPage
 {
-  std::vector<CacheEvent> events_; ///< In sequence order, maybe with gaps.
-  std::uint64_t lastSequence_ = 0; ///< Pass it as aAfter next time.
-  bool hasGap_ = false; ///< Events were lost: what is known is an estimate.
+  /// Ordered by sequence number.
+  std::vector<CacheEvent> events_;
+  std::uint64_t lastSequence_ = 0; ///< Value of aAfter for the next call.
+  bool hasGap_ = false; ///< Events were lost, or the engine restarted.
 };
 
-enum class OrderType : std::uint8_t
+/// Kind of a command that changes what an engine serves.
+enum class CommandType : std::uint8_t
 {
   LoadModel,
   LoadAdapter,
   SetRole,
 };
 
-struct EngineOrder
+struct EngineCommand
 {
-  OrderType type_ = OrderType::LoadModel;
-  std::string name_;    ///< Model, adapter or role.
-  std::string version_; ///< Empty for a role.
-  std::uint64_t fence_ = 0;
+  CommandType type_ = CommandType::LoadModel;
+  std::string name_;        ///< Model, adapter or role.
+  std::string version_;     ///< Empty for a role.
+  std::uint64_t fence_ = 0; ///< Fencing number; engines may ignore it.
 };
 
 } // namespace pumiceturn::endpoint
--- a/Tests/LibAgent/AgentFixture.h
+++ b/Tests/LibAgent/AgentFixture.h
@@ -16,7 +16,7 @@
 
 namespace pumiceturn::agent {
 
-/// What a peer received, in order. Thread-safe.
+/// The messages that a peer received, in order. Thread-safe.
 class Inbox
 {
 public:
@@ -27,15 +27,14 @@
     changed_.notify_all();
   }
 
-  void NoteUp()
+  void MarkUp()
   {
     const std::scoped_lock lock(mutex_);
     isUp_ = true;
     changed_.notify_all();
   }
 
-  /// @return false only if the condition never holds, so that a failed test
-  /// ends instead of hanging.
+  /// @return false if the condition does not hold within a minute.
   bool WaitFor(const std::function<bool(const Inbox&)>& aCondition)
   {
     std::unique_lock lock(mutex_);
@@ -43,7 +42,7 @@
       lock, std::chrono::seconds{ 60 }, [&] { return aCondition(*this); });
   }
 
-  /// The following are called with the inbox's lock held, within WaitFor().
+  /// The following require the lock and may be called only within WaitFor().
   template<typename Type>
   [[nodiscard]] std::vector<Type> All() const
   {
@@ -64,8 +63,8 @@
   bool isUp_ = false;
 };
 
-/// An agent function on real links, beside a stand-in that the test starts, and
-/// a peer that gives it orders.
+/// An agent function on real links, with an endpoint stand-in that the test
+/// starts and a peer that sends requests.
 class AgentFixture
 {
 public:
@@ -118,19 +117,20 @@
     pool_.Stop();
   }
 
-  wire::StartRun Order(const std::string& aKey, const std::string& aPrompt)
+  wire::StartRun MakeRequest(const std::string& aKey,
+                             const std::string& aPrompt)
   {
-    wire::StartRun order;
-    order.run_ = { base::MakeJobId("slaegtsspor", aKey), 0, 1 };
-    order.service_ = kService;
-    order.kind_ = "look-up";
-    order.online_ = true;
-    order.wantChunks_ = true;
-    order.deadlineMs_ = 60000;
-    order.maxTokens_ = 16;
-    order.payload_ = aPrompt;
-    order.fingerprint_ = base::HashBytes(aPrompt);
-    return order;
+    wire::StartRun request;
+    request.run_ = { base::MakeJobId("slaegtsspor", aKey), 0, 1 };
+    request.service_ = kService;
+    request.kind_ = "look-up";
+    request.online_ = true;
+    request.wantChunks_ = true;
+    request.deadlineMs_ = 60000;
+    request.maxTokens_ = 16;
+    request.payload_ = aPrompt;
+    request.fingerprint_ = base::HashBytes(aPrompt);
+    return request;
   }
 
   void Send(wire::Message aMessage)
@@ -140,7 +140,8 @@
     CHECK(sent == base::ResultCode::Ok);
   }
 
-  /// @return the end that the peer was told, waiting for it.
+  /// Waits for the end of a run.
+  /// @return the RunEnded message that the peer received.
   wire::RunEnded EndOf(const wire::RunId& aRun)
   {
     wire::RunEnded found;
@@ -157,8 +158,8 @@
     return found;
   }
 
-  /// @return the text of a run's chunks received so far. A chunk may come again
-  /// when its order does, but none is left out.
+  /// @return the text of a run's chunks received so far. Ignores repeated
+  /// chunks and checks that none is missing.
   std::string ChunksOf(const wire::RunId& aRun)
   {
     std::string text;
@@ -177,7 +178,7 @@
     return text;
   }
 
-  /// Looks again and again, because readiness has no event to wait on.
+  /// Polls, because readiness has no event to wait for.
   void WaitUntilReady()
   {
     WaitUntil(
@@ -186,9 +187,9 @@
 
   static void WaitUntil(const std::function<bool()>& aCondition)
   {
-    const base::Instant giveUp =
+    const base::Instant deadline =
       base::MonotonicNow() + std::chrono::seconds{ 60 };
-    while (!aCondition() && base::MonotonicNow() < giveUp) {
+    while (!aCondition() && base::MonotonicNow() < deadline) {
       std::this_thread::yield();
     }
     REQUIRE(aCondition());
@@ -208,7 +209,7 @@
                                     wire::LinkState aState) {
       if (aHost != kEndpoint) {
         if (aState == wire::LinkState::Up) {
-          inbox_.NoteUp();
+          inbox_.MarkUp();
         }
         return;
       }
@@ -256,7 +257,7 @@
   Inbox inbox_;
 };
 
-/// With a model engine of four places.
+/// An agent with a model engine of four places.
 class EngineFixture : public AgentFixture
 {
 public:
@@ -279,7 +280,7 @@
   std::unique_ptr<standin::EngineStandin> engine_;
 };
 
-/// With a plain service.
+/// An agent with a plain service.
 class PlainFixture : public AgentFixture
 {
 public:
--- a/Tests/LibDispatch/GateFixture.h
+++ b/Tests/LibDispatch/SchedulerFixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibDispatch/Gate.h"
+#include "LibDispatch/EndpointScheduler.h"
 
 #include <cstdint>
 #include <map>
@@ -10,85 +10,86 @@
 
 namespace pumiceturn::dispatch {
 
-/// A gate in virtual time. What it wants done is written down: messages by
-/// peer, streams by run; crashes go into a table of suspects.
-class GateFixture
+/// An EndpointScheduler in virtual time. Records its actions: messages by peer,
+/// streams by run, and crashes by fingerprint.
+class SchedulerFixture
 {
 public:
-  explicit GateFixture(std::uint32_t aPlaces = 4,
-                       Policy aPolicy = BurstHeadroom{})
-    : gate_(MakeOptions(aPlaces, aPolicy),
-            [this](std::uint64_t aFingerprint, Moment /*aMoment*/) {
-              return StandingOf(aFingerprint);
-            })
+  explicit SchedulerFixture(std::uint32_t aPlaces = 4,
+                            Policy aPolicy = BurstHeadroom{})
+    : scheduler_(MakeOptions(aPlaces, aPolicy),
+                 [this](std::uint64_t aFingerprint, Moment /*aMoment*/) {
+                   return ContentStatusOf(aFingerprint);
+                 })
   {
   }
 
-  static Gate::Options MakeOptions(std::uint32_t aPlaces, Policy aPolicy)
+  static EndpointScheduler::Options MakeOptions(std::uint32_t aPlaces,
+                                                Policy aPolicy)
   {
-    Gate::Options options;
+    EndpointScheduler::Options options;
     options.service_ = "origin-llm";
     options.policy_ = aPolicy;
-    options.limit_.most_ = aPlaces;
+    options.limit_.max_ = aPlaces;
     options.partitionCount_ = 16;
     return options;
   }
 
   [[nodiscard]] Moment Now() const { return now_; }
 
-  void Pass(base::Duration aTime)
+  void Advance(base::Duration aTime)
   {
     const base::Instant end = now_.now_ + aTime;
     while (now_.now_ < end) {
-      now_.now_ += Gate::kTickInterval;
+      now_.now_ += EndpointScheduler::kTickInterval;
       now_.wall_ += std::chrono::duration_cast<base::WallTime::duration>(
-        Gate::kTickInterval);
-      Do(gate_.OnTick(now_));
+        EndpointScheduler::kTickInterval);
+      Apply(scheduler_.OnTick(now_));
     }
   }
 
-  static wire::RunId IdOf(std::uint64_t aJob, std::uint32_t aAttempt = 1)
+  static wire::RunId RunIdOf(std::uint64_t aJob, std::uint32_t aAttempt = 1)
   {
     return wire::RunId{ wire::JobId{ aJob, aJob }, 0, aAttempt };
   }
 
-  static wire::StartRun Online(std::uint64_t aJob)
+  static wire::StartRun OnlineRequest(std::uint64_t aJob)
   {
-    wire::StartRun order;
-    order.run_ = IdOf(aJob);
-    order.service_ = "origin-llm";
-    order.kind_ = "look-up";
-    order.online_ = true;
-    order.wantChunks_ = true;
-    order.deadlineMs_ = 20000;
-    order.maxTokens_ = 8;
-    order.fingerprint_ = aJob;
-    order.payload_ = "where does the name come from";
-    return order;
+    wire::StartRun request;
+    request.run_ = RunIdOf(aJob);
+    request.service_ = "origin-llm";
+    request.kind_ = "look-up";
+    request.online_ = true;
+    request.wantChunks_ = true;
+    request.deadlineMs_ = 20000;
+    request.maxTokens_ = 8;
+    request.fingerprint_ = aJob;
+    request.payload_ = "where does the name come from";
+    return request;
   }
 
-  [[nodiscard]] wire::StartRun Batch(std::uint64_t aJob) const
+  [[nodiscard]] wire::StartRun BatchRequest(std::uint64_t aJob) const
   {
-    wire::StartRun order = Online(aJob);
-    order.kind_ = "lineage";
-    order.online_ = false;
-    order.wantChunks_ = false;
-    order.deadlineMs_ = 0;
-    order.dueUnixMs_ = base::ToUnixMs(now_.wall_) + 3600000;
-    return order;
+    wire::StartRun request = OnlineRequest(aJob);
+    request.kind_ = "lineage";
+    request.online_ = false;
+    request.wantChunks_ = false;
+    request.deadlineMs_ = 0;
+    request.dueUnixMs_ = base::ToUnixMs(now_.wall_) + 3600000;
+    return request;
   }
 
-  void Order(const std::string& aPeer, wire::StartRun aOrder)
+  void Submit(const std::string& aPeer, wire::StartRun aRequest)
   {
-    Do(gate_.OnStartRun(aPeer, std::move(aOrder), now_));
+    Apply(scheduler_.OnStartRun(aPeer, std::move(aRequest), now_));
   }
 
-  void Token(std::uint64_t aJob, const std::string& aText)
+  void AddToken(std::uint64_t aJob, const std::string& aText)
   {
-    Do(gate_.OnTokens(StreamOf(aJob), AnswerPart{ aText, 1 }, now_));
+    Apply(scheduler_.OnChunk(StreamOf(aJob), ResponseChunk{ aText, 1 }, now_));
   }
 
-  void End(std::uint64_t aJob, StreamResult aResult)
+  void EndStream(std::uint64_t aJob, StreamResult aResult)
   {
     StreamEnd end;
     end.result_ = aResult;
@@ -113,10 +114,10 @@
         end.code_ = base::ResultCode::EndpointFailed;
         break;
     }
-    Do(gate_.OnStreamEnded(StreamOf(aJob), end, now_));
+    Apply(scheduler_.OnStreamEnded(StreamOf(aJob), end, now_));
   }
 
-  void Do(Actions aActions)
+  void Apply(Actions aActions)
   {
     for (Action& action : aActions) {
       if (auto* start = std::get_if<StartStream>(&action)) {
@@ -127,8 +128,8 @@
       } else if (auto* send = std::get_if<SendMessage>(&action)) {
         sent_[send->peer_].push_back(send->message_);
       } else if (auto* crash = std::get_if<RecordCrash>(&action)) {
-        NoteCrash(*crash);
-      } else if (std::holds_alternative<SpreadHeartbeat>(action)) {
+        ApplyCrash(*crash);
+      } else if (std::holds_alternative<BroadcastHeartbeat>(action)) {
         ++heartbeats_;
       }
     }
@@ -150,13 +151,13 @@
     return found;
   }
 
-  /// @return the ends that a peer was told of one job.
+  /// @return the RunEnded messages of a job that were sent to a peer.
   [[nodiscard]] std::vector<wire::RunEnded> EndsOf(const std::string& aPeer,
                                                    std::uint64_t aJob) const
   {
     std::vector<wire::RunEnded> ends;
     for (const wire::RunEnded& end : Sent<wire::RunEnded>(aPeer)) {
-      if (end.run_.job_ == IdOf(aJob).job_) {
+      if (end.run_.job_ == RunIdOf(aJob).job_) {
         ends.push_back(end);
       }
     }
@@ -167,7 +168,7 @@
   {
     std::size_t count = 0;
     for (const StartStream& start : starts_) {
-      count += start.stream_.run_.job_ == IdOf(aJob).job_ ? 1 : 0;
+      count += start.stream_.run_.job_ == RunIdOf(aJob).job_ ? 1 : 0;
     }
     return count;
   }
@@ -175,7 +176,7 @@
   [[nodiscard]] bool WasCancelled(std::uint64_t aJob) const
   {
     for (const wire::RunId& run : cancels_) {
-      if (run == IdOf(aJob)) {
+      if (run == RunIdOf(aJob)) {
         return true;
       }
     }
@@ -184,7 +185,7 @@
 
   StreamId StreamOf(std::uint64_t aJob) const
   {
-    return streams_.at(IdOf(aJob));
+    return streams_.at(RunIdOf(aJob));
   }
 
   std::map<std::uint64_t, int> crashes_;
@@ -194,25 +195,26 @@
   int heartbeats_ = 0;
 
 private:
-  ContentStanding StandingOf(std::uint64_t aFingerprint) const
+  ContentStatus ContentStatusOf(std::uint64_t aFingerprint) const
   {
     const auto found = crashes_.find(aFingerprint);
     if (found == crashes_.end()) {
-      return ContentStanding::Clear;
+      return ContentStatus::Clear;
     }
-    return found->second == 1 ? ContentStanding::Suspect
-                              : ContentStanding::Quarantined;
+    return found->second == 1 ? ContentStatus::Suspect
+                              : ContentStatus::Quarantined;
   }
 
-  /// Blames those known before, or else all, as the quarantine does.
-  void NoteCrash(const RecordCrash& aCrash)
+  /// Counts the crash for the fingerprints that are already suspect, or for all
+  /// if none is, as the quarantine does.
+  void ApplyCrash(const RecordCrash& aCrash)
   {
-    bool wasOneKnown = false;
+    bool isAnyKnown = false;
     for (const std::uint64_t fingerprint : aCrash.fingerprints_) {
-      wasOneKnown = wasOneKnown || crashes_.contains(fingerprint);
+      isAnyKnown = isAnyKnown || crashes_.contains(fingerprint);
     }
     for (const std::uint64_t fingerprint : aCrash.fingerprints_) {
-      if (!wasOneKnown || crashes_.contains(fingerprint)) {
+      if (!isAnyKnown || crashes_.contains(fingerprint)) {
         ++crashes_[fingerprint];
       }
     }
@@ -223,7 +225,7 @@
   std::map<wire::RunId, StreamId> streams_;
 
 public:
-  Gate gate_;
+  EndpointScheduler scheduler_;
 };
 
 } // namespace pumiceturn::dispatch
--- a/Tests/LibEndpoint/EngineClientTest.cpp
+++ b/Tests/LibEndpoint/EngineClientTest.cpp
@@ -84,7 +84,8 @@
 
 } // namespace
 
-TEST_CASE_METHOD(EngineFixture, "StreamCompletion_WholeAnswer_IsTheEngines")
+TEST_CASE_METHOD(EngineFixture,
+                 "StreamCompletion_CompleteResponse_MatchesTheEngine")
 {
   std::string text;
   const CompletionEnd end = Stream(MakeRequest("1", "Hvorfra?", 12), text);
@@ -105,10 +106,9 @@
 }
 
 TEST_CASE_METHOD(EngineFixture,
-                 "StreamCompletion_ManyAtOnce_EachGetsItsOwnAnswer")
+                 "StreamCompletion_ManyConcurrent_EachGetsItsOwnResponse")
 {
-  // 64 callers share one client and a batch of 4. A mixed-up, shortened or
-  // doubled answer would differ from what the engine generates for that prompt.
+  // Guards against mixed-up or truncated responses of concurrent streams.
   constexpr int kStreams = 64;
   std::vector<std::future<bool>> results;
   results.reserve(kStreams);
@@ -127,10 +127,9 @@
   CHECK(engine_->Stats().finished_ == kStreams);
 }
 
-TEST_CASE("StreamCompletion_NobodyListens_IsTrulyNotRun")
+TEST_CASE("StreamCompletion_ConnectionRefused_IsNotRun")
 {
-  // A user sees "not run" and may send the request elsewhere. Nothing listens
-  // on the port, so no byte can have left.
+  // Guards against reporting an unknown outcome when no connection was made.
   std::string address;
   {
     const auto gone =
@@ -150,9 +149,7 @@
 
 TEST_CASE_METHOD(EngineFixture, "StreamCompletion_EngineCrashes_IsUnknown")
 {
-  // A request crashes the engine while an innocent one runs beside it. Both
-  // connections break after the requests were sent: neither may be called
-  // "not run". After its restart the engine serves the innocent one again.
+  // Guards against reporting NotRun for requests that were sent before a crash.
   std::promise<void> begun;
   auto innocent = std::async(std::launch::async, [&] {
     bool isFirst = true;
@@ -174,9 +171,9 @@
   CHECK(guilty.code_ == ResultCode::EndpointCrashed);
   CHECK(guilty.ran_ == Ran::Unknown);
   CHECK(text.empty());
-  const CompletionEnd beside = innocent.get();
-  CHECK(beside.code_ == ResultCode::EndpointCrashed);
-  CHECK(beside.ran_ == Ran::Unknown);
+  const CompletionEnd innocentEnd = innocent.get();
+  CHECK(innocentEnd.code_ == ResultCode::EndpointCrashed);
+  CHECK(innocentEnd.ran_ == Ran::Unknown);
   CHECK(engine_->Stats().crashes_ == 1);
   while (!client_->IsHealthy()) {
     std::this_thread::yield();
@@ -185,11 +182,9 @@
 }
 
 TEST_CASE_METHOD(EngineFixture,
-                 "StreamCompletion_CrashUnderLoad_LeavesOnlyTruePrefixes")
+                 "StreamCompletion_CrashUnderLoad_PartialResponsesArePrefixes")
 {
-  // The engine crashes while 64 streams wait or run. Whatever each caller has
-  // received is the beginning of its own answer, and no stream that broke is
-  // called whole or not run.
+  // Guards against corrupt or misclassified responses after a crash.
   constexpr int kStreams = 64;
   std::once_flag crashed;
   std::atomic<int> broken = 0;
@@ -223,17 +218,16 @@
 }
 
 TEST_CASE_METHOD(EngineFixture,
-                 "StreamCompletion_ConnectionSilentForGood_IsTimedOut")
+                 "StreamCompletion_ConnectionReceivesNothing_IsTimedOut")
 {
-  // Something between agent and engine loses track of an open connection: it
-  // stays open and says nothing more, while new connections work.
+  // Guards against waiting forever on a connection without data.
   EngineClient::Options options;
   options.address_ = "127.0.0.1:" + std::to_string(engine_->Port());
-  options.silenceLimit_ = std::chrono::milliseconds{ 300 };
-  const auto impatient =
+  options.idleTimeout_ = std::chrono::milliseconds{ 300 };
+  const auto shortTimeout =
     Must(base::Capture([&] { return EngineClient::Make(options); }));
   std::string received;
-  const CompletionEnd end = impatient->StreamCompletion(
+  const CompletionEnd end = shortTimeout->StreamCompletion(
     MakeRequest("1", "long", 100000),
     [&](std::string_view aToken) {
       received += aToken;
@@ -260,7 +254,7 @@
   CHECK(end.httpStatus_ == 503);
 }
 
-TEST_CASE_METHOD(EngineFixture, "StreamCompletion_PromptIsNoText_IsNotSent")
+TEST_CASE_METHOD(EngineFixture, "StreamCompletion_PromptIsNotUtf8_IsNotSent")
 {
   std::string text;
   const CompletionEnd end = Stream(MakeRequest("1", "\xFF\xFE"), text);
@@ -283,10 +277,9 @@
   CHECK(engine_->Stats().cancelled_ == 1);
 }
 
-TEST_CASE_METHOD(EngineFixture, "Cancel_SilentStream_EndsItAsCancelled")
+TEST_CASE_METHOD(EngineFixture, "Cancel_StreamWithoutData_EndsAsCancelled")
 {
-  // The engine hangs and says nothing. The stream's own thread waits for bytes;
-  // only a cancel from another thread can end it.
+  // Guards against a cancel that cannot end a stream blocked on a hung engine.
   standin::EngineFaults faults = engine_->Faults();
   faults.hang_ = true;
   engine_->SetFaults(faults);
@@ -306,11 +299,11 @@
 TEST_CASE_METHOD(EngineFixture, "SendOrder_OlderFence_IsStaleUnlessIgnored")
 {
   const auto send = [&](std::uint64_t aFence) {
-    EngineOrder order;
+    EngineCommand order;
     order.name_ = "origin-7b";
     order.version_ = "3";
     order.fence_ = aFence;
-    return CodeOf(base::Capture([&] { return client_->SendOrder(order); }));
+    return CodeOf(base::Capture([&] { return client_->SendCommand(order); }));
   };
   CHECK(send(7) == ResultCode::Ok);
   CHECK(send(6) == ResultCode::StaleFence);
@@ -321,7 +314,7 @@
   CHECK(engine_->Stats().staleOrders_ == 1);
 }
 
-TEST_CASE_METHOD(EngineFixture, "ReadLoad_WithLag_ReportsThePast")
+TEST_CASE_METHOD(EngineFixture, "ReadLoad_WithLag_ReportsEarlierLoad")
 {
   standin::EngineFaults faults = engine_->Faults();
   faults.hang_ = true;
@@ -345,7 +338,7 @@
   CHECK(stream.get().code_ == ResultCode::Ok);
 }
 
-TEST_CASE_METHOD(EngineFixture, "ReadCacheEvents_LostOnes_ShowAsGap")
+TEST_CASE_METHOD(EngineFixture, "ReadCacheEvents_EventsLost_GapIsReported")
 {
   const std::string prompt(256, 'p');
   std::string text;
@@ -357,7 +350,7 @@
   const CacheEventPage whole = read(0);
   CHECK_FALSE(whole.hasGap_);
   REQUIRE(whole.events_.size() == 4);
-  // The last block of the prompt comes in first.
+  // The engine stores the last block of the prompt first.
   CHECK(whole.events_[0].prefixBytes_ == 256);
   CHECK(whole.events_[0].prefixHash_ == base::HashBytes(prompt));
 
@@ -365,9 +358,9 @@
   faults.loseOneOf_ = 2;
   engine_->SetFaults(faults);
   Stream(MakeRequest("2", std::string(256, 'q'), 2), text);
-  const CacheEventPage holed = read(whole.lastSequence_);
-  CHECK(holed.hasGap_);
-  CHECK(holed.events_.size() == 2);
+  const CacheEventPage withGap = read(whole.lastSequence_);
+  CHECK(withGap.hasGap_);
+  CHECK(withGap.events_.size() == 2);
 
   faults.eventDelay_ = std::chrono::hours{ 1 };
   engine_->SetFaults(faults);
--- a/Tests/Scenarios/AgentStage.cpp
+++ b/Tests/Scenarios/AgentStage.cpp
@@ -22,7 +22,7 @@
     return dispatch::BurstHeadroom{};
   }
   if (aName == "engine_order") {
-    return dispatch::EngineOrder{};
+    return dispatch::PassThrough{};
   }
   if (aName == "strict_priority") {
     return dispatch::StrictPriority{};
@@ -50,7 +50,7 @@
 } // namespace
 
 AgentStage::AgentStage(Arguments& aArguments)
-  : nextTick_(kStart + dispatch::Gate::kTickInterval)
+  : nextTick_(kStart + dispatch::EndpointScheduler::kTickInterval)
 {
   const std::uint32_t count = aArguments.Number("agents", 1);
   const std::uint32_t places = aArguments.Number("places", 4);
@@ -71,22 +71,22 @@
   standin::EngineModelOptions engine;
   engine.maxRunning_ = aPlaces;
   agent.engine_ = std::make_unique<standin::EngineModel>(engine);
-  dispatch::Gate::Options options;
+  dispatch::EndpointScheduler::Options options;
   options.service_ = kService;
   options.policy_ = aPolicy;
-  options.limit_.most_ = aPlaces;
+  options.limit_.max_ = aPlaces;
   options.partitionCount_ = 16;
-  agent.gate_ = std::make_unique<dispatch::Gate>(
+  agent.gate_ = std::make_unique<dispatch::EndpointScheduler>(
     options, [&agent](std::uint64_t aFingerprint, dispatch::Moment aMoment) {
       switch (agent.quarantine_.Check(aFingerprint, aMoment.now_)) {
         case routing::Suspicion::Suspect:
-          return dispatch::ContentStanding::Suspect;
+          return dispatch::ContentStatus::Suspect;
         case routing::Suspicion::Quarantined:
-          return dispatch::ContentStanding::Quarantined;
+          return dispatch::ContentStatus::Quarantined;
         case routing::Suspicion::None:
           break;
       }
-      return dispatch::ContentStanding::Clear;
+      return dispatch::ContentStatus::Clear;
     });
 }
 
@@ -169,7 +169,9 @@
   }
   if (aArguments.Has("drain")) {
     Agent& agent = AgentOf(aArguments.Text("drain"));
-    Do(agent, agent.gate_->SetIntake(dispatch::Intake::Draining, now_));
+    Do(
+      agent,
+      agent.gate_->SetAdmissionState(dispatch::AdmissionState::Draining, now_));
   }
   if (aArguments.Has("crash_engine")) {
     Crash(AgentOf(aArguments.Text("crash_engine")));
@@ -198,7 +200,7 @@
       }
       RunReactions();
     }
-    nextTick_ += nextTick_ == next ? dispatch::Gate::kTickInterval
+    nextTick_ += nextTick_ == next ? dispatch::EndpointScheduler::kTickInterval
                                    : base::Duration::zero();
   }
 }
@@ -239,7 +241,7 @@
   for (const standin::Emission& emission : aAgent.engine_->EndStep()) {
     const dispatch::StreamId stream = aAgent.streams_.at(emission.id_);
     if (!emission.text_.empty()) {
-      Do(aAgent, aAgent.gate_->OnTokens(stream, { emission.text_, 1 }, now_));
+      Do(aAgent, aAgent.gate_->OnChunk(stream, { emission.text_, 1 }, now_));
     }
     if (!emission.finishReason_.empty()) {
       aAgent.streams_.erase(emission.id_);
@@ -381,7 +383,7 @@
 std::string
 AgentStage::ObserveAgent(Agent& aAgent, const std::string& aField) const
 {
-  const dispatch::GateLoad load = aAgent.gate_->Load(now_.now_);
+  const dispatch::SchedulerLoad load = aAgent.gate_->Load(now_.now_);
   if (aField == "online_running") {
     return std::to_string(load.onlineRunning_);
   }
--- a/Tests/Scenarios/AgentStage.h
+++ b/Tests/Scenarios/AgentStage.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibDispatch/Gate.h"
+#include "LibDispatch/EndpointScheduler.h"
 #include "LibRouting/QuarantineTable.h"
 #include "LibRouting/RunAssembler.h"
 #include "LibStandin/EngineModel.h"
@@ -46,7 +46,7 @@
   struct Agent
   {
     std::string name_;
-    std::unique_ptr<dispatch::Gate> gate_;
+    std::unique_ptr<dispatch::EndpointScheduler> gate_;
     std::unique_ptr<standin::EngineModel> engine_;
     routing::QuarantineTable quarantine_;
     std::map<std::string, dispatch::StreamId> streams_; ///< At the engine.
@@ -71,7 +71,7 @@
   void Carry(Agent& aAgent, const dispatch::SendMessage& aSend);
   void Carry(Agent& aAgent, const dispatch::RecordCrash& aCrash);
   void Carry(Agent& aAgent, const dispatch::ProbeEngine& aProbe);
-  static void Carry(Agent& /*aAgent*/, const dispatch::SpreadHeartbeat&) {}
+  static void Carry(Agent& /*aAgent*/, const dispatch::BroadcastHeartbeat&) {}
   static void Carry(Agent& /*aAgent*/, const dispatch::LogDecision&) {}
   void EndStream(Agent& aAgent,
                  dispatch::StreamId aStream,
