--- a/Libraries/LibFleet/AdmissionControl.cpp
+++ b/Libraries/LibFleet/AdmissionControl.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-/// Share of the objective that a request may wait for a place. The rest is for
-/// the way, the reading of the prompt, and counts that are some ms old.
-constexpr double kWaitShare = 0.6;
+/// Share of the objective that a request may spend in a queue. The rest is for
+/// the network, prompt processing, and outdated counts.
+constexpr double kMaxWaitShare = 0.6;
 
-/// Runs after which their mean time is trusted, and the weight of a new one.
+/// Samples needed before the mean is used.
 constexpr std::uint32_t kMinSamples = 8;
-constexpr double kNewSampleWeight = 0.05;
+constexpr double kMinSampleWeight = 0.05;
 
-/// A caller that has less than this share of the longest time seen on its route
-/// has been refused before, or is in a hurry: it is queued.
-constexpr double kFreshCallerShare = 0.9;
+/// A caller whose timeout is below this share of the longest one seen on its
+/// route is probably retrying after a refusal, or is in a hurry: it is queued.
+constexpr double kFirstRequestShare = 0.9;
 
-/// Callers heed a time to come back of up to a third of what they have left.
+/// Share of its remaining timeout that a caller accepts as a retry delay.
 constexpr double kRetryAfterShare = 0.33;
 constexpr base::Duration kMaxRetryAfter{ std::chrono::milliseconds{ 1600 } };
 
-/// For a caller that doesn't say how long it waits.
+/// Used if the caller states no timeout.
 constexpr base::Duration kDefaultClientTimeout{ std::chrono::milliseconds{
   3000 } };
 
-/// Returns are spread over the last part of the time, so that the callers of
-/// one burst don't come back as another.
-constexpr double kMinRetryAfterPart = 0.6;
+/// Retries are spread between this fraction of the delay and the whole, so that
+/// the callers of one burst don't return as another.
+constexpr double kMinRetryAfterFraction = 0.6;
 
 base::Duration
 Scale(base::Duration aDuration, double aFactor)
@@ -39,38 +39,40 @@
 } // namespace
 
 void
-AdmissionControl::RecordRun(std::string_view aService, base::Duration aDuration)
+AdmissionControl::RecordSlotTime(std::string_view aService,
+                                 base::Duration aDuration)
 {
-  RunTime& time = runTimes_[std::string(aService)];
+  SlotTime& time = slotTimes_[std::string(aService)];
   ++time.samples_;
-  const double weight = std::max(1.0 / time.samples_, kNewSampleWeight);
+  const double weight = std::max(1.0 / time.samples_, kMinSampleWeight);
   time.mean_ += Scale(aDuration - time.mean_, weight);
 }
 
 base::Duration
 AdmissionControl::ExpectedWait(const AdmissionRequest& aRequest) const
 {
-  const auto time = runTimes_.find(std::string(aRequest.service_));
-  if (time == runTimes_.end() || time->second.samples_ < kMinSamples ||
+  const auto time = slotTimes_.find(std::string(aRequest.service_));
+  if (time == slotTimes_.end() || time->second.samples_ < kMinSamples ||
       aRequest.running_ < aRequest.slots_) {
     return base::Duration::zero();
   }
-  // A place is free whenever one of the runs ends: on average, after the mean
-  // time divided by the places.
-  const std::uint32_t turns = aRequest.running_ - aRequest.slots_ + 1;
+  // A slot is freed whenever an attempt ends: on average, after the mean time
+  // divided by the number of slots.
+  const std::uint32_t slotsToFree = aRequest.running_ - aRequest.slots_ + 1;
   return Scale(time->second.mean_,
-               static_cast<double>(turns) / std::max(1U, aRequest.slots_));
+               static_cast<double>(slotsToFree) /
+                 std::max(1U, aRequest.slots_));
 }
 
 bool
-AdmissionControl::HasBeenHereBefore(const AdmissionRequest& aRequest)
+AdmissionControl::IsLikelyRetry(const AdmissionRequest& aRequest)
 {
   if (!aRequest.clientTimeout_) {
     return false;
   }
-  base::Duration& longest = maxClientTimeout_[std::string(aRequest.route_)];
-  longest = std::max(longest, *aRequest.clientTimeout_);
-  return *aRequest.clientTimeout_ < Scale(longest, kFreshCallerShare);
+  base::Duration& maximum = maxClientTimeout_[std::string(aRequest.route_)];
+  maximum = std::max(maximum, *aRequest.clientTimeout_);
+  return *aRequest.clientTimeout_ < Scale(maximum, kFirstRequestShare);
 }
 
 Admission
@@ -78,10 +80,10 @@
 {
   Admission admission;
   admission.expectedWait_ = ExpectedWait(aRequest);
-  const bool hasBeenHere = HasBeenHereBefore(aRequest);
+  const bool isLikelyRetry = IsLikelyRetry(aRequest);
   const bool hasObjective = aRequest.objective_ > base::Duration::zero();
-  if (hasObjective && !hasBeenHere &&
-      admission.expectedWait_ > Scale(aRequest.objective_, kWaitShare)) {
+  if (hasObjective && !isLikelyRetry &&
+      admission.expectedWait_ > Scale(aRequest.objective_, kMaxWaitShare)) {
     admission.retryAfter_ = RetryAfter(aRequest.clientTimeout_, aRandom);
   }
   return admission;
@@ -91,11 +93,11 @@
 AdmissionControl::RetryAfter(std::optional<base::Duration> aClientTimeout,
                              double aRandom)
 {
-  const base::Duration longest = std::min(
+  const base::Duration maximum = std::min(
     Scale(aClientTimeout.value_or(kDefaultClientTimeout), kRetryAfterShare),
     kMaxRetryAfter);
-  return Scale(longest,
-               kMinRetryAfterPart + (1.0 - kMinRetryAfterPart) * aRandom);
+  return Scale(
+    maximum, kMinRetryAfterFraction + (1.0 - kMinRetryAfterFraction) * aRandom);
 }
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/AdmissionControl.h
+++ b/Libraries/LibFleet/AdmissionControl.h
@@ -10,54 +10,59 @@
 
 namespace pumiceturn::fleet {
 
-/// An online request and the endpoint that was chosen for it.
+/// An online request and the endpoint chosen for it.
 struct AdmissionRequest
 {
   std::string_view service_;
   std::string_view route_;
-  std::uint32_t running_ = 0; ///< Runs at the endpoint, waiting ones included.
+  /// Attempts in flight at the endpoint, including queued ones.
+  std::uint32_t running_ = 0;
   std::uint32_t slots_ = 1;
-  /// Time to the first event that the route aims at; zero: none is declared.
+  /// Target time to the first event; zero if the route declares none.
   base::Duration objective_{ 0 };
-  /// What the caller says it will wait; nothing: it doesn't say.
+  /// Timeout that the caller states; empty if it states none.
   std::optional<base::Duration> clientTimeout_;
 };
 
 struct Admission
 {
-  base::Duration expectedWait_{ 0 }; ///< For a place at the endpoint.
-  /// Set: refuse the request, and tell its caller to come back then.
+  base::Duration expectedWait_{ 0 }; ///< Expected time in the endpoint's queue.
+  /// If set, the request is refused and the caller should retry after this
+  /// time.
   std::optional<base::Duration> retryAfter_;
 };
 
 /// Refuses online requests that would wait too long in an engine's queue.
-/// Engines serve in order of arrival, so that in an overload without refusals
-/// every request is late, also those that come when it is nearly over. With
-/// them, the queues stay as short as the objective allows, and who was refused
-/// comes back a second later and is queued then. Takes random numbers as
-/// arguments, does no I/O, is not thread-safe.
+///
+/// Engines serve in order of arrival, so in an overload without refusals every
+/// request is late, including those that arrive when the overload is nearly
+/// over. Refusals keep queues within the route's objective; a refused caller
+/// retries after about a second and is then queued.
+///
+/// Random numbers are passed as arguments. Performs no I/O. Not thread-safe.
 class AdmissionControl
 {
 public:
-  /// Records how long a run kept its place.
-  void RecordRun(std::string_view aService, base::Duration aDuration);
+  /// Records how long an attempt occupied a slot of the service.
+  void RecordSlotTime(std::string_view aService, base::Duration aDuration);
 
-  /// Judges a request before it is sent for the first time.
-  /// @param aRandom Uniform in [0, 1): spreads the returns of callers.
+  /// Decides whether a request is admitted, before its first attempt.
+  /// @param aRandom Uniform in [0, 1); spreads the retries of callers.
   [[nodiscard]] Admission Check(const AdmissionRequest& aRequest,
                                 double aRandom);
 
-  /// @return when a caller that gets no place should come back.
+  /// @return how long a refused caller should wait before it retries.
   [[nodiscard]] static base::Duration RetryAfter(
     std::optional<base::Duration> aClientTimeout,
     double aRandom);
 
-  /// Forgets what was learned of routes: another configuration is in force.
-  void ForgetRoutes() { maxClientTimeout_.clear(); }
+  /// Drops the longest client timeout seen for each route. Called when another
+  /// configuration takes effect.
+  void ClearRoutes() { maxClientTimeout_.clear(); }
 
 private:
-  /// How long a run keeps its place, as an average that forgets.
-  struct RunTime
+  /// Exponential moving average of the time an attempt occupies a slot.
+  struct SlotTime
   {
     std::uint32_t samples_ = 0;
     base::Duration mean_{ 0 };
@@ -65,11 +70,11 @@
 
   [[nodiscard]] base::Duration ExpectedWait(
     const AdmissionRequest& aRequest) const;
-  [[nodiscard]] bool HasBeenHereBefore(const AdmissionRequest& aRequest);
+  [[nodiscard]] bool IsLikelyRetry(const AdmissionRequest& aRequest);
 
-  std::unordered_map<std::string, RunTime> runTimes_; ///< By service.
+  std::unordered_map<std::string, SlotTime> slotTimes_; ///< By service.
   std::unordered_map<std::string, base::Duration>
-    maxClientTimeout_; ///< Routes.
+    maxClientTimeout_; ///< By route.
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/CallerAuthentication.h
+++ b/Libraries/LibFleet/CallerAuthentication.h
@@ -10,50 +10,53 @@
 
 namespace pumiceturn::fleet {
 
-/// A request came without a key.
+/// The request carries no key.
 struct NoCredential
 {};
 
-/// What came as a key can't be one, or came more than once.
+/// The key is malformed or was sent more than once.
 struct MalformedCredential
 {};
 
-/// What a request shows of its caller.
+/// The credential that a request carries.
 using Credential =
   std::variant<NoCredential, MalformedCredential, base::TokenDigest>;
 
-/// How far this host's copy of the declarations may be relied on.
+/// Age of this host's copy of the declarations, and the ages up to which it may
+/// be used to admit or reject a key.
 struct DeclarationsAge
 {
-  /// Time since the copy is known to have been complete; nothing: never.
+  /// Time since the copy was last known to be complete; empty if it never was.
   std::optional<base::Duration> age_;
-  /// Beyond this age a key may have been taken away so long ago that nothing
-  /// may run for it any more; nothing: keys have no such bound.
-  std::optional<base::Duration> revocationBound_;
-  /// Beyond this age a key that isn't known here may have been declared.
-  base::Duration additionBound_{ 0 };
-
-  /// @return whether requests with a known key may run.
+  /// From this age on, a key found in the copy may have been revoked too long
+  /// ago, so it isn't admitted. Empty: keys are admitted at any age.
+  std::optional<base::Duration> maxAgeToAdmit_;
+  /// From this age on, a key missing in the copy may have been added since, so
+  /// it isn't rejected.
+  base::Duration maxAgeToReject_{ 0 };
+
+  /// @return whether a key found in the copy may be admitted.
   [[nodiscard]] bool MayAdmit() const
   {
-    return !revocationBound_ || (age_ && *age_ < *revocationBound_);
+    return !maxAgeToAdmit_ || (age_ && *age_ < *maxAgeToAdmit_);
   }
 
-  /// @return whether a key that isn't known here isn't declared.
+  /// @return whether a key missing in the copy may be rejected.
   [[nodiscard]] bool MayReject() const
   {
-    return age_ && *age_ < additionBound_;
+    return age_ && *age_ < maxAgeToReject_;
   }
 };
 
-/// The caller needs no key, and is no organisation.
+/// The route needs no key; the caller isn't tied to an organisation.
 struct AnonymousCaller
 {};
 
-/// A caller with a key of an organisation.
+/// The caller has a key of an organisation.
 struct AuthenticatedCaller
 {
-  const Organisation* organisation_ = nullptr; ///< As in the table.
+  /// Points into the OrganisationTable.
+  const Organisation* organisation_ = nullptr;
 };
 
 /// The caller has no valid key.
@@ -62,7 +65,7 @@
   std::string_view reason_; ///< For the log.
 };
 
-/// This host can't tell: its copy of the declarations may be old.
+/// This host can't decide, since its copy of the declarations may be outdated.
 struct UnconfirmedCaller
 {};
 
@@ -71,8 +74,8 @@
                             UnauthorisedCaller,
                             UnconfirmedCaller>;
 
-/// Decides who calls.
-/// @param aNeedsKey Whether the route is one for organisations alone.
+/// Authenticates the caller of a request.
+/// @param aNeedsKey Whether the route admits only organisations.
 [[nodiscard]] Caller
 AuthenticateCaller(const OrganisationTable& aOrganisations,
                    const Credential& aCredential,
--- a/Libraries/LibFleet/CountPublisher.cpp
+++ b/Libraries/LibFleet/CountPublisher.cpp
@@ -7,19 +7,15 @@
 
 namespace {
 
-/// Time between two messages with all counts: a lost datagram is made good
-/// after this time.
-constexpr base::Duration kWholeInterval{ std::chrono::milliseconds{ 100 } };
-
-/// The shortest time between two messages. Within it, hosts may choose the same
-/// place: at 100 ms, 1 in 8 requests that were sent to the last free place of
-/// an engine waited for over 280 ms there, at 25 ms 1 in 26 (18 engines, 5
-/// hosts, 150 requests a second).
+/// Time between two updates with all counts, which make up for lost datagrams.
+constexpr base::Duration kFullUpdateInterval{ std::chrono::milliseconds{
+  100 } };
+
+/// Within this interval, hosts may choose the same free slot.
 constexpr base::Duration kMinInterval{ std::chrono::milliseconds{ 10 } };
 
-/// Each peer's share of the interval: bounds what a host hears.
-constexpr base::Duration kIntervalOfEachPeer{ std::chrono::microseconds{
-  2500 } };
+/// Bounds the rate of datagrams that a host receives.
+constexpr base::Duration kIntervalPerPeer{ std::chrono::microseconds{ 2500 } };
 
 } // namespace
 
@@ -27,7 +23,7 @@
 CountPublisher::Interval(std::size_t aPeers)
 {
   return std::clamp<base::Duration>(
-    kIntervalOfEachPeer * aPeers, kMinInterval, kWholeInterval);
+    kIntervalPerPeer * aPeers, kMinInterval, kFullUpdateInterval);
 }
 
 std::optional<CountUpdate>
@@ -38,21 +34,23 @@
     current.emplace(count.endpoint_, count);
   }
   CountUpdate update;
-  update.isWhole_ = !wholeAt_ || aNow - *wholeAt_ >= kWholeInterval;
+  update.isFull_ =
+    !lastFullUpdateAt_ || aNow - *lastFullUpdateAt_ >= kFullUpdateInterval;
   for (const auto& [endpoint, count] : current) {
-    const auto told = told_.find(endpoint);
-    if (update.isWhole_ || told == told_.end() || told->second != count) {
+    const auto published = published_.find(endpoint);
+    if (update.isFull_ || published == published_.end() ||
+        published->second != count) {
       update.counts_.push_back(count);
     }
   }
-  for (const auto& [endpoint, count] : told_) {
-    if (!update.isWhole_ && !current.contains(endpoint)) {
+  for (const auto& [endpoint, count] : published_) {
+    if (!update.isFull_ && !current.contains(endpoint)) {
       update.counts_.push_back({ endpoint, {}, false, count.startedAtMs_ });
     }
   }
-  told_ = std::move(current);
-  if (update.isWhole_) {
-    wholeAt_ = aNow;
+  published_ = std::move(current);
+  if (update.isFull_) {
+    lastFullUpdateAt_ = aNow;
   } else if (update.counts_.empty()) {
     return std::nullopt;
   }
--- a/Libraries/LibFleet/CountPublisher.h
+++ b/Libraries/LibFleet/CountPublisher.h
@@ -12,34 +12,40 @@
 
 namespace pumiceturn::fleet {
 
-/// What is to be told to the peers.
+/// Counts to send to the peers.
 struct CountUpdate
 {
-  /// All counts, what isn't named being zero; otherwise changed ones alone.
-  bool isWhole_ = false;
+  /// If true, these are all counts and any endpoint that isn't listed has none;
+  /// otherwise only counts that changed.
+  bool isFull_ = false;
   std::vector<PeerCount> counts_;
 };
 
-/// Decides when a host tells its peers its runs at the endpoints. Changes are
-/// told at once, as two hosts that don't know of each other's last request
-/// choose the same free place; all counts now and then, as datagrams get lost.
-/// Takes the time as an argument, does no I/O, is not thread-safe.
+/// Decides when a host sends its in-flight counts to its peers.
+///
+/// Changes are sent immediately, since two hosts that don't know of each
+/// other's latest request choose the same free slot. All counts are sent
+/// periodically, since datagrams get lost.
+///
+/// The time is passed as an argument. Performs no I/O. Not thread-safe.
 class CountPublisher
 {
 public:
-  /// @return how long a host waits between two looks, so that each host hears
-  ///         at most 400 datagrams a second from peers up to 40 hosts.
+  /// @return the interval between calls of Next(). It grows with the number of
+  ///         peers, so that a host receives at most 400 datagrams a second in a
+  ///         fleet of up to 40 hosts.
   [[nodiscard]] static base::Duration Interval(std::size_t aPeers);
 
-  /// @param aCounts Own runs and failures at each endpoint that has any.
-  /// @return nothing where nothing is to be told now.
+  /// @param aCounts This host's attempts and failures at each endpoint that has
+  ///        any.
+  /// @return the update to send; empty if none is due.
   [[nodiscard]] std::optional<CountUpdate> Next(
     std::span<const PeerCount> aCounts,
     base::Instant aNow);
 
 private:
-  std::map<std::string, PeerCount> told_; ///< By endpoint.
-  std::optional<base::Instant> wholeAt_;
+  std::map<std::string, PeerCount> published_; ///< By endpoint.
+  std::optional<base::Instant> lastFullUpdateAt_;
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/Declarations.h
+++ b/Libraries/LibFleet/Declarations.h
@@ -10,16 +10,16 @@
 
 namespace pumiceturn::fleet {
 
-/// What the system may do with a request after an attempt that may have run.
+/// How a request may be retried after an attempt that may have been executed.
 enum class RequestKind : std::uint8_t
 {
-  Idempotent,    ///< May run more than once.
-  NonIdempotent, ///< May run at most once for each attempt of the caller.
-  Stream,        ///< A series of events; may run again only if resumable.
-  BatchJob,      ///< Many items, accepted at once and run later.
+  Idempotent,    ///< May be executed more than once.
+  NonIdempotent, ///< Executed at most once for each request of the caller.
+  Stream,        ///< A series of events; may be retried only if resumable.
+  BatchJob,      ///< Many items, accepted together and run later.
 };
 
-/// One service that a route leads to, with its share of the requests.
+/// A service that a route sends requests to, and its share of them.
 struct RouteTarget
 {
   std::string service_;
@@ -31,34 +31,37 @@
 {
   std::string name_;
   std::string hostName_;
-  std::string pathPrefix_; ///< Begins and ends with a slash.
+  std::string pathPrefix_; ///< Starts and ends with a slash.
   RequestKind kind_ = RequestKind::NonIdempotent;
-  bool isResumable_ = false; ///< A stream may go on at another endpoint.
+  bool isResumable_ = false; ///< A stream may resume at another endpoint.
   std::vector<RouteTarget> targets_;
-  std::uint32_t maxAttempts_ = 1; ///< Endpoints for one attempt of the caller.
+  /// Endpoints tried for one request of the caller.
+  std::uint32_t maxAttempts_ = 1;
   base::Duration timeout_{ std::chrono::seconds{ 15 } };
-  /// Within which the answer, or a stream's first event, is on time; zero:
-  /// nothing is declared.
+  /// Target time to the response, or to a stream's first event; zero if none is
+  /// declared.
   base::Duration objective_{ 0 };
-  base::Duration dueAfter_{ 0 };    ///< Of a job, from its first submission.
-  base::Duration giveUpAfter_{ 0 }; ///< When a job's item may be abandoned.
-  /// Tokens that accepted items of an organisation's jobs may have waiting at a
-  /// time; zero: no bound.
+  /// Time from a job's first submission until it is due.
+  base::Duration dueAfter_{ 0 };
+  /// Time after which a job's item may be abandoned.
+  base::Duration giveUpAfter_{ 0 };
+  /// Maximum number of tokens that an organisation's accepted batch items may
+  /// have waiting at a time; zero: unlimited.
   std::uint64_t waitingTokenCap_ = 0;
-  bool allowsAnonymous_ = false; ///< Callers need no key.
+  bool allowsAnonymous_ = false; ///< Callers don't need a key.
 };
 
-/// How many requests may run, for all hosts together.
+/// Rate limit of an organisation, for all hosts together.
 struct RateLimit
 {
-  double ratePerSecond_ = 0.0; ///< Zero: no limit.
-  double burst_ = 0.0;         ///< Requests beyond the rate at one moment.
+  double ratePerSecond_ = 0.0; ///< Zero: unlimited.
+  double burst_ = 0.0; ///< Requests allowed beyond the rate at any moment.
 
   [[nodiscard]] bool IsSet() const { return ratePerSecond_ > 0.0; }
   bool operator==(const RateLimit&) const = default;
 };
 
-/// A customer whose callers show one of its keys.
+/// A customer, identified by its keys.
 struct Organisation
 {
   std::string name_;
@@ -66,7 +69,7 @@
   RateLimit limit_;
 };
 
-/// What callers may send.
+/// Limits on what callers send.
 struct CallerLimits
 {
   std::uint32_t maxHeaderBytes_ = 16384;
@@ -75,18 +78,18 @@
   base::Duration idleTimeout_{ std::chrono::seconds{ 15 } };
 };
 
-/// One version of the whole configuration.
+/// One version of the complete configuration.
 struct Declarations
 {
   std::uint64_t version_ = 0;
   std::vector<Route> routes_;
   CallerLimits limits_;
-  /// Nothing: callers need no keys.
+  /// If empty, callers don't need keys.
   std::optional<std::vector<Organisation>> organisations_;
 };
 
-/// One start of an endpoint. An endpoint may start again under its id, at the
-/// same or another address, and then knows nothing of before.
+/// Identifies one process of an endpoint. An endpoint may restart under the
+/// same id, at the same or another address, without any of its former state.
 struct EndpointIncarnation
 {
   std::string id_;
@@ -95,12 +98,12 @@
   bool operator==(const EndpointIncarnation&) const = default;
 };
 
-/// An endpoint as it registered itself.
+/// An endpoint as registered by itself.
 struct EndpointRecord
 {
   std::string id_;
   std::string service_;
-  std::string address_; ///< IP:PORT; may pass to another service later.
+  std::string address_; ///< IP:PORT; may be reused by another service later.
   std::string failureDomain_;
   std::uint32_t slots_ = 1;
   bool isDraining_ = false;
--- a/Libraries/LibFleet/EndpointTable.cpp
+++ b/Libraries/LibFleet/EndpointTable.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-/// How strongly endpoints with more free places are preferred. Counts are 10 to
-/// 100 ms old, and all hosts see the same ones: if each took the emptiest
+/// How strongly endpoints with more free slots are preferred. All hosts see the
+/// same counts, which are 10 to 100 ms old: if each chose the emptiest
 /// endpoint, all requests of that time would meet there.
-constexpr double kRoomExponent = 2.0;
+constexpr double kFreeSlotsExponent = 2.0;
 
-/// Weight of an endpoint without a free place, against 1 with one; it falls
-/// with the requests that wait there.
+/// Weight of an endpoint without a free slot, relative to 1 with one. It
+/// decreases with the number of requests queued there.
 constexpr double kFullWeight = 1e-4;
 constexpr double kQueueExponent = 3.0;
 
-/// Share of its weight that an endpoint keeps which failed lately: it is taken
-/// only if all others fail too.
-constexpr double kAvoidedShare = 1e-9;
+/// Factor on the weight of an endpoint that failed recently: it is chosen only
+/// if all others fail too.
+constexpr double kAvoidedWeight = 1e-9;
 
 constexpr std::uint32_t kMaxDoublings = 3;
 
-/// How long a replaced id is remembered; late heartbeats come within seconds.
-constexpr std::chrono::minutes kReplacedMemory{ 10 };
+/// How long a replaced id is kept; late heartbeats arrive within seconds.
+constexpr std::chrono::minutes kReplacedRetention{ 10 };
 
 } // namespace
 
@@ -57,28 +57,28 @@
     outcome = RegistrationOutcome::Restarted;
   }
   if (outcome != RegistrationOutcome::Known) {
-    endpoint.knownSince_ = aNow;
+    endpoint.registeredAt_ = aNow;
   }
   endpoint.record_ = aRecord;
-  endpoint.isWithheld_ = false;
-  endpoint.vanishedUntil_.reset();
+  endpoint.isUnreadable_ = false;
+  endpoint.removalDueAt_.reset();
   return outcome;
 }
 
 bool
-EndpointTable::IsKnownAs(const EndpointRecord& aRecord) const
+EndpointTable::IsUnchanged(const EndpointRecord& aRecord) const
 {
   const auto found = endpoints_.find(aRecord.id_);
   return found != endpoints_.end() && found->second.record_ == aRecord &&
-         !found->second.isWithheld_ && !found->second.vanishedUntil_;
+         !found->second.isUnreadable_ && !found->second.removalDueAt_;
 }
 
 void
-EndpointTable::Withhold(std::string_view aId)
+EndpointTable::MarkUnreadable(std::string_view aId)
 {
   const auto found = endpoints_.find(std::string(aId));
   if (found != endpoints_.end()) {
-    found->second.isWithheld_ = true;
+    found->second.isUnreadable_ = true;
   }
 }
 
@@ -86,10 +86,10 @@
 EndpointTable::Find(const EndpointIncarnation& aEndpoint)
 {
   const auto found = endpoints_.find(aEndpoint.id_);
-  const bool isMeant =
+  const bool isCurrent =
     found != endpoints_.end() &&
     found->second.record_.startedAtMs_ == aEndpoint.startedAtMs_;
-  return isMeant ? &found->second : nullptr;
+  return isCurrent ? &found->second : nullptr;
 }
 
 void
@@ -102,8 +102,8 @@
     return;
   }
   if (aStoreRecoveredAt && !found->second.record_.isDraining_ &&
-      aNow - *aStoreRecoveredAt < limits_.vanishedGrace_) {
-    found->second.vanishedUntil_ = *aStoreRecoveredAt + limits_.vanishedGrace_;
+      aNow - *aStoreRecoveredAt < limits_.removalGrace_) {
+    found->second.removalDueAt_ = *aStoreRecoveredAt + limits_.removalGrace_;
     return;
   }
   endpoints_.erase(found);
@@ -113,11 +113,11 @@
 EndpointTable::Expire(base::Instant aNow)
 {
   std::erase_if(replaced_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.at_ > kReplacedMemory;
+    return aNow - aEntry.second.recordedAt_ > kReplacedRetention;
   });
   std::vector<std::string> dropped;
   for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
-    const auto& until = entry->second.vanishedUntil_;
+    const auto& until = entry->second.removalDueAt_;
     if (until && *until <= aNow) {
       dropped.push_back(entry->first);
       entry = endpoints_.erase(entry);
@@ -133,7 +133,7 @@
 {
   InFlightCounts counts = aEndpoint.own_;
   for (const auto& [peer, entry] : aEndpoint.peers_) {
-    if (aNow - entry.at_ <= limits_.peerCountLifetime_) {
+    if (aNow - entry.recordedAt_ <= limits_.peerCountLifetime_) {
       counts.online_ += entry.counts_.online_;
       counts.batch_ += entry.counts_.batch_;
     }
@@ -151,7 +151,7 @@
                                     aEndpoint.peers_.end(),
                                     [this, aNow](const auto& aPeer) {
                                       return aPeer.second.hasFailed_ &&
-                                             aNow - aPeer.second.at_ <=
+                                             aNow - aPeer.second.recordedAt_ <=
                                                limits_.peerCountLifetime_;
                                     });
   return failed >= limits_.failedPeersToAvoid_;
@@ -166,15 +166,15 @@
   const std::uint32_t total = aCounts.Total();
   double weight = 0.0;
   if (total < slots) {
-    weight = std::pow(slots - total, kRoomExponent);
+    weight = std::pow(slots - total, kFreeSlotsExponent);
   } else {
     weight = kFullWeight / std::pow(1.0 + total - slots, kQueueExponent);
   }
   if (aEndpoint.record_.failureDomain_ != failureDomain_) {
-    weight *= limits_.otherDomainShare_;
+    weight *= limits_.otherDomainWeight_;
   }
   if (IsAvoided(aEndpoint, aNow)) {
-    weight *= kAvoidedShare;
+    weight *= kAvoidedWeight;
   }
   return weight;
 }
@@ -193,26 +193,26 @@
 }
 
 bool
-EndpointTable::MayTake(const Endpoint& aEndpoint,
-                       const ChoiceRequest& aRequest,
-                       const InFlightCounts& aCounts,
-                       base::Instant aNow) const
+EndpointTable::IsEligible(const Endpoint& aEndpoint,
+                          const ChoiceRequest& aRequest,
+                          const InFlightCounts& aCounts,
+                          base::Instant aNow) const
 {
   const bool isExcluded =
     std::find(aRequest.excluded_.begin(),
               aRequest.excluded_.end(),
               aEndpoint.record_.id_) != aRequest.excluded_.end();
   if (aEndpoint.record_.service_ != aRequest.service_ ||
-      aEndpoint.record_.isDraining_ || aEndpoint.isWithheld_ || isExcluded) {
+      aEndpoint.record_.isDraining_ || aEndpoint.isUnreadable_ || isExcluded) {
     return false;
   }
   if (aRequest.work_ == WorkClass::Online) {
     return true;
   }
-  const bool hasRoom =
+  const bool hasFreeSlot =
     aCounts.Total() + 1 + limits_.batchHeadroom_ <= aEndpoint.record_.slots_;
-  return hasRoom && !aEndpoint.vanishedUntil_ &&
-         aEndpoint.noBatchUntil_ <= aNow && !IsAvoided(aEndpoint, aNow);
+  return hasFreeSlot && !aEndpoint.removalDueAt_ &&
+         aEndpoint.batchPausedUntil_ <= aNow && !IsAvoided(aEndpoint, aNow);
 }
 
 void
@@ -230,10 +230,10 @@
 EndpointTable::PeerWithMostBatch(const Endpoint& aEndpoint)
 {
   std::string peer;
-  std::uint32_t most = 0;
+  std::uint32_t maxBatch = 0;
   for (const auto& [name, entry] : aEndpoint.peers_) {
-    if (entry.counts_.batch_ > most) {
-      most = entry.counts_.batch_;
+    if (entry.counts_.batch_ > maxBatch) {
+      maxBatch = entry.counts_.batch_;
       peer = name;
     }
   }
@@ -247,21 +247,22 @@
 {
   std::exponential_distribution<double> draw(1.0);
   Best best;
-  Best bestToPreempt; // Of those with batch that can give way.
+  Best bestToPreempt; // Among those with batch to preempt.
   EndpointChoice choice;
   for (const auto& [id, endpoint] : endpoints_) {
     const InFlightCounts counts = CountsOf(endpoint, aNow);
-    if (!MayTake(endpoint, aRequest, counts, aNow)) {
+    if (!IsEligible(endpoint, aRequest, counts, aNow)) {
       continue;
     }
     ++choice.candidates_;
-    // The least of exponential variables, each divided by its weight, falls on
+    // The minimum of exponential variables, each divided by its weight, selects
     // each endpoint in proportion to its weight.
     Consider(
       best, endpoint, counts, draw(aRandom) / WeightOf(endpoint, counts, aNow));
-    const double room = PreemptionWeight(endpoint, counts);
-    if (room > 0.0 && !IsAvoided(endpoint, aNow)) {
-      Consider(bestToPreempt, endpoint, counts, draw(aRandom) / room);
+    const double preemptionWeight = PreemptionWeight(endpoint, counts);
+    if (preemptionWeight > 0.0 && !IsAvoided(endpoint, aNow)) {
+      Consider(
+        bestToPreempt, endpoint, counts, draw(aRandom) / preemptionWeight);
     }
   }
   if (best.endpoint_ == nullptr) {
@@ -285,7 +286,7 @@
 EndpointTable::RecordPreemption(const std::string& aId, base::Instant aNow)
 {
   if (const auto found = endpoints_.find(aId); found != endpoints_.end()) {
-    found->second.noBatchUntil_ = aNow + limits_.pauseAfterPreemption_;
+    found->second.batchPausedUntil_ = aNow + limits_.pauseAfterPreemption_;
   }
 }
 
@@ -324,7 +325,7 @@
   InFlightCounts& own = endpoint->own_;
   std::uint32_t& count = aWork == WorkClass::Online ? own.online_ : own.batch_;
   // An endpoint that was dropped and registered again begins at zero while
-  // older runs there still end.
+  // older attempts there still end.
   count -= count > 0 ? 1 : 0;
 }
 
@@ -337,8 +338,8 @@
     return;
   }
   const std::uint32_t doublings = std::min(endpoint->failures_, kMaxDoublings);
-  const base::Duration wait = limits_.firstAvoidance_ * (1U << doublings);
-  endpoint->avoidedUntil_ = aNow + std::min(wait, limits_.maxAvoidance_);
+  const base::Duration avoidance = limits_.firstAvoidance_ * (1U << doublings);
+  endpoint->avoidedUntil_ = aNow + std::min(avoidance, limits_.maxAvoidance_);
   ++endpoint->failures_;
 }
 
@@ -353,12 +354,12 @@
 
 void
 EndpointTable::RecordActivity(const EndpointIncarnation& aEndpoint,
-                              base::Instant aRunStartedAt,
+                              base::Instant aAttemptStartedAt,
                               base::Instant aNow)
 {
   if (Endpoint* endpoint = Find(aEndpoint)) {
-    endpoint->heardAt_ = aNow;
-    endpoint->heardRunStartedAt_ = aRunStartedAt;
+    endpoint->lastActivityAt_ = aNow;
+    endpoint->activeAttemptStartedAt_ = aAttemptStartedAt;
   }
 }
 
@@ -387,12 +388,12 @@
     return false;
   }
   const Endpoint& endpoint = found->second;
-  if (endpoint.knownSince_ > aMoment) {
+  if (endpoint.registeredAt_ > aMoment) {
     return false;
   }
-  const bool wasHeard =
-    endpoint.heardAt_ > aMoment && endpoint.heardRunStartedAt_ <= aMoment;
-  return wasHeard || aNow - aMoment > limits_.registrationLapse_;
+  const bool wasActive = endpoint.lastActivityAt_ > aMoment &&
+                         endpoint.activeAttemptStartedAt_ <= aMoment;
+  return wasActive || aNow - aMoment > limits_.registrationTimeout_;
 }
 
 void
@@ -400,7 +401,7 @@
                              std::span<const PeerCount> aCounts,
                              base::Instant aNow)
 {
-  std::unordered_set<std::string>& known = endpointsOfPeers_[aPeer];
+  std::unordered_set<std::string>& known = endpointsByPeer_[aPeer];
   for (const std::string& id : known) {
     if (const auto found = endpoints_.find(id); found != endpoints_.end()) {
       found->second.peers_.erase(aPeer);
@@ -418,7 +419,7 @@
   for (const PeerCount& count : aCounts) {
     if (Endpoint* endpoint = Find({ count.endpoint_, count.startedAtMs_ })) {
       endpoint->peers_[aPeer] = { count.counts_, count.hasFailed_, aNow };
-      endpointsOfPeers_[aPeer].insert(count.endpoint_);
+      endpointsByPeer_[aPeer].insert(count.endpoint_);
     }
   }
 }
@@ -452,10 +453,11 @@
     return 0;
   }
   const std::uint32_t excess = all.Total() - endpoint.record_.slots_;
-  const double part = static_cast<double>(excess) * endpoint.own_.batch_ /
-                      static_cast<double>(all.batch_);
-  const auto yielded = static_cast<std::uint32_t>(std::floor(part + aRandom));
-  return std::min(yielded, endpoint.own_.batch_);
+  const double share = static_cast<double>(excess) * endpoint.own_.batch_ /
+                       static_cast<double>(all.batch_);
+  const auto preempted =
+    static_cast<std::uint32_t>(std::floor(share + aRandom));
+  return std::min(preempted, endpoint.own_.batch_);
 }
 
 bool
@@ -463,7 +465,7 @@
 {
   const auto found = endpoints_.find(aId);
   return found != endpoints_.end() && !found->second.record_.isDraining_ &&
-         !found->second.isWithheld_;
+         !found->second.isUnreadable_;
 }
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/EndpointTable.h
+++ b/Libraries/LibFleet/EndpointTable.h
@@ -15,14 +15,14 @@
 
 namespace pumiceturn::fleet {
 
-/// Which work a run does: batch gives way to online.
+/// Class of the work an attempt does. Online work preempts batch.
 enum class WorkClass : std::uint8_t
 {
   Online,
   Batch,
 };
 
-/// Runs at one endpoint, by class.
+/// Attempts in flight at one endpoint, by class.
 struct InFlightCounts
 {
   std::uint32_t online_ = 0;
@@ -32,123 +32,130 @@
   bool operator==(const InFlightCounts&) const = default;
 };
 
-/// What one host says of one endpoint.
+/// Counts that one host reports for one endpoint.
 struct PeerCount
 {
   std::string endpoint_;
   InFlightCounts counts_;
-  bool hasFailed_ = false; ///< It is avoided there after failures.
-  std::int64_t startedAtMs_ =
-    0; ///< Of the start of the endpoint that is meant.
+  bool hasFailed_ = false; ///< The host avoids the endpoint after failures.
+  std::int64_t startedAtMs_ = 0; ///< Of the endpoint's process; Unix ms.
 
   bool operator==(const PeerCount&) const = default;
 };
 
-/// A chosen endpoint and what was weighed, for the log.
+/// A chosen endpoint, with the figures behind the choice for the log.
 struct EndpointChoice
 {
   EndpointRecord endpoint_;
-  std::uint32_t running_ = 0; ///< Runs believed there before this one.
+  /// Attempts known at the endpoint before this one.
+  std::uint32_t running_ = 0;
   std::uint32_t candidates_ = 0;
-  /// All places are taken, and a batch run there is to give way.
+  /// All slots are taken, and a batch attempt there must be preempted.
   bool preemptsBatch_ = false;
-  std::string preemptedPeer_; ///< Whose batch run it is; empty: an own one.
+  /// Peer whose batch attempt is preempted; empty: this host.
+  std::string preemptedPeer_;
 };
 
-/// What a registration tells of an endpoint.
+/// How a registration relates to what is known of the endpoint.
 enum class RegistrationOutcome : std::uint8_t
 {
-  New,       ///< It was not known.
-  Known,     ///< The same start of it.
-  Restarted, ///< It started anew under its id.
-  Outdated,  ///< Of an earlier start than the one that is known, or of one
-             ///< whose address another process has now: ignored.
+  New,       ///< The endpoint was not known.
+  Known,     ///< The same process as before.
+  Restarted, ///< A new process under the same id.
+  /// Of an earlier process than the known one, or of one whose address another
+  /// process uses now. Ignored.
+  Outdated,
 };
 
-/// What is asked of a choice.
+/// Requirements on an endpoint to choose.
 struct ChoiceRequest
 {
   std::string_view service_;
   WorkClass work_ = WorkClass::Online;
-  std::span<const std::string> excluded_; ///< Endpoints tried before.
+  std::span<const std::string> excluded_; ///< Ids of endpoints already tried.
 };
 
-/// The endpoints of all services, and the runs that this host and its peers
-/// have at each. Engines admit in order of arrival and know no priority, so
-/// batch is held back here: a batch run starts only where places are free
-/// beyond a headroom, and is cancelled (and resumed elsewhere) when online work
-/// takes its place.
+/// The endpoints of all services, and the attempts that this host and its peers
+/// have in flight at each.
 ///
-/// All that is believed of an endpoint belongs to one start of it. What is told
-/// of an earlier start changes nothing, in whatever order news arrive.
-/// Belongs to the event thread.
+/// Engines admit in order of arrival and have no priorities, so batch is held
+/// back here: a batch attempt starts only where slots are free beyond a
+/// headroom, and is cancelled (and resumed elsewhere) when online work needs
+/// its slot.
+///
+/// All state of an endpoint belongs to one process of it (EndpointIncarnation).
+/// Updates that refer to an earlier process are ignored, in whatever order they
+/// arrive. Used on the event thread only.
 class EndpointTable
 {
 public:
   struct Limits
   {
-    /// Places that batch leaves free at each endpoint: online requests that
-    /// arrive within one exchange between hosts find room at once.
+    /// Slots that batch leaves free at each endpoint for online requests that
+    /// arrive before the next exchange of counts.
     std::uint32_t batchHeadroom_ = 1;
 
-    /// How old a peer's counts may be. Ten exchanges: a peer that is silent
-    /// for longer is stopped or cut off.
+    /// Age after which a peer's counts are ignored. A peer that is silent for
+    /// ten exchanges is stopped or cut off.
     base::Duration peerCountLifetime_{ std::chrono::milliseconds{ 1000 } };
 
-    /// How long an endpoint is avoided after a connection to it failed or a
-    /// run broke, doubling to the longest while failures go on.
+    /// How long an endpoint is avoided after a failed connection or a broken
+    /// attempt. Doubles with each failure, up to maxAvoidance_.
     base::Duration firstAvoidance_{ std::chrono::milliseconds{ 400 } };
     base::Duration maxAvoidance_{ std::chrono::milliseconds{ 3200 } };
 
-    /// Time without batch starts at an endpoint after a batch run gave way
-    /// there. A run that is started and cancelled costs the engine the reading
-    /// of its whole context, and online bursts last seconds.
+    /// Time without new batch attempts at an endpoint after a preemption there.
+    /// Cancelling an attempt wastes the processing of its whole prompt, and
+    /// bursts of online requests last seconds.
     base::Duration pauseAfterPreemption_{ std::chrono::milliseconds{ 300 } };
 
-    /// Peers that must have failed at an endpoint for this host to avoid it
-    /// too. Two, since one alone may be cut off from an endpoint that serves
-    /// others.
+    /// Number of peers that must report failures of an endpoint for this host
+    /// to avoid it. A single peer may itself be cut off from a working
+    /// endpoint.
     std::uint32_t failedPeersToAvoid_ = 2;
 
-    /// How long an endpoint whose registration vanished while the store was
-    /// away stays in use after the store's return: the users say that living
-    /// ones are back within about 2 s.
-    base::Duration vanishedGrace_{ std::chrono::milliseconds{ 1900 } };
+    /// How long an endpoint stays in use after the store's recovery if its
+    /// registration vanished in the outage; running endpoints register again
+    /// within about 2 s.
+    base::Duration removalGrace_{ std::chrono::milliseconds{ 1900 } };
 
-    /// After this time the registration of a process that ended is gone, or is
-    /// that of its next start: three heartbeats of 1.2 s, and up to 1.2 s until
-    /// the mirror's next look.
-    base::Duration registrationLapse_{ std::chrono::milliseconds{ 4900 } };
+    /// Time after which the registration of an ended process has lapsed or was
+    /// replaced: three heartbeats of 1.2 s, and up to 1.2 s until the mirror
+    /// reads it.
+    base::Duration registrationTimeout_{ std::chrono::milliseconds{ 4900 } };
 
-    /// Share of its weight that an endpoint in another failure domain keeps.
-    /// Bytes between failure domains are charged.
-    double otherDomainShare_ = 0.7;
+    /// Factor on the weight of an endpoint in another failure domain, since
+    /// traffic between domains is charged.
+    double otherDomainWeight_ = 0.7;
   };
 
   EndpointTable(std::string aFailureDomain, Limits aLimits);
 
+  /// Adds an endpoint or updates it from its registration.
   RegistrationOutcome Put(const EndpointRecord& aRecord, base::Instant aNow);
 
-  /// @return whether a registration says nothing that isn't known here: an
-  ///         endpoint writes it anew at each of its heartbeats.
-  [[nodiscard]] bool IsKnownAs(const EndpointRecord& aRecord) const;
+  /// @return whether a registration equals the known one. Endpoints write
+  ///         theirs again with each heartbeat.
+  [[nodiscard]] bool IsUnchanged(const EndpointRecord& aRecord) const;
 
-  /// The registration of an endpoint can't be read: nothing new is sent there
-  /// until one that can be read follows. What runs there goes on.
-  void Withhold(std::string_view aId);
+  /// Marks an endpoint whose registration can't be read. No new attempts are
+  /// sent to it until Put() is called with a readable one; attempts in flight
+  /// continue.
+  void MarkUnreadable(std::string_view aId);
 
-  /// The registration of an endpoint vanished.
-  /// @param aStoreRecoveredAt When the store last came back after an outage.
+  /// Handles the removal of an endpoint's registration.
+  /// @param aStoreRecoveredAt When the store last recovered from an outage;
+  ///        empty if it had none.
   void Remove(std::string_view aId,
               std::optional<base::Instant> aStoreRecoveredAt,
               base::Instant aNow);
 
-  /// Drops endpoints whose grace has passed.
-  /// @return the ids that were dropped.
+  /// Drops endpoints whose removal is due.
+  /// @return the ids of the dropped endpoints.
   std::vector<std::string> Expire(base::Instant aNow);
 
-  /// Chooses an endpoint for a run.
-  /// @return nothing where none may take it now.
+  /// Chooses an endpoint for an attempt.
+  /// @return the choice; empty if no endpoint may take the attempt now.
   [[nodiscard]] std::optional<EndpointChoice> Choose(
     const ChoiceRequest& aRequest,
     base::Instant aNow,
@@ -157,58 +164,64 @@
   void CountStart(const EndpointIncarnation& aEndpoint, WorkClass aWork);
   void CountEnd(const EndpointIncarnation& aEndpoint, WorkClass aWork);
 
-  /// A connection failed or a run broke there.
+  /// Records a failed connection or a broken attempt.
   void RecordFailure(const EndpointIncarnation& aEndpoint, base::Instant aNow);
   void RecordSuccess(const EndpointIncarnation& aEndpoint);
 
-  /// Bytes of a run came from the endpoint.
-  /// @param aRunStartedAt When the run began.
+  /// Records that bytes of an attempt arrived from the endpoint.
+  /// @param aAttemptStartedAt When the attempt began.
   void RecordActivity(const EndpointIncarnation& aEndpoint,
-                      base::Instant aRunStartedAt,
+                      base::Instant aAttemptStartedAt,
                       base::Instant aNow);
 
-  /// Another process answered at the endpoint's address. Its registration may
-  /// be in the store for seconds yet, and a late heartbeat may bring it back,
-  /// with no runs and so attractive to every host: only a later start of it is
-  /// used again.
+  /// Records that another process answered at the endpoint's address.
+  ///
+  /// The registration may stay in the store for seconds, and a late heartbeat
+  /// may restore it, with no attempts and so attractive to every host. The id
+  /// is used again only with a later start.
   void RecordReplaced(const EndpointIncarnation& aEndpoint, base::Instant aNow);
 
-  /// @return whether the endpoint's process is known to have lived on after a
-  /// moment: a run that had begun before was heard since, or it is registered
-  /// without a new start when the registration of an ended process would have
-  /// lapsed. A run that began later may be one of the endpoint's next start.
+  /// @return whether the endpoint's process is known to have survived a moment:
+  ///         an attempt that had begun before was active since, or the same
+  ///         process is still registered when the registration of an ended one
+  ///         would have lapsed. An attempt that began later may belong to the
+  ///         endpoint's next process.
   [[nodiscard]] bool HasSurvived(const std::string& aId,
                                  base::Instant aMoment,
                                  base::Instant aNow) const;
 
-  /// Takes over what a peer says of its runs; what it doesn't name is zero.
+  /// Replaces the counts of a peer; endpoints that aren't listed have none.
   void SetPeerCounts(const std::string& aPeer,
                      std::span<const PeerCount> aCounts,
                      base::Instant aNow);
 
-  /// Takes over what a peer says has changed; what it doesn't name stays.
+  /// Updates the counts of a peer that are listed; the others stay.
   void UpdatePeerCounts(const std::string& aPeer,
                         std::span<const PeerCount> aCounts,
                         base::Instant aNow);
 
-  /// @return own runs and failures at each endpoint that has any, for peers.
+  /// @return this host's attempts and failures at each endpoint that has any,
+  ///         to send to the peers.
   [[nodiscard]] std::vector<PeerCount> OwnCounts(base::Instant aNow) const;
 
-  /// An own batch run gave way: none is started there for a while, since the
-  /// burst that took its place goes on.
+  /// Records that a batch attempt of this host was preempted. None is started
+  /// there for pauseAfterPreemption_, as the burst that took its slot is likely
+  /// to go on.
   void RecordPreemption(const std::string& aId, base::Instant aNow);
 
-  /// A peer was asked to let a batch run give way: counts it as gone until the
-  /// peer's next message, so that the next request asks elsewhere.
+  /// Records that a peer was asked to preempt a batch attempt. Counts it as
+  /// ended until the peer's next update, so that the next request chooses
+  /// another one.
   void AssumePreemption(const std::string& aId, const std::string& aPeer);
 
-  /// @return how many own batch runs at an endpoint are to give way now. Where
-  /// several hosts have batch there, each takes its part.
+  /// @param aRandom Uniform in [0, 1); rounds the share.
+  /// @return the number of this host's batch attempts to preempt at an endpoint
+  ///         now. If several hosts have batch there, each preempts its share.
   [[nodiscard]] std::uint32_t BatchToPreempt(const std::string& aId,
                                              base::Instant aNow,
                                              double aRandom) const;
 
-  /// @return whether an endpoint may take new work.
+  /// @return whether an endpoint may receive new work.
   [[nodiscard]] bool IsUsable(const std::string& aId) const;
 
   [[nodiscard]] bool IsEmpty() const { return endpoints_.empty(); }
@@ -219,12 +232,12 @@
   {
     InFlightCounts counts_;
     bool hasFailed_ = false;
-    base::Instant at_;
+    base::Instant recordedAt_;
   };
   struct Best
   {
     const Endpoint* endpoint_ = nullptr;
-    double score_ = 0.0; ///< The lowest is taken.
+    double score_ = 0.0; ///< The lowest score wins.
     InFlightCounts counts_;
   };
   struct Endpoint
@@ -234,37 +247,38 @@
     std::unordered_map<std::string, PeerEntry> peers_;
     std::uint32_t failures_ = 0;
     base::Instant avoidedUntil_;
-    std::optional<base::Instant> vanishedUntil_;
-    base::Instant knownSince_; ///< This start of it.
-    base::Instant heardAt_;
-    base::Instant heardRunStartedAt_; ///< Of the run that was heard last.
-    base::Instant noBatchUntil_;
-    bool isWithheld_ = false; ///< Its registration can't be read.
+    std::optional<base::Instant> removalDueAt_;
+    base::Instant registeredAt_; ///< When this process of it became known.
+    base::Instant lastActivityAt_;
+    /// Start of the attempt that was last active.
+    base::Instant activeAttemptStartedAt_;
+    base::Instant batchPausedUntil_;
+    bool isUnreadable_ = false; ///< The registration can't be read.
   };
   struct Replaced
   {
     std::int64_t startedAtMs_ = 0;
-    base::Instant at_;
+    base::Instant recordedAt_;
   };
 
-  /// @return nullptr where that start of the endpoint isn't known, or isn't the
-  ///         last one any more.
+  /// @return the endpoint, or nullptr if that process of it isn't known or
+  ///         isn't the latest.
   [[nodiscard]] Endpoint* Find(const EndpointIncarnation& aEndpoint);
 
   [[nodiscard]] InFlightCounts CountsOf(const Endpoint& aEndpoint,
                                         base::Instant aNow) const;
   [[nodiscard]] bool IsAvoided(const Endpoint& aEndpoint,
                                base::Instant aNow) const;
-  [[nodiscard]] bool MayTake(const Endpoint& aEndpoint,
-                             const ChoiceRequest& aRequest,
-                             const InFlightCounts& aCounts,
-                             base::Instant aNow) const;
+  [[nodiscard]] bool IsEligible(const Endpoint& aEndpoint,
+                                const ChoiceRequest& aRequest,
+                                const InFlightCounts& aCounts,
+                                base::Instant aNow) const;
   [[nodiscard]] double WeightOf(const Endpoint& aEndpoint,
                                 const InFlightCounts& aCounts,
                                 base::Instant aNow) const;
-  /// @return how well a batch run there can make room for online work: not at
-  ///         all where online work alone fills the places and waits, since the
-  ///         engine would serve that first.
+  /// @return the weight for preempting batch at an endpoint. Zero if online
+  ///         work alone fills the slots, since the engine would serve the
+  ///         waiting online requests first.
   [[nodiscard]] static double PreemptionWeight(const Endpoint& aEndpoint,
                                                const InFlightCounts& aCounts);
   static void Consider(Best& aBest,
@@ -277,10 +291,10 @@
   Limits limits_;
   std::unordered_map<std::string, Endpoint> endpoints_;
   std::unordered_map<std::string, Replaced> replaced_; ///< By id.
-  /// The endpoints at which a peer said to have runs, or to have failed: what
-  /// it says next replaces these, and no other endpoint need be looked at.
+  /// Ids of the endpoints for which a peer reported counts. SetPeerCounts()
+  /// clears only these.
   std::unordered_map<std::string, std::unordered_set<std::string>>
-    endpointsOfPeers_;
+    endpointsByPeer_;
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/EventSplitter.cpp
+++ b/Libraries/LibFleet/EventSplitter.cpp
@@ -51,22 +51,23 @@
 std::optional<StreamEvent>
 EventSplitter::Next()
 {
-  const std::size_t end = buffer_.find(kEventEnd, read_);
+  const std::size_t end = buffer_.find(kEventEnd, readOffset_);
   if (end == std::string::npos) {
-    buffer_.erase(0, read_);
-    read_ = 0;
+    buffer_.erase(0, readOffset_);
+    readOffset_ = 0;
     return std::nullopt;
   }
-  const std::size_t begin = read_;
-  read_ = end + kEventEnd.size();
-  return ParseEvent(std::string_view(buffer_).substr(begin, read_ - begin));
+  const std::size_t begin = readOffset_;
+  readOffset_ = end + kEventEnd.size();
+  return ParseEvent(
+    std::string_view(buffer_).substr(begin, readOffset_ - begin));
 }
 
 void
 EventSplitter::Clear()
 {
   buffer_.clear();
-  read_ = 0;
+  readOffset_ = 0;
 }
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/EventSplitter.h
+++ b/Libraries/LibFleet/EventSplitter.h
@@ -7,34 +7,39 @@
 
 namespace pumiceturn::fleet {
 
-/// One whole event of a stream of events.
+/// One complete event of an event stream.
 struct StreamEvent
 {
   std::uint64_t id_ = 0;
   std::string_view data_; ///< The first data field.
-  std::string_view raw_;  ///< All bytes, with the empty line at the end.
+  std::string_view raw_;  ///< All bytes, including the empty line at the end.
 };
 
-/// Cuts a stream into whole events. An endpoint may break off within an event;
-/// passing on whole events alone lets the stream go on at another endpoint with
-/// no byte missing or doubled.
+/// Splits a stream into complete events. An endpoint may break off within an
+/// event; forwarding only complete events lets the stream resume at another
+/// endpoint without missing or duplicated bytes.
 class EventSplitter
 {
 public:
   void Append(std::string_view aBytes) { buffer_.append(aBytes); }
 
-  /// @return the next whole event, valid until the next call.
+  /// @return the next complete event, valid until the next call; empty if more
+  ///         bytes are needed.
   [[nodiscard]] std::optional<StreamEvent> Next();
 
-  /// @return bytes of an event that isn't whole.
-  [[nodiscard]] std::size_t Remainder() const { return buffer_.size() - read_; }
+  /// @return the number of buffered bytes that don't form a complete event yet.
+  [[nodiscard]] std::size_t Remainder() const
+  {
+    return buffer_.size() - readOffset_;
+  }
 
-  /// Drops a part of an event, after a break.
+  /// Drops a partial event, after the stream broke.
   void Clear();
 
 private:
   std::string buffer_;
-  std::size_t read_ = 0; ///< Begin of what has not been returned.
+  /// Offset of the first byte that wasn't returned.
+  std::size_t readOffset_ = 0;
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/OrganisationTable.cpp
+++ b/Libraries/LibFleet/OrganisationTable.cpp
@@ -13,13 +13,13 @@
   byName_.clear();
   organisations_ =
     std::move(aOrganisations).value_or(std::vector<Organisation>{});
-  for (std::uint32_t place = 0; place < organisations_.size(); ++place) {
-    Organisation& organisation = organisations_[place];
-    byName_.emplace(organisation.name_, place);
+  for (std::uint32_t index = 0; index < organisations_.size(); ++index) {
+    Organisation& organisation = organisations_[index];
+    byName_.emplace(organisation.name_, index);
     for (const base::TokenDigest& key : organisation.keys_) {
-      byKey_.emplace(key, place);
+      byKey_.emplace(key, index);
     }
-    // The index has them; 32,000 organisations would keep them twice.
+    // Keys are held in byKey_ only, to save memory with many organisations.
     organisation.keys_ = {};
   }
 }
--- a/Libraries/LibFleet/OrganisationTable.h
+++ b/Libraries/LibFleet/OrganisationTable.h
@@ -11,19 +11,19 @@
 
 namespace pumiceturn::fleet {
 
-/// The organisations of the declarations in force, by access key and by name.
-/// Belongs to the event thread.
+/// The organisations of the current declarations, by access key and by name.
+/// Used on the event thread only.
 class OrganisationTable
 {
 public:
   /// Replaces all organisations.
-  /// @param aOrganisations Nothing: callers need no keys.
+  /// @param aOrganisations If empty, callers don't need keys.
   void Install(std::optional<std::vector<Organisation>> aOrganisations);
 
-  /// @return whether callers need a key at all.
+  /// @return whether organisations are declared, so that callers need a key.
   [[nodiscard]] bool AreDeclared() const { return areDeclared_; }
 
-  /// @return nullptr where no organisation has the key. Valid until the next
+  /// @return the organisation with this key, or nullptr. Valid until the next
   ///         Install().
   [[nodiscard]] const Organisation* FindByKey(
     const base::TokenDigest& aKey) const;
@@ -34,7 +34,7 @@
   bool areDeclared_ = false;
   std::vector<Organisation> organisations_;
   std::unordered_map<base::TokenDigest, std::uint32_t, base::TokenDigestHash>
-    byKey_; ///< To a place in organisations_.
+    byKey_; ///< Index into organisations_.
   std::unordered_map<std::string_view, std::uint32_t> byName_;
 };
 
--- a/Libraries/LibFleet/PeerReachability.cpp
+++ b/Libraries/LibFleet/PeerReachability.cpp
@@ -22,7 +22,7 @@
 {
   const auto peer = peers_.find(aPeer);
   return peer != peers_.end() &&
-         aNow - peer->second.heardAt_ <= kSilenceTimeout;
+         aNow - peer->second.lastMessageAt_ <= kSilenceTimeout;
 }
 
 std::size_t
@@ -38,7 +38,7 @@
 PeerReachability::RecordActivity(const std::string& aPeer, base::Instant aNow)
 {
   if (const auto peer = peers_.find(aPeer); peer != peers_.end()) {
-    peer->second.heardAt_ = aNow;
+    peer->second.lastMessageAt_ = aNow;
   }
 }
 
@@ -49,21 +49,21 @@
 {
   if (const auto peer = peers_.find(aPeer); peer != peers_.end()) {
     peer->second.relay_ = aRelay;
-    peer->second.passedOnAt_ = aNow;
+    peer->second.relayedAt_ = aNow;
   }
 }
 
 void
-PeerReachability::RecordRelayRequest(const std::string& aAsker,
+PeerReachability::RecordRelayRequest(const std::string& aRequester,
                                      const std::string& aPeer,
                                      base::Instant aNow)
 {
-  std::erase_if(askers_, [aNow](const auto& aEntry) {
+  std::erase_if(requesters_, [aNow](const auto& aEntry) {
     return aNow - aEntry.second > kSilenceTimeout;
   });
-  const std::pair key(aPeer, aAsker);
-  if (askers_.size() < kMaxRelayed || askers_.contains(key)) {
-    askers_[key] = aNow;
+  const std::pair key(aPeer, aRequester);
+  if (requesters_.size() < kMaxRelayed || requesters_.contains(key)) {
+    requesters_[key] = aNow;
   }
 }
 
@@ -71,15 +71,15 @@
 PeerReachability::RelayRequesters(const std::string& aPeer,
                                   base::Instant aNow) const
 {
-  std::vector<std::string> askers;
-  for (auto entry = askers_.lower_bound({ aPeer, {} });
-       entry != askers_.end() && entry->first.first == aPeer;
+  std::vector<std::string> requesters;
+  for (auto entry = requesters_.lower_bound({ aPeer, {} });
+       entry != requesters_.end() && entry->first.first == aPeer;
        ++entry) {
     if (aNow - entry->second <= kSilenceTimeout) {
-      askers.push_back(entry->first.second);
+      requesters.push_back(entry->first.second);
     }
   }
-  return askers;
+  return requesters;
 }
 
 std::optional<std::string>
@@ -87,7 +87,7 @@
 {
   const auto peer = peers_.find(aPeer);
   if (peer == peers_.end() || IsReachable(aPeer, aNow) ||
-      aNow - peer->second.passedOnAt_ > kSilenceTimeout ||
+      aNow - peer->second.relayedAt_ > kSilenceTimeout ||
       !IsReachable(peer->second.relay_, aNow)) {
     return std::nullopt;
   }
@@ -98,21 +98,21 @@
 PeerReachability::RelayRequests(base::Instant aNow,
                                 std::mt19937_64& aRandom) const
 {
-  std::vector<std::string> heard;
+  std::vector<std::string> reachable;
   std::vector<std::string> silent;
   for (const auto& [name, peer] : peers_) {
-    (IsReachable(name, aNow) ? heard : silent).push_back(name);
+    (IsReachable(name, aNow) ? reachable : silent).push_back(name);
   }
-  if (heard.empty()) {
+  if (reachable.empty()) {
     return {};
   }
-  // Who passed on a peer's last message is asked again; for the others, one
-  // peer is drawn each time, since only some may hear them.
-  std::uniform_int_distribution<std::size_t> draw(0, heard.size() - 1);
-  const std::string& drawn = heard[draw(aRandom)];
+  // The host that relayed a peer's last message is asked again; for the others,
+  // a random peer is asked each time, since not every peer reaches them.
+  std::uniform_int_distribution<std::size_t> draw(0, reachable.size() - 1);
+  const std::string& randomRelay = reachable[draw(aRandom)];
   std::map<std::string, std::vector<std::string>> byRelay;
   for (const std::string& name : silent) {
-    byRelay[RelayTo(name, aNow).value_or(drawn)].push_back(name);
+    byRelay[RelayTo(name, aNow).value_or(randomRelay)].push_back(name);
   }
   std::vector<RelayRequest> requests;
   requests.reserve(byRelay.size());
--- a/Libraries/LibFleet/PeerReachability.h
+++ b/Libraries/LibFleet/PeerReachability.h
@@ -11,81 +11,85 @@
 
 namespace pumiceturn::fleet {
 
-/// Peers that another peer is asked to pass on.
+/// Asks a peer to relay the messages of other peers.
 struct RelayRequest
 {
   std::string relay_;
   std::vector<std::string> peers_;
 };
 
-/// Knows which peers a host hears itself, and finds others that pass on what
-/// the rest say. Where a host is cut off from some peers alone, both sides
-/// would take each other's runs for none: batch is started in places that
-/// online work has, and a request to let it give way is lost. Takes time and
-/// random numbers as arguments, does no I/O, is not thread-safe.
+/// Tracks which peers this host receives messages from, and finds relays for
+/// the others.
+///
+/// If only some hosts are cut off from each other, both sides would count each
+/// other's attempts as zero: batch would start in slots that online work
+/// occupies, and preemption requests would be lost.
+///
+/// Time and random numbers are passed as arguments. Performs no I/O. Not
+/// thread-safe.
 class PeerReachability
 {
 public:
-  /// Silence after which a peer is asked for elsewhere: three of its messages
-  /// with all counts are missing.
+  /// Time without a message after which a relay is requested for a peer; three
+  /// of its messages with all counts are missing by then.
   static constexpr base::Duration kSilenceTimeout{ std::chrono::milliseconds{
     300 } };
 
-  /// Messages of peers that a host passes on, as pairs of a peer and a host
-  /// that asked: bounds what a split of a large fleet costs.
+  /// Maximum number of pairs of a peer and a requesting host that a host relays
+  /// for. Bounds the cost of a partition in a large fleet.
   static constexpr std::size_t kMaxRelayed = 64;
 
-  /// A peer is known. It counts as silent until its first message.
+  /// Adds a peer, which is unreachable until its first message.
   void Add(const std::string& aPeer);
   void Remove(const std::string& aPeer);
 
-  /// A message came from the peer itself.
+  /// Records a message received from the peer directly.
   void RecordActivity(const std::string& aPeer, base::Instant aNow);
 
-  /// A message of a peer came through another one.
+  /// Records a message of the peer that another host relayed.
   void RecordRelayed(const std::string& aPeer,
                      const std::string& aRelay,
                      base::Instant aNow);
 
-  /// Another host wants to hear what a peer says, for as long as
-  /// kSilenceTimeout.
-  void RecordRelayRequest(const std::string& aAsker,
+  /// Records that another host asked this one to relay a peer's messages. The
+  /// request lasts for kSilenceTimeout.
+  void RecordRelayRequest(const std::string& aRequester,
                           const std::string& aPeer,
                           base::Instant aNow);
 
-  /// @return the hosts that want to hear what a peer says.
+  /// @return the hosts to relay a peer's messages to.
   [[nodiscard]] std::vector<std::string> RelayRequesters(
     const std::string& aPeer,
     base::Instant aNow) const;
 
-  /// @return whether the peer's own messages arrive.
+  /// @return whether messages arrive from the peer directly.
   [[nodiscard]] bool IsReachable(const std::string& aPeer,
                                  base::Instant aNow) const;
 
-  /// @return how many peers are heard.
+  /// @return the number of peers that messages arrive from directly.
   [[nodiscard]] std::size_t ReachableCount(base::Instant aNow) const;
 
-  /// @return what is to be asked now, and whom.
+  /// @return the relay requests to send now.
   [[nodiscard]] std::vector<RelayRequest> RelayRequests(
     base::Instant aNow,
     std::mt19937_64& aRandom) const;
 
-  /// @return the peer that reaches a silent one; nothing where the silent one
-  ///         is heard itself, or by nobody.
+  /// @return the peer that relays to an unreachable peer; empty if that peer is
+  ///         reachable directly or through nobody.
   [[nodiscard]] std::optional<std::string> RelayTo(const std::string& aPeer,
                                                    base::Instant aNow) const;
 
 private:
   struct Peer
   {
-    base::Instant heardAt_;
-    std::string relay_; ///< That passed on its last message.
-    base::Instant passedOnAt_;
+    base::Instant lastMessageAt_;
+    std::string relay_; ///< Host that relayed its last message.
+    base::Instant relayedAt_;
   };
 
   std::map<std::string, Peer> peers_;
-  /// When it was last asked, by the peer and the host that asked.
-  std::map<std::pair<std::string, std::string>, base::Instant> askers_;
+  /// Time of the last relay request, by peer and requesting host.
+  std::map<std::pair<std::string, std::string>, base::Instant> requesters_;
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/RateAccounts.h
+++ b/Libraries/LibFleet/RateAccounts.h
@@ -13,24 +13,25 @@
 
 namespace pumiceturn::fleet {
 
-/// By how much operators let a limit be exceeded, so that hosts need not agree
-/// on each request.
+/// How far a limit may be exceeded, so that hosts needn't coordinate on each
+/// request.
 struct RateTolerance
 {
   base::Duration window_{ std::chrono::seconds{ 5 } };
-  double overage_ = 0.0; ///< Part of what a window allows.
-  double slack_ = 0.0;   ///< Requests in each window, besides.
+  double overage_ = 0.0; ///< As a share of what a window allows.
+  double slack_ = 0.0;   ///< Additional requests in each window.
 };
 
-/// Keeps the accounts of some organisations for all hosts. Two things bound
-/// what may run: the requests of the last window, which a limit allows to come
-/// in any rhythm, and a bucket of credit that fills at the organisation's rate.
-/// The bucket bounds what an owner that starts anew, and knows nothing of the
-/// window, may add to what ran before.
+/// Rate accounts of the organisations that this host owns, for all hosts.
 ///
-/// While there is plenty, hosts let requests run by themselves and report them
-/// afterwards; where it runs low, they are told to ask first. Takes the time as
-/// an argument, does no I/O, is not thread-safe.
+/// Two things bound the requests that may run: the number admitted in the last
+/// window, in which they may arrive in any rhythm, and a credit bucket that
+/// fills at the organisation's rate. The bucket limits what a new owner, which
+/// doesn't know the window, adds to what was admitted before.
+///
+/// While credit is plentiful, hosts admit requests by themselves and report
+/// them afterwards; when it runs low, the owner requires a query first.
+/// The time is passed as an argument. Performs no I/O. Not thread-safe.
 class RateAccounts
 {
 public:
@@ -39,14 +40,14 @@
   {
   }
 
-  /// Takes in a host's report, and answers its query.
-  [[nodiscard]] RateResponse Take(const std::string& aHost,
-                                  const RateReport& aReport,
-                                  const RateLimit& aLimit,
-                                  const RateLimitMembership& aMembers,
-                                  base::Instant aNow);
+  /// Applies a host's report and answers its query, if it has one.
+  [[nodiscard]] RateResponse HandleReport(const std::string& aHost,
+                                          const RateReport& aReport,
+                                          const RateLimit& aLimit,
+                                          const RateLimitMembership& aMembers,
+                                          base::Instant aNow);
 
-  /// Drops accounts that nobody has used for long.
+  /// Drops accounts that were not used for kIdleTimeout.
   void Expire(base::Instant aNow);
 
   [[nodiscard]] std::size_t Count() const { return buckets_.size(); }
@@ -56,49 +57,52 @@
   {
     std::uint64_t id_ = 0;
     std::uint64_t admitted_ = 0;
-    std::uint64_t returned_ = 0;
+    std::uint64_t refunded_ = 0;
   };
-  /// Parts of the window that requests are counted by.
+  /// Number of slices of the window by which requests are counted.
   static constexpr std::size_t kSlices = 20;
 
   struct Bucket
   {
     double credit_ = 0.0;
-    /// Requests by slice, the present one included.
-    std::array<double, kSlices + 1> ran_{};
-    double inWindow_ = 0.0;  ///< Sum of ran_.
-    std::int64_t slice_ = 0; ///< The present one, counted from the epoch.
-    double refused_ = 0.0;   ///< Of late, fading.
-    base::Instant filledAt_;
+    /// Requests by slice, including the current one.
+    std::array<double, kSlices + 1> requestsBySlice_{};
+    double requestsInWindow_ = 0.0; ///< Sum of requestsBySlice_.
+    std::int64_t slice_ = 0;        ///< Current slice, counted from the epoch.
+    double recentRefusals_ = 0.0;   ///< Recently refused requests, decaying.
+    base::Instant refilledAt_;
     std::unordered_map<std::string, Account> accounts_; ///< By host.
   };
 
-  /// What the hosts that are heard may use.
-  struct Part
+  /// The part of a limit that the reachable hosts may use.
+  struct Allowance
   {
     double rate_ = 0.0;
-    double capacity_ = 0.0;    ///< Of the bucket.
-    double startCredit_ = 0.0; ///< Of an owner that knows nothing.
-    double window_ = 0.0;      ///< Requests in one window.
+    double capacity_ = 0.0; ///< Capacity of the bucket, in requests.
+    /// Credit of an owner that doesn't know the account's history.
+    double initialCredit_ = 0.0;
+    double window_ = 0.0; ///< Requests allowed in one window.
   };
 
-  [[nodiscard]] Part PartOf(const RateLimit& aLimit, double aShare) const;
-  Bucket& Fill(const std::string& aOrganisation,
-               const Part& aPart,
-               const RateLimitMembership& aMembers,
-               base::Instant aNow);
-  void MoveWindow(Bucket& aBucket, base::Instant aNow) const;
-  static void Spend(Bucket& aBucket, double aRequests);
+  [[nodiscard]] Allowance AllowanceFor(const RateLimit& aLimit,
+                                       double aShare) const;
+  Bucket& Refill(const std::string& aOrganisation,
+                 const Allowance& aAllowance,
+                 const RateLimitMembership& aMembers,
+                 base::Instant aNow);
+  void AdvanceWindow(Bucket& aBucket, base::Instant aNow) const;
+  static void Debit(Bucket& aBucket, double aRequests);
   static void Charge(Bucket& aBucket,
                      const std::string& aHost,
                      const RateReport& aReport);
 
-  /// @return how many requests may run now.
-  [[nodiscard]] static double RoomIn(const Bucket& aBucket, const Part& aPart);
+  /// @return the number of requests that may be admitted now.
+  [[nodiscard]] static double AvailableRequests(const Bucket& aBucket,
+                                                const Allowance& aAllowance);
 
-  /// @return when one may run again.
+  /// @return the time until a request may be admitted again.
   [[nodiscard]] base::Duration TimeToCredit(const Bucket& aBucket,
-                                            const Part& aPart) const;
+                                            const Allowance& aAllowance) const;
 
   RateTolerance tolerance_;
   std::unordered_map<std::string, Bucket> buckets_; ///< By organisation.
--- a/Libraries/LibFleet/RateLimitMembership.h
+++ b/Libraries/LibFleet/RateLimitMembership.h
@@ -13,10 +13,10 @@
 
 namespace pumiceturn::fleet {
 
-/// The hosts that let requests run, as one of them sees them: who keeps an
-/// organisation's account, and which part of its limit the hosts that hear
-/// each other may use. Takes the time as an argument, does no I/O, is not
-/// thread-safe.
+/// The hosts that take part in rate limiting, as seen by one of them:
+/// determines the owner of each organisation's account, and the share of each
+/// limit that the hosts that reach each other may use. The time is passed as an
+/// argument. Performs no I/O. Not thread-safe.
 class RateLimitMembership
 {
 public:
@@ -24,13 +24,14 @@
   {
     std::string host_;
     bool isReachable_ = false;
-    /// It lets requests run. The others only keep accounts, and before these:
-    /// they have more of a processor, and start anew more seldom.
+    /// Whether the host admits requests. Hosts that don't only own accounts,
+    /// and are preferred as owners: they have more processor time and restart
+    /// less often.
     bool admits_ = true;
   };
 
-  /// How long a host that is no longer registered is still counted: it may be
-  /// cut off and go on.
+  /// How long an unregistered host is still counted, as it may be cut off and
+  /// still running.
   static constexpr base::Duration kRetention{ std::chrono::seconds{ 5 } };
 
   RateLimitMembership(std::string aOwnName, bool aAdmits)
@@ -39,43 +40,46 @@
   {
   }
 
-  /// @param aOthers All registered hosts but this one.
+  /// Updates the members.
+  /// @param aOthers All registered hosts except this one.
   void Update(std::span<const Member> aOthers, base::Instant aNow);
 
-  /// @return the host that keeps an organisation's account, by highest random
-  ///         weight among the hosts that are heard.
+  /// @return the owner of an organisation's account: the reachable host with
+  ///         the highest random weight.
   [[nodiscard]] const std::string& OwnerOf(
     std::string_view aOrganisation) const;
 
-  /// @return which part of each limit the hosts that are heard may use. Hosts
-  ///         that are cut off from these use the rest.
+  /// @return the share of each limit, in [0, 1], that the reachable hosts may
+  ///         use. Hosts that are cut off from them use the rest.
   [[nodiscard]] double Share() const { return share_; }
 
-  /// @return how many hosts may let requests run, this one included.
+  /// @return the number of hosts that may be admitting requests, including this
+  ///         one.
   [[nodiscard]] std::size_t Count() const { return count_; }
 
-  /// @return when the hosts that are heard last changed.
-  [[nodiscard]] base::Instant Since() const { return since_; }
+  /// @return when the set of reachable hosts last changed.
+  [[nodiscard]] base::Instant ChangedAt() const { return changedAt_; }
 
   [[nodiscard]] const std::string& OwnName() const { return ownName_; }
 
 private:
-  struct Registered
+  struct RegistrationCount
   {
     base::Instant at_;
     std::size_t count_ = 1;
   };
 
-  /// Whether a host only keeps accounts, and its name.
+  /// Whether a host only owns accounts, and its name.
   using AccountHost = std::pair<bool, std::string>;
 
   std::string ownName_;
   bool admits_;
-  std::vector<AccountHost> heard_;    ///< Sorted, without this host.
-  std::deque<Registered> registered_; ///< Of late, falling counts.
+  std::vector<AccountHost> reachable_; ///< Sorted; excludes this host.
+  std::deque<RegistrationCount>
+    registrationCounts_; ///< Recent counts, in falling order.
   std::size_t count_ = 1;
   double share_ = 1.0;
-  base::Instant since_{};
+  base::Instant changedAt_{};
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/RateLimiter.cpp
+++ b/Libraries/LibFleet/RateLimiter.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// Part of the burst that all hosts together may have admitted and not yet
-/// reported.
+/// Share of the burst that all hosts together may have admitted without a
+/// report.
 constexpr double kUnreportedShare = 0.125;
 
-/// Bounds it at one host, whatever burst is declared.
+/// Maximum number of unreported requests at one host.
 constexpr double kMaxUnreported = 1000.0;
 
-/// What was admitted is reported after this time at the latest.
-constexpr std::chrono::milliseconds kReportWithin{ 200 };
+/// Maximum delay between an admission and its report.
+constexpr std::chrono::milliseconds kMaxReportDelay{ 200 };
 
-/// For a limit that lets almost nothing run.
+/// Avoids division by zero for very low limits. In requests per second.
 constexpr double kMinRate = 1e-3;
 constexpr double kMaxRetryAfterSeconds = 5.0;
 
-/// Time without requests after which an organisation's use is forgotten.
+/// Time without requests after which an organisation's usage is dropped.
 constexpr std::chrono::seconds kIdleTimeout{ 30 };
 
 } // namespace
@@ -40,38 +40,41 @@
   members_.Update(aOthers, aNow);
 }
 
-RateLimiter::Use&
+RateLimiter::Usage&
 RateLimiter::Find(const Organisation& aOrganisation,
                   base::Instant aNow,
                   std::mt19937_64& aRandom)
 {
-  Use& use = uses_[aOrganisation.name_];
+  Usage& usage = usages_[aOrganisation.name_];
   const std::string& owner = members_.OwnerOf(aOrganisation.name_);
-  if (use.owner_ != owner) {
-    // The new owner begins with what this host has not reported yet.
+  if (usage.owner_ != owner) {
+    // The account at the new owner begins with the requests that were not
+    // reported yet.
     const std::uint64_t unreported =
-      use.admitted_ + use.returned_ - use.reported_;
-    const base::Instant askUntil = use.askUntil_;
-    use = {};
-    use.owner_ = owner;
-    use.account_ = std::max<std::uint64_t>(aRandom(), 1);
-    use.admitted_ = unreported;
-    use.askUntil_ = askUntil;
-    use.reportedAt_ = aNow;
+      usage.admitted_ + usage.refunded_ - usage.reported_;
+    const base::Instant queryUntil = usage.queryUntil_;
+    usage = {};
+    usage.owner_ = owner;
+    usage.account_ = std::max<std::uint64_t>(aRandom(), 1);
+    usage.admitted_ = unreported;
+    usage.queryUntil_ = queryUntil;
+    usage.reportedAt_ = aNow;
   }
-  use.usedAt_ = aNow;
-  use.limit_ = aOrganisation.limit_;
+  usage.usedAt_ = aNow;
+  usage.limit_ = aOrganisation.limit_;
   const double unreported = kUnreportedShare * aOrganisation.limit_.burst_ /
                             static_cast<double>(members_.Count());
-  use.reportAfter_ =
+  usage.reportAfter_ =
     static_cast<std::uint64_t>(std::clamp(unreported, 1.0, kMaxUnreported));
-  return use;
+  return usage;
 }
 
 RateReport
-RateLimiter::ReportOf(const std::string& aOrganisation, const Use& aUse)
+RateLimiter::MakeReport(const std::string& aOrganisation, const Usage& aUsage)
 {
-  return { aOrganisation, aUse.account_, aUse.admitted_, aUse.returned_, 0 };
+  return {
+    aOrganisation, aUsage.account_, aUsage.admitted_, aUsage.refunded_, 0
+  };
 }
 
 RateDecision
@@ -82,25 +85,26 @@
   if (!aOrganisation.limit_.IsSet()) {
     return RateAdmitted{};
   }
-  Use& use = Find(aOrganisation, aNow, aRandom);
-  if (aNow < use.noCreditUntil_) {
-    return RateRefused{ use.retryAfter_, "no credit" };
+  Usage& usage = Find(aOrganisation, aNow, aRandom);
+  if (aNow < usage.noCreditUntil_) {
+    return RateRefused{ usage.retryAfter_, "no credit" };
   }
-  const bool isOwner = use.owner_ == members_.OwnName();
+  const bool isOwner = usage.owner_ == members_.OwnName();
   const std::uint64_t unreported =
-    use.admitted_ + use.returned_ - use.reported_;
-  if (!isOwner && aNow >= use.askUntil_ && unreported < use.reportAfter_) {
-    ++use.admitted_;
+    usage.admitted_ + usage.refunded_ - usage.reported_;
+  if (!isOwner && aNow >= usage.queryUntil_ &&
+      unreported < usage.reportAfter_) {
+    ++usage.admitted_;
     return RateAdmitted{};
   }
-  RateReport report = ReportOf(aOrganisation.name_, use);
+  RateReport report = MakeReport(aOrganisation.name_, usage);
   report.query_ = ++lastQuery_;
-  use.reported_ = use.admitted_ + use.returned_;
-  use.reportedAt_ = aNow;
+  usage.reported_ = usage.admitted_ + usage.refunded_;
+  usage.reportedAt_ = aNow;
   if (!isOwner) {
-    return RateQuery{ use.owner_, std::move(report) };
+    return RateQuery{ usage.owner_, std::move(report) };
   }
-  const RateResponse response = accounts_.Take(
+  const RateResponse response = accounts_.HandleReport(
     members_.OwnName(), report, aOrganisation.limit_, members_, aNow);
   return *HandleResponse(response, aNow);
 }
@@ -108,25 +112,26 @@
 RateDecision
 RateLimiter::CheckLocally(const Organisation& aOrganisation, base::Instant aNow)
 {
-  Use& use = uses_[aOrganisation.name_];
-  use.usedAt_ = aNow;
-  use.limit_ = aOrganisation.limit_;
+  Usage& usage = usages_[aOrganisation.name_];
+  usage.usedAt_ = aNow;
+  usage.limit_ = aOrganisation.limit_;
   const double hosts = static_cast<double>(members_.Count());
   const RateLimit& limit = aOrganisation.limit_;
-  if (use.aloneAt_ != base::Instant{}) {
+  if (usage.localCreditAt_ != base::Instant{}) {
     const double passed =
-      std::chrono::duration<double>(aNow - use.aloneAt_).count();
-    use.alone_ += limit.ratePerSecond_ / hosts * passed;
+      std::chrono::duration<double>(aNow - usage.localCreditAt_).count();
+    usage.localCredit_ += limit.ratePerSecond_ / hosts * passed;
   }
-  use.alone_ = std::min(use.alone_, std::max(limit.burst_ / hosts, 1.0));
-  use.aloneAt_ = aNow;
-  if (use.alone_ >= 1.0) {
-    use.alone_ -= 1.0;
-    ++use.admitted_;
+  usage.localCredit_ =
+    std::min(usage.localCredit_, std::max(limit.burst_ / hosts, 1.0));
+  usage.localCreditAt_ = aNow;
+  if (usage.localCredit_ >= 1.0) {
+    usage.localCredit_ -= 1.0;
+    ++usage.admitted_;
     return RateAdmitted{};
   }
-  const double seconds =
-    (1.0 - use.alone_) * hosts / std::max(limit.ratePerSecond_, kMinRate);
+  const double seconds = (1.0 - usage.localCredit_) * hosts /
+                         std::max(limit.ratePerSecond_, kMinRate);
   return RateRefused{ std::chrono::duration_cast<base::Duration>(
                         std::chrono::duration<double>(
                           std::min(seconds, kMaxRetryAfterSeconds))),
@@ -136,27 +141,28 @@
 void
 RateLimiter::Refund(const std::string& aOrganisation)
 {
-  if (const auto use = uses_.find(aOrganisation); use != uses_.end()) {
-    ++use->second.returned_;
+  if (const auto usage = usages_.find(aOrganisation); usage != usages_.end()) {
+    ++usage->second.refunded_;
   }
 }
 
 void
-RateLimiter::RecordResponse(Use& aUse,
+RateLimiter::RecordResponse(Usage& aUsage,
                             const RateResponse& aResponse,
                             base::Instant aNow)
 {
-  aUse.askUntil_ = std::max(aUse.askUntil_, aNow + aResponse.askFirst_);
-  aUse.noCreditUntil_ = aNow + aResponse.noCreditFor_;
-  aUse.retryAfter_ = aResponse.retryAfter_;
+  aUsage.queryUntil_ =
+    std::max(aUsage.queryUntil_, aNow + aResponse.queryFirstFor_);
+  aUsage.noCreditUntil_ = aNow + aResponse.noCreditFor_;
+  aUsage.retryAfter_ = aResponse.retryAfter_;
 }
 
 std::optional<RateDecision>
 RateLimiter::HandleResponse(const RateResponse& aResponse, base::Instant aNow)
 {
-  const auto use = uses_.find(aResponse.organisation_);
-  if (use != uses_.end() && use->second.account_ == aResponse.account_) {
-    RecordResponse(use->second, aResponse, aNow);
+  const auto usage = usages_.find(aResponse.organisation_);
+  if (usage != usages_.end() && usage->second.account_ == aResponse.account_) {
+    RecordResponse(usage->second, aResponse, aNow);
   }
   if (aResponse.query_ == 0) {
     return std::nullopt;
@@ -173,10 +179,10 @@
                           const Organisation& aOrganisation,
                           base::Instant aNow)
 {
-  RateResponse response =
-    accounts_.Take(aHost, aReport, aOrganisation.limit_, members_, aNow);
+  RateResponse response = accounts_.HandleReport(
+    aHost, aReport, aOrganisation.limit_, members_, aNow);
   const bool isDue =
-    aReport.query_ != 0 || response.askFirst_ > base::Duration::zero();
+    aReport.query_ != 0 || response.queryFirstFor_ > base::Duration::zero();
   return isDue ? std::optional(std::move(response)) : std::nullopt;
 }
 
@@ -184,26 +190,26 @@
 RateLimiter::CollectDueReports(base::Instant aNow)
 {
   std::vector<std::pair<std::string, RateReport>> due;
-  for (auto& [organisation, use] : uses_) {
-    const std::uint64_t total = use.admitted_ + use.returned_;
-    const std::uint64_t unreported = total - use.reported_;
-    if (unreported == 0 || (unreported < use.reportAfter_ &&
-                            aNow - use.reportedAt_ < kReportWithin)) {
+  for (auto& [organisation, usage] : usages_) {
+    const std::uint64_t total = usage.admitted_ + usage.refunded_;
+    const std::uint64_t unreported = total - usage.reported_;
+    if (unreported == 0 || (unreported < usage.reportAfter_ &&
+                            aNow - usage.reportedAt_ < kMaxReportDelay)) {
       continue;
     }
-    use.reported_ = total;
-    use.reportedAt_ = aNow;
-    const RateReport report = ReportOf(organisation, use);
-    if (use.owner_ == members_.OwnName()) {
-      RecordResponse(
-        use,
-        accounts_.Take(use.owner_, report, use.limit_, members_, aNow),
-        aNow);
+    usage.reported_ = total;
+    usage.reportedAt_ = aNow;
+    const RateReport report = MakeReport(organisation, usage);
+    if (usage.owner_ == members_.OwnName()) {
+      RecordResponse(usage,
+                     accounts_.HandleReport(
+                       usage.owner_, report, usage.limit_, members_, aNow),
+                     aNow);
     } else {
-      due.emplace_back(use.owner_, report);
+      due.emplace_back(usage.owner_, report);
     }
   }
-  std::erase_if(uses_, [aNow](const auto& aEntry) {
+  std::erase_if(usages_, [aNow](const auto& aEntry) {
     return aNow - aEntry.second.usedAt_ > kIdleTimeout;
   });
   accounts_.Expire(aNow);
--- a/Libraries/LibFleet/RateLimiter.h
+++ b/Libraries/LibFleet/RateLimiter.h
@@ -18,115 +18,120 @@
 
 namespace pumiceturn::fleet {
 
-/// A request may run.
+/// The request is admitted.
 struct RateAdmitted
 {};
 
-/// A request is beyond its organisation's limit.
+/// The request exceeds its organisation's limit.
 struct RateRefused
 {
   base::Duration retryAfter_{ 0 };
   std::string_view decidedBy_; ///< For the log.
 };
 
-/// The owner of the organisation's account is to be asked first.
+/// The owner of the organisation's account must be queried first.
 struct RateQuery
 {
   std::string owner_;
-  RateReport report_; ///< With the query.
+  RateReport report_; ///< Includes the query.
 };
 
 using RateDecision = std::variant<RateAdmitted, RateRefused, RateQuery>;
 
-/// Holds organisations to their limits at one of the hosts that let requests
-/// run. Each organisation's account is kept by one of them. As long as its
-/// credit is plentiful, hosts let requests run at once and report them within
-/// a fraction of a second. Near the limit, or with more to report than a small
-/// part of the burst, they ask the owner before each. Only reports of
-/// organisations that are in use travel, to one host each.
+/// Enforces the rate limits of organisations at one of the hosts that admit
+/// requests.
 ///
-/// Hosts that don't hear each other keep accounts of their own, with a part of
-/// the limit that goes by their number. Takes time and random numbers as
-/// arguments, does no I/O, is not thread-safe.
+/// One host owns each organisation's account. While credit is plentiful, hosts
+/// admit requests immediately and report them within a fraction of a second.
+/// Near the limit, or with more unreported requests than a small part of the
+/// burst, they query the owner before each request. Hosts report only
+/// organisations in use, to one owner each.
+///
+/// Hosts that can't reach each other keep separate accounts, with a share of
+/// the limit according to their number. Time and random numbers are passed as
+/// arguments. Performs no I/O. Not thread-safe.
 class RateLimiter
 {
 public:
-  /// @param aAdmits This host lets requests run, and doesn't only keep
-  /// accounts.
+  /// @param aAdmits Whether this host admits requests; otherwise it only owns
+  ///        accounts.
   RateLimiter(std::string aOwnName, bool aAdmits, RateTolerance aTolerance);
 
-  /// @param aOthers All registered hosts but this one.
+  /// @param aOthers All registered hosts except this one.
   void SetMembers(std::span<const RateLimitMembership::Member> aOthers,
                   base::Instant aNow);
 
-  /// Decides on a request. An organisation without a limit is not counted.
+  /// Decides on a request. Requests of an organisation without a limit aren't
+  /// counted.
   [[nodiscard]] RateDecision Check(const Organisation& aOrganisation,
                                    base::Instant aNow,
                                    std::mt19937_64& aRandom);
 
-  /// The owner did not answer a query: decides by the part of the limit
-  /// that is this host's, if all hosts shared it evenly.
+  /// Decides on a request after the owner did not answer a query. Allows an
+  /// even share of the limit per host.
   [[nodiscard]] RateDecision CheckLocally(const Organisation& aOrganisation,
                                           base::Instant aNow);
 
-  /// A request that was let run has certainly not run.
+  /// Records that an admitted request was certainly not executed.
   void Refund(const std::string& aOrganisation);
 
-  /// Takes in an owner's answer.
-  /// @return what became of the query; nothing where it answers none.
+  /// Applies an owner's response.
+  /// @return the decision on the query that it answers; empty if it answers
+  ///         none.
   std::optional<RateDecision> HandleResponse(const RateResponse& aResponse,
                                              base::Instant aNow);
 
-  /// Takes in a host's report.
-  /// @return the answer to send; nothing where none is due.
+  /// Applies a host's report to an account that this host owns.
+  /// @return the response to send; empty if none is due.
   [[nodiscard]] std::optional<RateResponse> HandleReport(
     const std::string& aHost,
     const RateReport& aReport,
     const Organisation& aOrganisation,
     base::Instant aNow);
 
-  /// @return the reports that are due, with the hosts they go to. Own accounts
-  ///         are settled at once.
+  /// Applies the reports to own accounts.
+  /// @return the other reports that are due, with the owner to send each to.
   [[nodiscard]] std::vector<std::pair<std::string, RateReport>>
   CollectDueReports(base::Instant aNow);
 
-  /// @return how many organisations' accounts this host keeps now.
+  /// @return the number of accounts that this host owns.
   [[nodiscard]] std::size_t AccountCount() const { return accounts_.Count(); }
 
   [[nodiscard]] double Share() const { return members_.Share(); }
 
 private:
-  /// An organisation's use of this host.
-  struct Use
+  /// Requests of an organisation at this host.
+  struct Usage
   {
-    RateLimit limit_; ///< As it was last declared.
+    RateLimit limit_; ///< Limit as last declared.
     std::string owner_;
     std::uint64_t account_ = 0;
     std::uint64_t admitted_ = 0;
-    std::uint64_t returned_ = 0;
-    std::uint64_t reported_ = 0; ///< Of both.
+    std::uint64_t refunded_ = 0;
+    /// Value of admitted_ + refunded_ in the last report.
+    std::uint64_t reported_ = 0;
     std::uint64_t reportAfter_ = 1;
     base::Instant reportedAt_;
     base::Instant usedAt_;
-    base::Instant askUntil_;
+    base::Instant queryUntil_;
     base::Instant noCreditUntil_;
     base::Duration retryAfter_{ 0 };
-    double alone_ = 0.0; ///< Credit for CheckLocally().
-    base::Instant aloneAt_;
+    double localCredit_ = 0.0; ///< Credit used by CheckLocally().
+    base::Instant localCreditAt_;
   };
 
-  Use& Find(const Organisation& aOrganisation,
-            base::Instant aNow,
-            std::mt19937_64& aRandom);
-  [[nodiscard]] static RateReport ReportOf(const std::string& aOrganisation,
-                                           const Use& aUse);
-  void RecordResponse(Use& aUse,
+  Usage& Find(const Organisation& aOrganisation,
+              base::Instant aNow,
+              std::mt19937_64& aRandom);
+  [[nodiscard]] static RateReport MakeReport(const std::string& aOrganisation,
+                                             const Usage& aUsage);
+  void RecordResponse(Usage& aUsage,
                       const RateResponse& aResponse,
                       base::Instant aNow);
 
   RateLimitMembership members_;
   RateAccounts accounts_;
-  std::unordered_map<std::string, Use> uses_; ///< By organisation.
+  std::unordered_map<std::string, Usage> usages_; ///< By organisation.
   std::uint64_t lastQuery_ = 0;
 };
 
--- a/Libraries/LibFleet/RouteTable.cpp
+++ b/Libraries/LibFleet/RouteTable.cpp
@@ -66,10 +66,10 @@
   for (const RouteTarget& target : aRoute.targets_) {
     total += target.weight_;
   }
-  double left = aRandom * total;
+  double remaining = aRandom * total;
   for (const RouteTarget& target : aRoute.targets_) {
-    left -= target.weight_;
-    if (left < 0.0) {
+    remaining -= target.weight_;
+    if (remaining < 0.0) {
       return target.service_;
     }
   }
--- a/Libraries/LibFleet/RouteTable.h
+++ b/Libraries/LibFleet/RouteTable.h
@@ -10,29 +10,29 @@
 
 namespace pumiceturn::fleet {
 
-/// Finds the route of a request. Its version never goes down. Belongs to the
-/// event thread.
+/// Finds the route of a request. The version never decreases. Used on the event
+/// thread only.
 class RouteTable
 {
 public:
-  /// Takes over a version that is newer than the present one.
-  /// @return false if it is not newer; nothing changes then.
+  /// Installs the declarations if their version is newer than the current one.
+  /// @return whether they were installed.
   bool Install(Declarations aDeclarations);
 
-  /// @param aHostName Without a port.
-  /// @param aPath     Without a query.
+  /// @param aHostName Without the port.
+  /// @param aPath Without the query.
   /// @return the route with the longest matching prefix, or nullptr. Valid
-  /// until the next Install().
+  ///         until the next Install().
   [[nodiscard]] const Route* Find(std::string_view aHostName,
                                   std::string_view aPath) const;
 
-  /// @return the same route, if it bounds the tokens that jobs may have
-  ///         waiting; otherwise nullptr.
+  /// @return the same route as Find() if it caps the waiting tokens of jobs;
+  ///         otherwise nullptr.
   [[nodiscard]] const Route* FindCapped(std::string_view aHostName,
                                         std::string_view aPath) const;
 
+  /// Chooses one of the route's services by weight.
   /// @param aRandom Uniform in [0, 1).
-  /// @return one of the route's services, by weight.
   [[nodiscard]] static const std::string& ChooseService(const Route& aRoute,
                                                         double aRandom);
 
@@ -57,7 +57,7 @@
   std::uint64_t version_ = 0;
   CallerLimits limits_;
   OrganisationTable organisations_;
-  /// Each host's routes, longest prefix first.
+  /// Routes by host name, longest prefix first.
   std::unordered_map<std::string, std::vector<Route>, Hash, std::equal_to<>>
     routes_;
   bool hasCappedRoutes_ = false;
--- a/Libraries/LibFleet/SuspectTable.cpp
+++ b/Libraries/LibFleet/SuspectTable.cpp
@@ -5,26 +5,29 @@
 namespace pumiceturn::fleet {
 
 void
-SuspectTable::RecordBroken(const SuspectAttempt& aRun)
+SuspectTable::RecordBroken(const SuspectAttempt& aAttempt)
 {
-  if (contents_.size() >= kMaxContents && !contents_.contains(aRun.content_)) {
+  if (contents_.size() >= kMaxContents &&
+      !contents_.contains(aAttempt.content_)) {
     return;
   }
-  Content& content = contents_[aRun.content_];
-  const bool isKnown = std::any_of(
-    content.runs_.begin(), content.runs_.end(), [&aRun](const auto& aOther) {
-      return aOther.endpoint_ == aRun.endpoint_;
-    });
-  if (!isKnown && aRun.brokeAt_ > content.answeredAt_) {
-    content.runs_.push_back(aRun);
+  Content& content = contents_[aAttempt.content_];
+  const bool isKnown =
+    std::any_of(content.attempts_.begin(),
+                content.attempts_.end(),
+                [&aAttempt](const auto& aOther) {
+                  return aOther.endpoint_ == aAttempt.endpoint_;
+                });
+  if (!isKnown && aAttempt.brokeAt_ > content.answeredAt_) {
+    content.attempts_.push_back(aAttempt);
   }
 }
 
 bool
-SuspectTable::IsKnown(std::uint64_t aContent) const
+SuspectTable::IsSuspect(std::uint64_t aContent) const
 {
   const auto found = contents_.find(aContent);
-  return found != contents_.end() && !found->second.runs_.empty();
+  return found != contents_.end() && !found->second.attempts_.empty();
 }
 
 void
@@ -34,48 +37,49 @@
   if (found == contents_.end()) {
     return;
   }
-  // The entry stays: peers go on to send the runs from before.
+  // The entry stays, since peers may still send attempts from before the
+  // answer.
   found->second.answeredAt_ = aNow;
-  found->second.runs_.clear();
+  found->second.attempts_.clear();
 }
 
 bool
 SuspectTable::IsRefused(std::uint64_t aContent,
                         base::Instant aNow,
-                        const HasSurvived& aHasLivedOn)
+                        const HasSurvived& aHasSurvived)
 {
   const auto found = contents_.find(aContent);
   if (found == contents_.end()) {
     return false;
   }
-  std::size_t first = 0;
+  std::size_t initialCrashes = 0;
   std::size_t retries = 0;
-  for (const SuspectAttempt& run : found->second.runs_) {
-    if (aNow - run.brokeAt_ > kRetention ||
-        aHasLivedOn(run.endpoint_, run.brokeAt_)) {
+  for (const SuspectAttempt& attempt : found->second.attempts_) {
+    if (aNow - attempt.brokeAt_ > kRetention ||
+        aHasSurvived(attempt.endpoint_, attempt.brokeAt_)) {
       continue;
     }
-    if (run.isRetry_) {
+    if (attempt.isRetry_) {
       ++retries;
     } else {
-      first = 1;
+      initialCrashes = 1;
     }
   }
-  return first + retries >= kCrashesToRefuse;
+  return initialCrashes + retries >= kCrashesToRefuse;
 }
 
 std::vector<SuspectAttempt>
-SuspectTable::Runs(base::Instant aNow) const
+SuspectTable::BrokenAttempts(base::Instant aNow) const
 {
-  std::vector<SuspectAttempt> runs;
+  std::vector<SuspectAttempt> attempts;
   for (const auto& [id, content] : contents_) {
-    for (const SuspectAttempt& run : content.runs_) {
-      if (aNow - run.brokeAt_ <= kRetention) {
-        runs.push_back(run);
+    for (const SuspectAttempt& attempt : content.attempts_) {
+      if (aNow - attempt.brokeAt_ <= kRetention) {
+        attempts.push_back(attempt);
       }
     }
   }
-  return runs;
+  return attempts;
 }
 
 void
@@ -83,12 +87,12 @@
 {
   for (auto entry = contents_.begin(); entry != contents_.end();) {
     Content& content = entry->second;
-    std::erase_if(content.runs_, [aNow](const SuspectAttempt& aRun) {
-      return aNow - aRun.brokeAt_ > kRetention;
+    std::erase_if(content.attempts_, [aNow](const SuspectAttempt& aAttempt) {
+      return aNow - aAttempt.brokeAt_ > kRetention;
     });
-    const bool isOver =
-      content.runs_.empty() && aNow - content.answeredAt_ > kRetention;
-    entry = isOver ? contents_.erase(entry) : std::next(entry);
+    const bool isExpired =
+      content.attempts_.empty() && aNow - content.answeredAt_ > kRetention;
+    entry = isExpired ? contents_.erase(entry) : std::next(entry);
   }
 }
 
--- a/Libraries/LibFleet/SuspectTable.h
+++ b/Libraries/LibFleet/SuspectTable.h
@@ -10,66 +10,68 @@
 
 namespace pumiceturn::fleet {
 
-/// A run that broke off before its first event.
+/// An attempt that broke before its first event.
 struct SuspectAttempt
 {
-  std::uint64_t content_ = 0; ///< Hash of what was asked.
+  std::uint64_t content_ = 0; ///< Hash of the request's content.
   std::string endpoint_;
-  bool isRetry_ = false; ///< It began when another such run was known.
+  /// It began when another broken attempt for this content was known.
+  bool isRetry_ = false;
   base::Instant brokeAt_;
 };
 
-/// Requests whose content seems to crash each endpoint that runs it. Hosts
-/// share what they saw, as such a request comes again at any of them, and each
-/// try costs an endpoint and all its other runs. Decides only; not thread-safe.
+/// Detects requests whose content appears to crash every endpoint that runs it.
+/// Hosts share what they observe, since such a request may be retried at any of
+/// them, and each retry costs an endpoint and all its other attempts.
 ///
-/// Endpoints also crash by themselves, several at once, and with them runs of a
-/// content that is asked for often. Such crashes don't follow from each other:
-/// runs that began without knowledge of another crash count as one. A run
-/// counts only where its endpoint did not live on, and nothing counts once the
-/// content was answered.
+/// Endpoints also crash for other reasons, several at once, and break attempts
+/// of frequent contents. Therefore attempts that began without knowledge of
+/// another crash count as one. An attempt counts only if its endpoint did not
+/// survive, and not if the content was answered since. Not thread-safe.
 class SuspectTable
 {
 public:
-  /// Crashes one after the other, from which a content is refused.
+  /// Number of successive crashes after which a content is refused.
   static constexpr std::size_t kCrashesToRefuse = 3;
 
-  /// How long a crash is remembered.
+  /// How long a broken attempt is kept.
   static constexpr base::Duration kRetention{ std::chrono::seconds{ 60 } };
 
-  /// Contents that are remembered; far more than crash at a time.
+  /// Maximum number of contents kept.
   static constexpr std::size_t kMaxContents = 512;
 
-  /// Tells whether an endpoint lived on after a moment.
+  /// Returns whether an endpoint's process was still running after a moment.
   using HasSurvived =
     std::function<bool(const std::string& aEndpoint, base::Instant aMoment)>;
 
-  /// Records a run of this host or of a peer, once.
-  void RecordBroken(const SuspectAttempt& aRun);
+  /// Records a broken attempt of this host or of a peer. Only the first one for
+  /// each endpoint and content is kept.
+  void RecordBroken(const SuspectAttempt& aAttempt);
 
   /// Records that an endpoint answered a content.
   void RecordAnswered(std::uint64_t aContent, base::Instant aNow);
 
-  /// @return whether a run that begins now is a retry after a crash.
-  [[nodiscard]] bool IsKnown(std::uint64_t aContent) const;
+  /// @return whether an attempt that begins now is a retry after a crash.
+  [[nodiscard]] bool IsSuspect(std::uint64_t aContent) const;
 
   [[nodiscard]] bool IsEmpty() const { return contents_.empty(); }
 
-  /// @return whether the content is to be refused.
+  /// @return whether requests with this content must be refused.
   [[nodiscard]] bool IsRefused(std::uint64_t aContent,
                                base::Instant aNow,
-                               const HasSurvived& aHasLivedOn);
+                               const HasSurvived& aHasSurvived);
 
-  /// @return all runs that are remembered, for peers.
-  [[nodiscard]] std::vector<SuspectAttempt> Runs(base::Instant aNow) const;
+  /// @return all broken attempts within kRetention, to send to the peers.
+  [[nodiscard]] std::vector<SuspectAttempt> BrokenAttempts(
+    base::Instant aNow) const;
 
-  /// Forgets what is too old.
+  /// Drops attempts and contents older than kRetention.
   void Expire(base::Instant aNow);
 
 private:
   struct Content
   {
-    std::vector<SuspectAttempt> runs_;
+    std::vector<SuspectAttempt> attempts_;
     base::Instant answeredAt_{};
   };
 
--- a/Libraries/LibGateway/AccessControl.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -56,10 +56,10 @@
   fleet::DeclarationsAge age;
   age.age_ = mirrors_.AgeOf(StorePrefix::Operators);
   if (bounds_.revocation_) {
-    age.revocationBound_ = std::chrono::duration_cast<base::Duration>(
+    age.maxAgeToAdmit_ = std::chrono::duration_cast<base::Duration>(
       *bounds_.revocation_ * (1.0 - kRevocationMargin));
   }
-  age.additionBound_ = bounds_.configuration_;
+  age.maxAgeToReject_ = bounds_.configuration_;
   return age;
 }
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -200,7 +200,9 @@
     "pumiceturn_suspect_runs",
     "Runs known here that broke off before their first event.",
     {},
-    [this] { return shared_.suspects_.Runs(base::MonotonicNow()).size(); });
+    [this] {
+      return shared_.suspects_.BrokenAttempts(base::MonotonicNow()).size();
+    });
   shared_.metrics_.AddGauge(
     "pumiceturn_held_lots",
     "Lots on this host's disk that the store doesn't have yet.",
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -135,7 +135,7 @@
   if (!shared_.routes_.Install(std::move(*declarations))) {
     return;
   }
-  shared_.admission_.ForgetRoutes();
+  shared_.admission_.ClearRoutes();
   callers_.SetLimits(limits);
   base::Log(kDeclarationsInForce,
             { { "version", shared_.routes_.Version() },
@@ -162,7 +162,7 @@
   if (!record) {
     // Not a word of the endpoint's own: neither that it drains nor that it is
     // gone. It may have been overwritten, so nothing new is sent there.
-    shared_.endpoints_.Withhold(id);
+    shared_.endpoints_.MarkUnreadable(id);
     base::Log(kEndpointUnreadable,
               { { "endpoint", id },
                 { "bytes", aItem.value_.size() },
@@ -170,7 +170,7 @@
     NoteReadiness();
     return true;
   }
-  const bool isNews = !shared_.endpoints_.IsKnownAs(*record);
+  const bool isNews = !shared_.endpoints_.IsUnchanged(*record);
   const bool wasUsable = shared_.endpoints_.IsUsable(id);
   const fleet::RegistrationOutcome outcome =
     shared_.endpoints_.Put(*record, now);
--- a/Libraries/LibGateway/OnlineProxy.cpp
+++ b/Libraries/LibGateway/OnlineProxy.cpp
@@ -272,7 +272,7 @@
     call.gapTimeout_ = kGapTimeout;
   }
   tried_.push_back(aChoice.endpoint_.id_);
-  runIsRetry_ = shared_.suspects_.IsKnown(content_);
+  runIsRetry_ = shared_.suspects_.IsSuspect(content_);
   runFirstEvent_ = lastEvent_;
   run_ = std::make_shared<EndpointAttempt>(
     shared_, aChoice.endpoint_, fleet::WorkClass::Online);
@@ -363,8 +363,8 @@
     const base::Instant now = base::MonotonicNow();
     shared_.suspects_.RecordAnswered(content_, now);
     if (firstPieceAt_ && tried_.size() == 1) {
-      shared_.admission_.RecordRun(run_->Endpoint().service_,
-                                   now - *firstPieceAt_);
+      shared_.admission_.RecordSlotTime(run_->Endpoint().service_,
+                                        now - *firstPieceAt_);
     }
     exchange_->EndStream();
     Finish(ProxyOutcome::Answered);
--- a/Libraries/LibGateway/PeerMessenger.cpp
+++ b/Libraries/LibGateway/PeerMessenger.cpp
@@ -118,7 +118,7 @@
                      count.startedAtMs_ });
   }
   json content = { { "host", ownName_ } };
-  if (update->isWhole_) {
+  if (update->isFull_) {
     content["runs"] = std::move(rows);
     content["suspects"] = SuspectRows();
     content["store"] = EncodeStoreReport(mirrors_.Report());
@@ -129,7 +129,7 @@
   for (const auto& [name, peer] : peers_) {
     SendTo(peer.address_, message);
   }
-  if (update->isWhole_) {
+  if (update->isFull_) {
     DropSilentPeers(now);
     AskForSilentPeers(now);
   }
@@ -239,7 +239,8 @@
 {
   json rows = json::array();
   const base::Instant now = base::MonotonicNow();
-  for (const fleet::SuspectAttempt& run : shared_.suspects_.Runs(now)) {
+  for (const fleet::SuspectAttempt& run :
+       shared_.suspects_.BrokenAttempts(now)) {
     if (now - run.brokeAt_ > kSuspectNews || rows.size() == kMaxSuspects) {
       continue;
     }
--- a/Libraries/LibGateway/RateCodec.cpp
+++ b/Libraries/LibGateway/RateCodec.cpp
@@ -32,7 +32,7 @@
   return { { "name", aReport.organisation_ },
            { "account", aReport.account_ },
            { "admitted", aReport.admitted_ },
-           { "returned", aReport.returned_ },
+           { "returned", aReport.refunded_ },
            { "question", aReport.query_ } };
 }
 
@@ -53,7 +53,7 @@
            { "account", aResponse.account_ },
            { "question", aResponse.query_ },
            { "granted", aResponse.isGranted_ },
-           { "ask_first", base::ToMs(aResponse.askFirst_) },
+           { "ask_first", base::ToMs(aResponse.queryFirstFor_) },
            { "no_credit", base::ToMs(aResponse.noCreditFor_) },
            { "come_back", base::ToMs(aResponse.retryAfter_) } };
 }
@@ -66,7 +66,7 @@
   response.account_ = aRow.at("account").get<std::uint64_t>();
   response.query_ = aRow.at("question").get<std::uint64_t>();
   response.isGranted_ = aRow.at("granted").get<bool>();
-  response.askFirst_ = DecodeTime(aRow.at("ask_first"));
+  response.queryFirstFor_ = DecodeTime(aRow.at("ask_first"));
   response.noCreditFor_ = DecodeTime(aRow.at("no_credit"));
   response.retryAfter_ = DecodeTime(aRow.at("come_back"));
   return response;
--- a/Tests/LibFleet/AdmissionControlTest.cpp
+++ b/Tests/LibFleet/AdmissionControlTest.cpp
@@ -11,11 +11,11 @@
 protected:
   static constexpr double kHalf = 0.5;
 
-  /// Runs of 800 ms at endpoints with 8 places: one is free every 100 ms.
-  void LearnRunTime()
+  /// Records attempts of 800 ms; with 8 slots, one is freed every 100 ms.
+  void RecordSlotTimes()
   {
     for (int run = 0; run < 50; ++run) {
-      control_.RecordRun("llm", milliseconds(800));
+      control_.RecordSlotTime("llm", milliseconds(800));
     }
   }
 
@@ -31,13 +31,12 @@
   AdmissionControl control_;
 };
 
-// Half of the servers are taken away, and a burst comes: requests queue at the
-// rest, each longer than the one before, and for seconds every answer is late,
-// since engines serve in order of arrival.
+// Guards against queues that grow without bound in an overload, so that every
+// response is late.
 TEST_CASE_METHOD(AdmissionControlFixture,
-                 "AdmissionControl_QueueBeyondObjective_CallerComesBack")
+                 "AdmissionControl_QueueBeyondObjective_IsRefused")
 {
-  LearnRunTime();
+  RecordSlotTimes();
   CHECK_FALSE(Check(7).retryAfter_);
   CHECK_FALSE(Check(8).retryAfter_);
   const Admission late = Check(10);
@@ -47,50 +46,49 @@
   CHECK(*late.retryAfter_ <= milliseconds(1650));
 }
 
-// A caller that was refused comes back, and is refused once more while the
-// overload lasts: it has waited for nothing and gives up.
+// Guards against refusing a caller again that already waited after a refusal.
 TEST_CASE_METHOD(AdmissionControlFixture,
-                 "AdmissionControl_CallerCameBack_IsQueued")
+                 "AdmissionControl_CallerRetries_IsQueued")
 {
-  LearnRunTime();
+  RecordSlotTimes();
   REQUIRE(Check(12).retryAfter_);
   CHECK_FALSE(Check(12, milliseconds(3600)).retryAfter_);
-  control_.ForgetRoutes();
+  control_.ClearRoutes();
   CHECK(Check(12, milliseconds(3600)).retryAfter_);
 }
 
-// Just started, a host refuses requests that would have been served in time,
-// as it takes an unknown run time for a long one.
+// Guards against refusals by a freshly started host that doesn't know the slot
+// time.
 TEST_CASE_METHOD(AdmissionControlFixture,
-                 "AdmissionControl_RunTimeUnknown_AdmitsAll")
+                 "AdmissionControl_SlotTimeUnknown_AdmitsAll")
 {
   CHECK_FALSE(Check(30).retryAfter_);
-  control_.RecordRun("llm", milliseconds(800));
+  control_.RecordSlotTime("llm", milliseconds(800));
   CHECK_FALSE(Check(30).retryAfter_);
 }
 
 TEST_CASE_METHOD(AdmissionControlFixture,
                  "AdmissionControl_NoObjectiveDeclared_AdmitsAll")
 {
-  LearnRunTime();
+  RecordSlotTimes();
   CHECK_FALSE(
     control_.Check({ "llm", "r", 30, 8, {}, milliseconds(5000) }, kHalf)
       .retryAfter_);
 }
 
 TEST_CASE_METHOD(AdmissionControlFixture,
-                 "AdmissionControl_RunsGrowLonger_WaitFollows")
+                 "AdmissionControl_SlotTimeGrows_ExpectedWaitGrows")
 {
-  LearnRunTime();
+  RecordSlotTimes();
   for (int run = 0; run < 100; ++run) {
-    control_.RecordRun("llm", milliseconds(1600));
+    control_.RecordSlotTime("llm", milliseconds(1600));
   }
   CHECK(Check(8).expectedWait_ > milliseconds(190));
 }
 
-// A burst of requests is refused, and comes back at the same moment as another.
+// Guards against refused callers that all retry at the same moment.
 TEST_CASE_METHOD(AdmissionControlFixture,
-                 "AdmissionControl_ComeBack_IsSpreadWithinWhatCallersHeed")
+                 "AdmissionControl_RetryAfter_IsSpreadWithinClientTimeout")
 {
   const base::Duration clientTimeout = milliseconds(3000);
   const auto soonest = AdmissionControl::RetryAfter(clientTimeout, 0.0);
--- a/Tests/LibFleet/CallerAuthenticationTest.cpp
+++ b/Tests/LibFleet/CallerAuthenticationTest.cpp
@@ -36,7 +36,7 @@
   }
 
   template<typename Kind>
-  [[nodiscard]] bool IsJudged(const Credential& aCredential) const
+  [[nodiscard]] bool HasResult(const Credential& aCredential) const
   {
     return std::holds_alternative<Kind>(Check(aCredential));
   }
@@ -46,50 +46,48 @@
 };
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerAuthentication_AnyKeyOfOne_NamesIt")
+                 "CallerAuthentication_AnyKeyOfOrganisation_IsAuthenticated")
 {
   CHECK(NameFor(Key("a1")) == "archive");
   CHECK(NameFor(Key("a2")) == "archive");
   CHECK(NameFor(Key("p1")) == "portal");
 }
 
-// A request ran although nobody had ever been given its key.
+// Guards against admitting a request with a key that was never issued.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
                  "CallerAuthentication_NoValidKey_IsUnauthorised")
 {
-  CHECK(IsJudged<UnauthorisedCaller>(Key("a3")));
-  CHECK(IsJudged<UnauthorisedCaller>(NoCredential{}));
-  CHECK(IsJudged<UnauthorisedCaller>(MalformedCredential{}));
+  CHECK(HasResult<UnauthorisedCaller>(Key("a3")));
+  CHECK(HasResult<UnauthorisedCaller>(NoCredential{}));
+  CHECK(HasResult<UnauthorisedCaller>(MalformedCredential{}));
 }
 
-// A key that was taken away still ran requests at hosts that had not heard of
-// it: nothing tells such a host that its copy is old.
+// Guards against admitting a revoked key at a host whose copy is outdated.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerAuthentication_CopyIsOld_AdmitsNobody")
+                 "CallerAuthentication_CopyIsOutdated_AdmitsNobody")
 {
   age_.age_ = 4499ms;
-  CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
+  CHECK(HasResult<AuthenticatedCaller>(Key("a1")));
   age_.age_ = 4500ms;
-  CHECK(IsJudged<UnconfirmedCaller>(Key("a1")));
+  CHECK(HasResult<UnconfirmedCaller>(Key("a1")));
   age_.age_.reset();
-  CHECK(IsJudged<UnconfirmedCaller>(Key("a1")));
+  CHECK(HasResult<UnconfirmedCaller>(Key("a1")));
 }
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerAuthentication_NoRevocationBound_AgeIsFine")
+                 "CallerAuthentication_NoMaxAgeToAdmit_AdmitsAtAnyAge")
 {
   age_ = { 1h, std::nullopt, 3s };
-  CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
+  CHECK(HasResult<AuthenticatedCaller>(Key("a1")));
 }
 
-// A caller with a new key was told for good that it has none, by a host that
-// had not heard of the key.
+// Guards against rejecting a new key at a host whose copy is outdated.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerAuthentication_UnknownKeyAndOldCopy_IsNotDenied")
+                 "CallerAuthentication_UnknownKeyAndOutdatedCopy_IsUnconfirmed")
 {
   age_.age_ = 3s;
-  CHECK(IsJudged<UnconfirmedCaller>(Key("a3")));
-  CHECK(IsJudged<AuthenticatedCaller>(Key("a1")));
+  CHECK(HasResult<UnconfirmedCaller>(Key("a3")));
+  CHECK(HasResult<AuthenticatedCaller>(Key("a1")));
 }
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
@@ -103,19 +101,19 @@
                  "CallerAuthentication_NoneDeclared_NeedsNoKey")
 {
   organisations_.Install(std::nullopt);
-  CHECK(IsJudged<AnonymousCaller>(NoCredential{}));
+  CHECK(HasResult<AnonymousCaller>(NoCredential{}));
 }
 
-// Operators took the last organisation out, and anyone could call.
+// Guards against admitting everybody after the last organisation was removed.
 TEST_CASE_METHOD(CallerAuthenticationFixture,
                  "CallerAuthentication_EmptyList_AdmitsNobody")
 {
   organisations_.Install(std::vector<Organisation>{});
-  CHECK(IsJudged<UnauthorisedCaller>(NoCredential{}));
-  CHECK(IsJudged<UnauthorisedCaller>(Key("a1")));
+  CHECK(HasResult<UnauthorisedCaller>(NoCredential{}));
+  CHECK(HasResult<UnauthorisedCaller>(Key("a1")));
 }
 
-// Load: 32,000 organisations. Keys are found by hash, whatever their number.
+// Load: 32,000 organisations.
 TEST_CASE("OrganisationTable_32000Organisations_EachKeyIsFound")
 {
   std::vector<Organisation> organisations;
--- a/Tests/LibFleet/CountPublisherTest.cpp
+++ b/Tests/LibFleet/CountPublisherTest.cpp
@@ -28,24 +28,24 @@
   CountPublisher publisher_;
 };
 
-// A burst comes: two hosts send a request each to the last free place of an
-// engine, as they hear of each other's runs only ten times a second, and one
-// of the two callers waits for half a second.
+// Guards against late updates, with which two hosts choose the same free slot.
 TEST_CASE_METHOD(CountPublisherFixture,
-                 "CountPublisher_RunStarts_IsToldAtTheNextLook")
+                 "CountPublisher_AttemptStarts_IsSentWithNextUpdate")
 {
   const auto first = Next({ Online("a", 1), Online("b", 2) }, 0);
   REQUIRE(first);
-  CHECK(first->isWhole_);
+  CHECK(first->isFull_);
   CHECK_FALSE(Next({ Online("a", 1), Online("b", 2) }, 10));
   const auto change = Next({ Online("a", 1), Online("b", 3) }, 20);
   REQUIRE(change);
-  CHECK_FALSE(change->isWhole_);
+  CHECK_FALSE(change->isFull_);
   CHECK(change->counts_ == std::vector{ Online("b", 3) });
 }
 
-// The last run at an endpoint ends, and peers go on avoiding it.
-TEST_CASE_METHOD(CountPublisherFixture, "CountPublisher_LastRunEnds_ZeroIsTold")
+// Guards against peers that keep avoiding an endpoint after its last attempt
+// ended.
+TEST_CASE_METHOD(CountPublisherFixture,
+                 "CountPublisher_LastAttemptEnds_SendsZero")
 {
   CHECK(Next({ Online("a", 1) }, 0));
   const auto change = Next({}, 10);
@@ -54,20 +54,20 @@
   CHECK_FALSE(Next({}, 20));
 }
 
-// A datagram with a change is lost: peers would believe the old count for good.
+// Guards against peers that keep an outdated count after a lost datagram.
 TEST_CASE_METHOD(CountPublisherFixture,
-                 "CountPublisher_NothingChanges_AllAreToldAgain")
+                 "CountPublisher_NothingChanges_AllAreSentAgain")
 {
   CHECK(Next({ Online("a", 1) }, 0));
   const auto again = Next({ Online("a", 1) }, 100);
   REQUIRE(again);
-  CHECK(again->isWhole_);
+  CHECK(again->isFull_);
   CHECK(again->counts_ == std::vector{ Online("a", 1) });
 }
 
-// A fleet grows, and each host spends its processor on hearing the others.
+// Guards against an update rate that overloads the hosts of a large fleet.
 TEST_CASE_METHOD(CountPublisherFixture,
-                 "CountPublisher_ManyPeers_AreToldLessOften")
+                 "CountPublisher_ManyPeers_IntervalGrows")
 {
   CHECK(CountPublisher::Interval(1) == milliseconds(10));
   CHECK(CountPublisher::Interval(8) == milliseconds(20));
--- a/Tests/LibFleet/EndpointTableTest.cpp
+++ b/Tests/LibFleet/EndpointTableTest.cpp
@@ -17,10 +17,11 @@
                now_);
   }
 
-  RegistrationOutcome AddBorn(const std::string& aId, std::int64_t aBornMs)
+  RegistrationOutcome AddStarted(const std::string& aId,
+                                 std::int64_t aStartedAtMs)
   {
-    return table_.Put({ aId, "service", "127.0.0.1:1", "a", 4, false, aBornMs },
-                      now_);
+    return table_.Put(
+      { aId, "service", "127.0.0.1:1", "a", 4, false, aStartedAtMs }, now_);
   }
 
   std::optional<EndpointChoice> Choose(WorkClass aWork,
@@ -54,10 +55,9 @@
   CHECK(Choose(WorkClass::Online, { "free" })->endpoint_.id_ == "full");
 }
 
-// Look-ups wait behind one another at one engine while others are idle: all
-// hosts heard the same counts and took the engine that was emptiest then.
+// Guards against all hosts choosing the emptiest endpoint by the same counts.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_SeveralHaveRoom_RequestsAreSpreadByRoom")
+                 "EndpointTable_SeveralHaveFreeSlots_RequestsAreSpread")
 {
   Add("emptiest");
   Add("emptier");
@@ -67,14 +67,13 @@
   for (int round = 0; round < kRounds; ++round) {
     emptiest += Choose(WorkClass::Online)->endpoint_.id_ == "emptiest" ? 1 : 0;
   }
-  // 16 of 25 by the squares of 4 and 3 free places; the generator's seed is
-  // fixed.
+  // Expected share: 16 of 25, by the squares of 4 and 3 free slots.
   CHECK(emptiest > kRounds / 2);
   CHECK(emptiest < kRounds * 3 / 4);
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_BatchGaveWay_NoBatchStartsThereForAWhile")
+                 "EndpointTable_BatchPreempted_PausesBatchThere")
 {
   Add("one");
   CHECK(Choose(WorkClass::Batch));
@@ -93,8 +92,8 @@
   CHECK_FALSE(Choose(WorkClass::Batch));
 }
 
-// Researchers wait behind a job that arrived a moment before them: batch filled
-// every place of every engine, and engines admit in order of arrival.
+// Guards against batch that fills every slot, so that online requests must
+// queue.
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_BatchStarts_LeaveRoomForOnline")
 {
@@ -109,7 +108,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_AllPlacesTaken_OnlinePreemptsOwnBatch")
+                 "EndpointTable_AllSlotsTaken_OnlinePreemptsOwnBatch")
 {
   Add("online-only");
   Add("with-batch");
@@ -122,10 +121,10 @@
   CHECK(choice->preemptsBatch_);
 }
 
-// A burst of online requests meets engines that are full of another host's
-// batch: that host hears of the requests by counts and gives way.
+// Guards against batch that isn't preempted when a peer's online requests
+// overfill an endpoint.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_PeersOverfillEndpoint_BatchYieldsTheExcess")
+                 "EndpointTable_PeersOverfillEndpoint_PreemptsExcessBatch")
 {
   Add("one");
   Start("one", WorkClass::Batch, 3);
@@ -138,7 +137,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_SeveralHostsHaveBatch_EachYieldsItsPart")
+                 "EndpointTable_SeveralHostsHaveBatch_EachPreemptsItsShare")
 {
   Add("one");
   Start("one", WorkClass::Batch, 2);
@@ -147,10 +146,10 @@
   CHECK(table_.BatchToPreempt("one", now_, 0.5) == 1);
 }
 
-// A translator's hint waits 200 ms for nothing: every place is taken, one of
-// them by a job of another host, and nobody tells that host.
+// Guards against online requests that wait for a slot of a peer's batch because
+// that peer isn't asked to preempt it.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_OnlyPeersHaveBatch_NamesThePeerThatYields")
+                 "EndpointTable_OnlyPeersHaveBatch_NamesPeerToPreempt")
 {
   Add("online-only");
   Add("with-batch");
@@ -167,8 +166,7 @@
   CHECK(Choose(WorkClass::Online)->running_ == 3);
 }
 
-// Every host of the fleet loses a request to the same broken endpoint, since
-// each one must find out by itself.
+// Guards against every host losing a request to the same broken endpoint.
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_TwoPeersFailed_EndpointIsAvoidedHereToo")
 {
@@ -182,7 +180,8 @@
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "good");
 }
 
-TEST_CASE_METHOD(EndpointTableFixture, "EndpointTable_OwnFailure_IsToldToPeers")
+TEST_CASE_METHOD(EndpointTableFixture,
+                 "EndpointTable_OwnFailure_IsReportedToPeers")
 {
   Add("bad");
   CHECK(table_.OwnCounts(now_).empty());
@@ -191,7 +190,8 @@
   CHECK(table_.OwnCounts(now_).front().hasFailed_);
 }
 
-TEST_CASE_METHOD(EndpointTableFixture, "EndpointTable_SilentPeer_IsForgotten")
+TEST_CASE_METHOD(EndpointTableFixture,
+                 "EndpointTable_SilentPeer_CountsAreIgnored")
 {
   Add("one");
   const std::vector<PeerCount> counts = { { "one", { 4, 0 } } };
@@ -202,7 +202,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_FailedEndpoint_IsAvoidedForAWhile")
+                 "EndpointTable_FailedEndpoint_IsAvoidedTemporarily")
 {
   Add("bad");
   Add("good", "b");
@@ -213,10 +213,8 @@
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "bad");
 }
 
-// Every online request is refused for seconds although servers are idle. A
-// server crashed behind a cut and came back at its address under a new id; when
-// the cut heals, the old id's late heartbeats register it again, it looks idle
-// to all hosts, and each request that goes there is refused as misdirected.
+// Guards against using an endpoint whose address belongs to another process,
+// after a late heartbeat registered it again.
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_ReplacedEndpointRegistersAgain_IsNotUsed")
 {
@@ -229,10 +227,10 @@
   CHECK_FALSE(table_.IsUsable("old"));
 }
 
-// All servers vanish at once although they live: the store was away, their
-// registrations lapsed, and it takes them up to 2 s to register again.
+// Guards against dropping running endpoints whose registrations lapsed in an
+// outage of the store.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_VanishedAfterOutage_StaysForTheGrace")
+                 "EndpointTable_VanishedAfterOutage_StaysForRemovalGrace")
 {
   Add("one");
   const base::Instant returned = now_;
@@ -244,7 +242,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_VanishedInCalm_IsGoneAtOnce")
+                 "EndpointTable_VanishedWithoutOutage_IsDropped")
 {
   Add("one");
   table_.Remove("one", std::nullopt, now_);
@@ -252,7 +250,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_HeardAfterTheMoment_HasLivedOn")
+                 "EndpointTable_ActiveAfterMoment_HasSurvived")
 {
   Add("one");
   table_.RecordActivity({ "one" }, now_ - 1s, now_);
@@ -262,7 +260,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_RegistrationOutlastsItsLapse_HasLivedOn")
+                 "EndpointTable_RegisteredAfterTimeout_HasSurvived")
 {
   Add("one");
   CHECK_FALSE(table_.HasSurvived("one", now_, now_ + 4s));
@@ -271,92 +269,89 @@
   CHECK_FALSE(table_.HasSurvived("one", now_, now_ + 5s));
 }
 
-// A third of the fleet stays empty for ten minutes after a crash: servers come
-// back under the ids that they had, and a host that met another process at the
-// address once has struck the id off.
+// Guards against endpoints that stay unused after a restart under their former
+// id.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_ReplacedEndpointStartsAnew_IsUsedAgain")
+                 "EndpointTable_ReplacedEndpointRestarts_IsUsedAgain")
 {
-  AddBorn("one", 100);
+  AddStarted("one", 100);
   table_.RecordReplaced({ "one", 100 }, now_);
-  CHECK(AddBorn("one", 100) == RegistrationOutcome::Outdated);
+  CHECK(AddStarted("one", 100) == RegistrationOutcome::Outdated);
   CHECK_FALSE(Choose(WorkClass::Online));
-  CHECK(AddBorn("one", 200) == RegistrationOutcome::New);
+  CHECK(AddStarted("one", 200) == RegistrationOutcome::New);
   CHECK(Choose(WorkClass::Online));
-  // Late news of the start before.
+  // A late report about the previous process.
   table_.RecordReplaced({ "one", 100 }, now_);
   CHECK(table_.IsUsable("one"));
 }
 
-// Look-ups wait at full servers while one is idle: it started again under its
-// id, and the runs and failures of its former process still count there.
+// Guards against attempts and failures of a former process that still count
+// after a restart.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_StartsAnewUnderItsId_HoldsNothingOfBefore")
+                 "EndpointTable_RestartsUnderItsId_FormerStateIsDropped")
 {
-  AddBorn("one", 100);
+  AddStarted("one", 100);
   for (int run = 0; run < 4; ++run) {
     table_.CountStart({ "one", 100 }, WorkClass::Online);
   }
   const PeerCount ofPeer{ "one", { 3, 0 }, true, 100 };
   table_.SetPeerCounts("peer", std::span(&ofPeer, 1), now_);
   table_.RecordFailure({ "one", 100 }, now_);
-  CHECK(AddBorn("one", 200) == RegistrationOutcome::Restarted);
+  CHECK(AddStarted("one", 200) == RegistrationOutcome::Restarted);
   CHECK(Choose(WorkClass::Online)->running_ == 0);
   CHECK(table_.OwnCounts(now_).empty());
 }
 
-// Two requests are sent to the last free place of a server: the ends of runs
-// that its former process had were subtracted from those of the present one.
+// Guards against attempts of a former process being subtracted from those of
+// the current one.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_NewsOfAnEarlierStart_ChangeNothing")
+                 "EndpointTable_UpdatesOfFormerProcess_AreIgnored")
 {
-  AddBorn("one", 200);
+  AddStarted("one", 200);
   table_.CountStart({ "one", 200 }, WorkClass::Online);
   table_.CountEnd({ "one", 100 }, WorkClass::Online);
   CHECK(Choose(WorkClass::Online)->running_ == 1);
   const PeerCount ofPeer{ "one", { 3, 0 }, false, 100 };
   table_.UpdatePeerCounts("peer", std::span(&ofPeer, 1), now_);
   CHECK(Choose(WorkClass::Online)->running_ == 1);
-  CHECK(AddBorn("one", 100) == RegistrationOutcome::Outdated);
+  CHECK(AddStarted("one", 100) == RegistrationOutcome::Outdated);
   CHECK(Choose(WorkClass::Online)->endpoint_.startedAtMs_ == 200);
   table_.RecordReplaced({ "one", 100 }, now_);
   CHECK(table_.IsUsable("one"));
 }
 
-// One request takes the fleet down, server after server: each is back under its
-// id within seconds, answers another request, and is taken for one that lived
-// on through the crash.
+// Guards against taking a restarted endpoint for one that survived a crash.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_HeardByARunAfterTheMoment_ProvesNothing")
+                 "EndpointTable_LaterAttemptIsActive_HasNotSurvived")
 {
-  AddBorn("one", 100);
+  AddStarted("one", 100);
   const base::Instant crash = now_;
   table_.RecordActivity({ "one", 100 }, crash + 100ms, crash + 200ms);
   CHECK_FALSE(table_.HasSurvived("one", crash, crash + 200ms));
   now_ += 3s;
-  AddBorn("one", 200);
+  AddStarted("one", 200);
   table_.RecordActivity({ "one", 200 }, now_, now_ + 100ms);
   CHECK_FALSE(table_.HasSurvived("one", crash, crash + 10s));
 }
 
-// A server's entry is overwritten with something that no server writes.
+// Guards against sending requests to an endpoint whose registration is
+// unreadable.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_EntryUnreadable_GetsNothingUntilReadable")
+                 "EndpointTable_UnreadableRegistration_IsNotUsed")
 {
   Add("one");
   table_.CountStart({ "one" }, WorkClass::Online);
-  table_.Withhold("one");
+  table_.MarkUnreadable("one");
   CHECK_FALSE(Choose(WorkClass::Online));
   CHECK_FALSE(table_.IsUsable("one"));
   Add("one");
   CHECK(Choose(WorkClass::Online)->running_ == 1);
 }
 
-// A look-up waits for half a second although batch runs could give way
-// elsewhere: it was sent to an engine where online requests wait already, as
-// one batch run is there, and the engine serves those first.
+// Guards against preempting batch at an engine that would serve waiting online
+// requests first.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_OnlineWaitsThere_BatchElsewhereGivesWay")
+                 "EndpointTable_OnlineIsQueued_PreemptsBatchElsewhere")
 {
   Add("queue");
   Add("batch");
@@ -371,10 +366,10 @@
   }
 }
 
-// Two hosts choose the same free place, as one's last request is told to the
-// other only with its next message with all counts.
+// Guards against hosts choosing the same slot until the next update with all
+// counts.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_PeerTellsAChange_OtherCountsStay")
+                 "EndpointTable_PeerSendsChange_OtherCountsStay")
 {
   Add("one");
   Add("two");
--- a/Tests/LibFleet/EventSplitterTest.cpp
+++ b/Tests/LibFleet/EventSplitterTest.cpp
@@ -11,7 +11,7 @@
 };
 
 TEST_CASE_METHOD(EventSplitterFixture,
-                 "EventSplitter_EventInPieces_IsReturnedWhenWhole")
+                 "EventSplitter_EventInPieces_IsReturnedWhenComplete")
 {
   splitter_.Append("id: 4\nda");
   CHECK_FALSE(splitter_.Next());
@@ -35,10 +35,10 @@
   CHECK(event->raw_.starts_with("weight-versions"));
 }
 
-// A caller sees the begin of one event joined to the next. An endpoint breaks
-// off within an event, and the stream goes on at another endpoint.
+// Guards against joining a partial event to the first event of the resumed
+// stream.
 TEST_CASE_METHOD(EventSplitterFixture,
-                 "EventSplitter_ClearAfterBreak_DropsThePart")
+                 "EventSplitter_ClearAfterBreak_DropsPartialEvent")
 {
   splitter_.Append("id: 1\ndata: a\n\nid: 2\nda");
   REQUIRE(splitter_.Next());
--- a/Tests/LibFleet/PeerReachabilityTest.cpp
+++ b/Tests/LibFleet/PeerReachabilityTest.cpp
@@ -17,8 +17,8 @@
     }
   }
 
-  /// Time passes in which all but the named peer are heard.
-  void PassWithout(const std::string& aSilent, milliseconds aTime)
+  /// Advances time, with messages from all peers except one.
+  void AdvanceWithout(const std::string& aSilent, milliseconds aTime)
   {
     now_ += aTime;
     for (const char* peer : { "relay", "other", "worker" }) {
@@ -39,20 +39,19 @@
 };
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerReachability_AllHeard_AsksNobody")
+                 "PeerReachability_AllReachable_RequestsNoRelay")
 {
-  PassWithout("", milliseconds(1000));
+  AdvanceWithout("", milliseconds(1000));
   CHECK(RelayRequests().empty());
   CHECK_FALSE(reachability_.RelayTo("worker", now_));
 }
 
-// Translators wait half a second at an entry host that is cut off from the
-// hosts that run jobs: it takes their runs for none, and its requests to let
-// batch give way are lost, though the other entry hosts reach both.
+// Guards against losing counts and preemption requests between hosts that are
+// cut off from each other but have a common peer.
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerReachability_PeerSilent_IsHeardThroughOne")
+                 "PeerReachability_PeerSilent_IsRelayedByOne")
 {
-  PassWithout("worker", milliseconds(400));
+  AdvanceWithout("worker", milliseconds(400));
   const auto requests = RelayRequests();
   REQUIRE(requests.size() == 1);
   CHECK(requests[0].peers_ == std::vector<std::string>{ "worker" });
@@ -66,11 +65,11 @@
   }
 }
 
-// The relay is lost as well: the host would go on asking it alone.
+// Guards against asking only a relay that is itself unreachable.
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerReachability_RelayFallsSilent_AsksAnother")
+                 "PeerReachability_RelayIsSilent_AsksAnother")
 {
-  PassWithout("worker", milliseconds(400));
+  AdvanceWithout("worker", milliseconds(400));
   reachability_.RecordRelayed("worker", "other", now_);
   now_ += milliseconds(400);
   reachability_.RecordActivity("relay", now_);
@@ -82,17 +81,17 @@
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerReachability_PeerIsHeardAgain_NeedsNoRelay")
+                 "PeerReachability_PeerReachableAgain_NeedsNoRelay")
 {
-  PassWithout("worker", milliseconds(400));
+  AdvanceWithout("worker", milliseconds(400));
   reachability_.RecordRelayed("worker", "other", now_);
-  PassWithout("", milliseconds(10));
+  AdvanceWithout("", milliseconds(10));
   CHECK(RelayRequests().empty());
   CHECK_FALSE(reachability_.RelayTo("worker", now_));
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerReachability_NewPeer_IsSilentUntilHeard")
+                 "PeerReachability_NewPeer_IsUnreachableUntilFirstMessage")
 {
   CHECK(reachability_.ReachableCount(now_) == 3);
   reachability_.Add("new");
@@ -105,7 +104,7 @@
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerReachability_AskedFor_PassesOnForAWhile")
+                 "PeerReachability_RelayRequested_ExpiresAfterTimeout")
 {
   reachability_.RecordRelayRequest("cut-off", "worker", now_);
   CHECK(reachability_.RelayRequesters("worker", now_) ==
@@ -115,14 +114,14 @@
     reachability_.RelayRequesters("worker", now_ + milliseconds(400)).empty());
 }
 
-// A large fleet splits, and the few hosts that reach both halves spend all
-// their time on passing messages on.
+// Guards against relays that spend all their time on forwarding in a partition
+// of a large fleet.
 TEST_CASE_METHOD(PeerReachabilityFixture,
-                 "PeerReachability_AskedByMany_PassesOnBounded")
+                 "PeerReachability_ManyRelayRequests_AreBounded")
 {
-  for (int asker = 0; asker < 500; ++asker) {
+  for (int requester = 0; requester < 500; ++requester) {
     reachability_.RecordRelayRequest(
-      "host-" + std::to_string(asker), "worker", now_);
+      "host-" + std::to_string(requester), "worker", now_);
   }
   CHECK(reachability_.RelayRequesters("worker", now_).size() ==
         PeerReachability::kMaxRelayed);
--- a/Tests/LibFleet/RateLimiterTest.cpp
+++ b/Tests/LibFleet/RateLimiterTest.cpp
@@ -12,9 +12,9 @@
 
 using namespace std::chrono_literals;
 
-/// Hosts of one fleet on virtual time, whose datagrams take a millisecond, get
-/// lost, come twice, and don't cross a cut. Counts in each window what ran of
-/// an organisation against what its limit allows.
+/// Hosts of one fleet on virtual time. Datagrams take a millisecond, may be
+/// lost or duplicated, and don't cross a partition. Compares the admitted
+/// requests in each window with the limit.
 class RateFleetFixture
 {
 protected:
@@ -27,13 +27,14 @@
   struct Host
   {
     std::string name_;
-    std::unique_ptr<RateLimiter> limits_;
-    int side_ = 0; ///< Of a cut.
+    std::unique_ptr<RateLimiter> limiter_;
+    int partition_ = 0; ///< Side of the partition.
     bool isUp_ = true;
-    std::map<std::uint64_t, base::Instant> asked_; ///< By query.
+    /// Times of pending queries, by query id.
+    std::map<std::uint64_t, base::Instant> pendingQueries_;
   };
 
-  void Build(std::size_t aHosts, RateLimit aLimit)
+  void BuildFleet(std::size_t aHosts, RateLimit aLimit)
   {
     organisation_ = { "hot", {}, aLimit };
     for (std::size_t index = 0; index < aHosts; ++index) {
@@ -44,21 +45,21 @@
                          true,
                          {} });
     }
-    cutAt_ = now_ - 1h;
+    partitionedAt_ = now_ - 1h;
     for (Host& host : hosts_) {
-      TellMembers(host);
+      UpdateMembers(host);
     }
     now_ += 20s;
   }
 
-  /// @param aPerSecond Requests at all hosts together; each host gets those of
-  ///   its callers, and the share of hosts is uneven.
-  void Play(base::Duration aTime, double aPerSecond)
+  /// @param aPerSecond Requests at all hosts together, spread unevenly over the
+  ///        hosts.
+  void Advance(base::Duration aTime, double aPerSecond)
   {
     for (base::Duration passed{}; passed < aTime; passed += kStep) {
       now_ += kStep;
       Deliver();
-      GiveUpQuestions();
+      TimeOutQueries();
       if (++steps_ % (kTick / kStep) == 0) {
         Tick();
       }
@@ -72,40 +73,41 @@
 
   void Arrive()
   {
-    // The square makes some hosts see many times what others do.
+    // Squaring the draw gives some hosts many times the requests of others.
     const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
     Host& host = hosts_[static_cast<std::size_t>(
       draw * draw * static_cast<double>(hosts_.size()))];
     if (!host.isUp_) {
       return;
     }
-    ++asked_;
-    Apply(host, host.limits_->Check(organisation_, now_, random_));
+    ++requests_;
+    Apply(host, host.limiter_->Check(organisation_, now_, random_));
   }
 
   void Apply(Host& aHost, const RateDecision& aDecision)
   {
     if (std::holds_alternative<RateAdmitted>(aDecision)) {
-      ran_.push_back(now_);
+      admitted_.push_back(now_);
     } else if (const auto* query = std::get_if<RateQuery>(&aDecision)) {
-      aHost.asked_[query->report_.query_] = now_;
+      aHost.pendingQueries_[query->report_.query_] = now_;
       Send(aHost, query->owner_, query->report_);
     } else {
       ++refused_;
     }
   }
 
-  void GiveUpQuestions()
+  void TimeOutQueries()
   {
     for (Host& host : hosts_) {
-      for (auto asked = host.asked_.begin(); asked != host.asked_.end();) {
-        if (now_ - asked->second < kOwnerTimeout) {
-          ++asked;
+      for (auto pending = host.pendingQueries_.begin();
+           pending != host.pendingQueries_.end();) {
+        if (now_ - pending->second < kOwnerTimeout) {
+          ++pending;
           continue;
         }
-        asked = host.asked_.erase(asked);
+        pending = host.pendingQueries_.erase(pending);
         if (host.isUp_) {
-          Apply(host, host.limits_->CheckLocally(organisation_, now_));
+          Apply(host, host.limiter_->CheckLocally(organisation_, now_));
         }
       }
     }
@@ -117,43 +119,43 @@
       if (!host.isUp_) {
         continue;
       }
-      TellMembers(host);
+      UpdateMembers(host);
       for (const auto& [owner, report] :
-           host.limits_->CollectDueReports(now_)) {
+           host.limiter_->CollectDueReports(now_)) {
         Send(host, owner, report);
       }
     }
   }
 
-  void TellMembers(Host& aHost)
+  void UpdateMembers(Host& aHost)
   {
     std::vector<RateLimitMembership::Member> others;
     for (const Host& other : hosts_) {
-      const bool isCut =
-        other.side_ != aHost.side_ && now_ - cutAt_ > kSilenceTimeout;
+      const bool isPartitioned = other.partition_ != aHost.partition_ &&
+                                 now_ - partitionedAt_ > kSilenceTimeout;
       const bool isRegistered = other.isUp_ || now_ - downAt_ < 3s;
       if (&other != &aHost && isRegistered) {
-        others.push_back({ other.name_, other.isUp_ && !isCut, true });
+        others.push_back({ other.name_, other.isUp_ && !isPartitioned, true });
       }
     }
-    aHost.limits_->SetMembers(others, now_);
+    aHost.limiter_->SetMembers(others, now_);
   }
 
-  void Cut(std::size_t aHosts)
+  void Partition(std::size_t aHosts)
   {
     for (std::size_t index = 0; index < hosts_.size(); ++index) {
-      hosts_[index].side_ = index < aHosts ? 1 : 0;
+      hosts_[index].partition_ = index < aHosts ? 1 : 0;
     }
-    cutAt_ = now_;
+    partitionedAt_ = now_;
   }
 
   void RestartAll()
   {
     for (Host& host : hosts_) {
-      host.limits_ =
+      host.limiter_ =
         std::make_unique<RateLimiter>(host.name_, true, kTolerance);
-      host.asked_.clear();
-      TellMembers(host);
+      host.pendingQueries_.clear();
+      UpdateMembers(host);
     }
     messages_.clear();
   }
@@ -201,39 +203,39 @@
 
   void Receive(Host& aFrom, Host& aTo, const Message& aMessage)
   {
-    if (aFrom.side_ != aTo.side_ || !aTo.isUp_) {
+    if (aFrom.partition_ != aTo.partition_ || !aTo.isUp_) {
       return;
     }
     if (const auto* report = std::get_if<RateReport>(&aMessage)) {
       const auto response =
-        aTo.limits_->HandleReport(aFrom.name_, *report, organisation_, now_);
+        aTo.limiter_->HandleReport(aFrom.name_, *report, organisation_, now_);
       if (response) {
         Send(aTo, aFrom.name_, *response);
       }
       return;
     }
     const auto& response = std::get<RateResponse>(aMessage);
-    const auto decision = aTo.limits_->HandleResponse(response, now_);
-    if (decision && aTo.asked_.erase(response.query_) > 0) {
+    const auto decision = aTo.limiter_->HandleResponse(response, now_);
+    if (decision && aTo.pendingQueries_.erase(response.query_) > 0) {
       Apply(aTo, *decision);
     }
   }
 
-  /// @return the most that ran in any window.
-  [[nodiscard]] std::size_t MostInWindow() const
+  /// @return the largest number of requests admitted in any window.
+  [[nodiscard]] std::size_t MaxInWindow() const
   {
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     std::size_t first = 0;
-    for (std::size_t last = 0; last < ran_.size(); ++last) {
-      while (ran_[last] - ran_[first] > kTolerance.window_) {
+    for (std::size_t last = 0; last < admitted_.size(); ++last) {
+      while (admitted_[last] - admitted_[first] > kTolerance.window_) {
         ++first;
       }
-      most = std::max(most, last - first + 1);
+      maximum = std::max(maximum, last - first + 1);
     }
-    return most;
+    return maximum;
   }
 
-  /// @return what operators allow in a window, with the tolerance.
+  /// @return the number of requests allowed in a window, with the tolerance.
   [[nodiscard]] double Bound() const
   {
     const RateLimit& limit = organisation_.limit_;
@@ -249,7 +251,7 @@
   };
 
   base::Instant now_{ 24h };
-  base::Instant cutAt_;
+  base::Instant partitionedAt_;
   base::Instant downAt_{ 0s };
   std::mt19937_64 random_{ 7 };
   double lossShare_ = 0.0;
@@ -257,150 +259,152 @@
   Organisation organisation_;
   std::vector<Host> hosts_;
   std::deque<Sent> messages_;
-  std::vector<base::Instant> ran_;
-  std::size_t asked_ = 0;
+  std::vector<base::Instant> admitted_;
+  std::size_t requests_ = 0;
   std::size_t refused_ = 0;
   std::size_t sent_ = 0;
   std::uint64_t steps_ = 0;
 };
 
-// Load: an organisation within its limit, its callers spread unevenly. With a
-// fixed share of the limit at each host it was refused at the busy ones.
+// Guards against refusals at the busiest hosts while the organisation is within
+// its limit.
 TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_WithinLimit_NobodyIsRefused")
 {
-  Build(20, { 30, 30 });
-  Play(20s, 18);
+  BuildFleet(20, { 30, 30 });
+  Advance(20s, 18);
   CHECK(refused_ == 0);
-  CHECK(ran_.size() == asked_);
+  CHECK(admitted_.size() == requests_);
 }
 
-// Load: one organisation sends seven times its usual.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_FarBeyondLimit_LimitIsUsedUp")
+// Load: one organisation sends seven times its usual rate.
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_FarBeyondLimit_AdmitsTheLimit")
 {
-  Build(20, { 30, 30 });
-  Play(5s, 18);
-  Play(10s, 130);
-  CHECK(static_cast<double>(MostInWindow()) <= Bound());
-  // What is allowed is served: the rate for 15 s.
-  CHECK(ran_.size() >= 420);
+  BuildFleet(20, { 30, 30 });
+  Advance(5s, 18);
+  Advance(10s, 130);
+  CHECK(static_cast<double>(MaxInWindow()) <= Bound());
+  // At least about the rate for 15 s.
+  CHECK(admitted_.size() >= 420);
 }
 
-TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_LossesAndDoubles_BoundHolds")
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_LossesAndDuplicates_BoundHolds")
 {
-  Build(20, { 30, 30 });
+  BuildFleet(20, { 30, 30 });
   lossShare_ = 0.1;
   doubledShare_ = 0.1;
-  Play(15s, 130);
-  CHECK(static_cast<double>(MostInWindow()) <= Bound());
-  CHECK(ran_.size() >= 380);
+  Advance(15s, 130);
+  CHECK(static_cast<double>(MaxInWindow()) <= Bound());
+  CHECK(admitted_.size() >= 380);
 }
 
-// Each half of a split fleet let the whole limit run.
+// Guards against each half of a partitioned fleet admitting the whole limit.
 TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_FleetIsSplit_HalvesShareLimit")
 {
-  Build(20, { 30, 30 });
-  Play(5s, 130);
-  Cut(10);
-  Play(15s, 130);
-  CHECK(static_cast<double>(MostInWindow()) <= Bound());
+  BuildFleet(20, { 30, 30 });
+  Advance(5s, 130);
+  Partition(10);
+  Advance(15s, 130);
+  CHECK(static_cast<double>(MaxInWindow()) <= Bound());
 }
 
-// All hosts started anew with full credit right after it had been spent.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_AllRestart_BeginWithNothing")
+// Guards against restarted hosts that begin with full credit right after it was
+// spent.
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_AllRestart_BoundHolds")
 {
-  Build(20, { 30, 30 });
-  Play(5s, 130);
+  BuildFleet(20, { 30, 30 });
+  Advance(5s, 130);
   RestartAll();
-  Play(5s, 130);
-  CHECK(static_cast<double>(MostInWindow()) <= Bound());
+  Advance(5s, 130);
+  CHECK(static_cast<double>(MaxInWindow()) <= Bound());
 }
 
-// The owner of an account is lost while its organisation is at its limit.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_OwnerIsLost_AnotherGoesOn")
+// Guards against an unenforced or blocked limit after the owner of the account
+// is lost.
+TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_OwnerIsLost_AnotherTakesOver")
 {
-  Build(20, { 30, 30 });
-  Play(5s, 130);
+  BuildFleet(20, { 30, 30 });
+  Advance(5s, 130);
   for (Host& host : hosts_) {
-    if (host.limits_->AccountCount() > 0) {
+    if (host.limiter_->AccountCount() > 0) {
       host.isUp_ = false;
       downAt_ = now_;
     }
   }
-  const std::size_t before = ran_.size();
-  Play(5s, 130);
-  CHECK(static_cast<double>(MostInWindow()) <= Bound());
-  CHECK(ran_.size() - before >= 100);
+  const std::size_t before = admitted_.size();
+  Advance(5s, 130);
+  CHECK(static_cast<double>(MaxInWindow()) <= Bound());
+  CHECK(admitted_.size() - before >= 100);
 }
 
-// Load: a limit far below what is sent comes into force.
+// Guards against a lowered limit that isn't enforced.
 TEST_CASE_METHOD(RateFleetFixture,
-                 "RateLimiter_LimitIsLowered_BindsAWindowLater")
+                 "RateLimiter_LimitIsLowered_HoldsAfterOneWindow")
 {
-  Build(20, { 60, 60 });
-  Play(5s, 55);
+  BuildFleet(20, { 60, 60 });
+  Advance(5s, 55);
   organisation_.limit_ = { 10, 10 };
-  Play(5s, 55);
-  ran_.clear();
-  Play(10s, 55);
-  CHECK(static_cast<double>(MostInWindow()) <= Bound());
+  Advance(5s, 55);
+  admitted_.clear();
+  Advance(10s, 55);
+  CHECK(static_cast<double>(MaxInWindow()) <= Bound());
 }
 
-// Load: 400 hosts, one organisation within its limit and far beyond it.
+// Load: 400 hosts, one organisation within its limit and then far beyond it.
 TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_400Hosts_BoundAndService")
 {
-  Build(400, { 200, 200 });
-  Play(3s, 120);
+  BuildFleet(400, { 200, 200 });
+  Advance(3s, 120);
   CHECK(refused_ == 0);
-  const std::size_t before = ran_.size();
-  Play(6s, 900);
-  CHECK(static_cast<double>(MostInWindow()) <= Bound());
-  CHECK(ran_.size() - before >= 1100);
+  const std::size_t before = admitted_.size();
+  Advance(6s, 900);
+  CHECK(static_cast<double>(MaxInWindow()) <= Bound());
+  CHECK(admitted_.size() - before >= 1100);
 }
 
-// A request that never ran must not cost its organisation another.
-TEST_CASE("RateLimiter_CertainlyNotRun_GivesCreditBack")
+// Guards against charging an organisation for requests that were not executed.
+TEST_CASE("RateLimiter_CertainlyNotExecuted_RefundsCredit")
 {
-  RateLimiter limits("host", true, { 5s, 0.1, 20.0 });
+  RateLimiter limiter("host", true, { 5s, 0.1, 20.0 });
   base::Instant now{ 24h };
   std::mt19937_64 random{ 1 };
-  limits.SetMembers({}, now);
+  limiter.SetMembers({}, now);
   now += 1h;
   const Organisation organisation{ "a", {}, { 1, 5 } };
   for (int request = 0; request < 50; ++request) {
     CHECK(std::holds_alternative<RateAdmitted>(
-      limits.Check(organisation, now, random)));
-    limits.Refund("a");
+      limiter.Check(organisation, now, random)));
+    limiter.Refund("a");
   }
 }
 
 TEST_CASE("RateLimiter_NoLimit_IsNotCounted")
 {
-  RateLimiter limits("host", true, {});
+  RateLimiter limiter("host", true, {});
   std::mt19937_64 random{ 1 };
   const Organisation organisation{ "a", {}, {} };
   CHECK(std::holds_alternative<RateAdmitted>(
-    limits.Check(organisation, base::Instant{ 24h }, random)));
-  CHECK(limits.CollectDueReports(base::Instant{ 24h }).empty());
-  CHECK(limits.AccountCount() == 0);
+    limiter.Check(organisation, base::Instant{ 24h }, random)));
+  CHECK(limiter.CollectDueReports(base::Instant{ 24h }).empty());
+  CHECK(limiter.AccountCount() == 0);
 }
 
-// The time that is told with a refusal is when there may be credit.
-TEST_CASE("RateLimiter_Refused_TellsWhenToComeBack")
+// Guards against a retry time before which there can't be credit.
+TEST_CASE("RateLimiter_Refused_ReturnsTimeToCredit")
 {
-  RateLimiter limits("host", true, {});
+  RateLimiter limiter("host", true, {});
   base::Instant now{ 24h };
   std::mt19937_64 random{ 1 };
-  limits.SetMembers({}, now);
+  limiter.SetMembers({}, now);
   now += 1h;
   const Organisation organisation{ "a", {}, { 2, 1 } };
   CHECK(std::holds_alternative<RateAdmitted>(
-    limits.Check(organisation, now, random)));
-  const RateDecision refused = limits.Check(organisation, now, random);
+    limiter.Check(organisation, now, random)));
+  const RateDecision refused = limiter.Check(organisation, now, random);
   REQUIRE(std::holds_alternative<RateRefused>(refused));
   CHECK(std::get<RateRefused>(refused).retryAfter_ == 500ms);
   now += 500ms;
   CHECK(std::holds_alternative<RateAdmitted>(
-    limits.Check(organisation, now, random)));
+    limiter.Check(organisation, now, random)));
 }
 
 } // namespace pumiceturn::fleet
--- a/Tests/LibFleet/RouteTableTest.cpp
+++ b/Tests/LibFleet/RouteTableTest.cpp
@@ -41,8 +41,8 @@
   CHECK(table_.Find("b.example", "/a/") == nullptr);
 }
 
-// A caller gets 404 for a route that was added a moment ago. The store's late
-// answer brings an older version after a newer one, and the process takes it.
+// Guards against a late response of the store that replaces a newer version
+// with an older one.
 TEST_CASE_METHOD(RouteTableFixture, "RouteTable_OlderVersion_IsNotInstalled")
 {
   REQUIRE(table_.Install(MakeDeclarations(7, { MakeRoute("new", "/n/") })));
--- a/Tests/LibFleet/SuspectTableTest.cpp
+++ b/Tests/LibFleet/SuspectTableTest.cpp
@@ -17,11 +17,11 @@
            std::chrono::milliseconds(aMilliseconds);
   }
 
-  /// A run that begins now, with what is known, and breaks off.
+  /// Records an attempt that begins now, knowing earlier crashes, and breaks.
   void Break(const std::string& aEndpoint, int aBroke)
   {
     table_.RecordBroken(
-      { kContent, aEndpoint, table_.IsKnown(kContent), At(aBroke) });
+      { kContent, aEndpoint, table_.IsSuspect(kContent), At(aBroke) });
   }
 
   bool IsRefused(int aNow)
@@ -36,9 +36,7 @@
   std::set<std::string> alive_;
 };
 
-// All servers of a service go down one after the other, and with them all its
-// requests: one request crashes each server that begins to run it, and comes
-// again.
+// Guards against a request that crashes each server of a service in succession.
 TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_CrashAfterCrash_IsRefused")
 {
   Break("a", 10);
@@ -48,9 +46,10 @@
   CHECK(IsRefused(60));
 }
 
-// A question that many ask is refused to all: three servers that ran it failed
-// at the same moment, by themselves.
-TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_CrashesAtOnce_CountOnce")
+// Guards against refusing a frequent content because several servers crashed at
+// once for other reasons.
+TEST_CASE_METHOD(SuspectTableFixture,
+                 "SuspectTable_SimultaneousCrashes_CountOnce")
 {
   for (const char* endpoint : { "a", "b", "c" }) {
     table_.RecordBroken({ kContent, endpoint, false, At(50) });
@@ -62,7 +61,7 @@
   CHECK(IsRefused(100));
 }
 
-TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_EndpointLivedOn_IsNoCrash")
+TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_EndpointSurvived_IsNoCrash")
 {
   Break("a", 10);
   Break("b", 30);
@@ -78,23 +77,24 @@
   Break("c", 50);
   table_.RecordAnswered(kContent, At(60));
   CHECK_FALSE(IsRefused(70));
-  // A peer that doesn't know of the answer sends the old runs again.
+  // A peer that doesn't know of the answer sends the old attempts again.
   for (const char* endpoint : { "a", "b", "c" }) {
     table_.RecordBroken({ kContent, endpoint, true, At(50) });
   }
   CHECK_FALSE(IsRefused(70));
 }
 
-TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_ToldTwice_CountsOnce")
+TEST_CASE_METHOD(SuspectTableFixture,
+                 "SuspectTable_SameEndpointRepeated_CountsOnce")
 {
   Break("a", 10);
   Break("a", 30);
   Break("a", 50);
   CHECK_FALSE(IsRefused(60));
-  CHECK(table_.Runs(At(60)).size() == 1);
+  CHECK(table_.BrokenAttempts(At(60)).size() == 1);
 }
 
-TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_LongAgo_IsForgotten")
+TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_AfterRetention_IsDropped")
 {
   Break("a", 10);
   Break("b", 30);
@@ -111,7 +111,7 @@
        ++content) {
     table_.RecordBroken({ content, "a", false, At(1) });
   }
-  CHECK(table_.Runs(At(2)).size() == SuspectTable::kMaxContents);
+  CHECK(table_.BrokenAttempts(At(2)).size() == SuspectTable::kMaxContents);
 }
 
 } // namespace pumiceturn::fleet
