--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -50,9 +50,9 @@
 {
   metadata::PrefixMirror::Options options;
   options.prefix_ = aPrefix;
-  options.maxWatch_ = aLongestWatch;
-  options.pause_ = aPause;
-  options.freshFor_ = aFreshFor;
+  options.maxWatchWait_ = aLongestWatch;
+  options.pauseAfterChanges_ = aPause;
+  options.freshnessLifetime_ = aFreshFor;
   return options;
 }
 
@@ -77,7 +77,7 @@
                  settings_.configurationBound_,
                  kConfigurationWatchShare,
                  kConfigurationTrustShare);
-  operators.pause_ = kOperatorPause;
+  operators.pauseAfterChanges_ = kOperatorPause;
   return { { StorePrefix::Operators,
              operators,
              [this](const metadata::StoreItem& aItem) {
--- a/Libraries/LibGateway/StoreMirrors.cpp
+++ b/Libraries/LibGateway/StoreMirrors.cpp
@@ -49,7 +49,8 @@
   , trustShare_(DrawTrustShare(aRandom))
 {
   for (Followed& followed : aFollowed) {
-    followed.options_.freshFor_ = OwnShareOf(followed.options_.freshFor_);
+    followed.options_.freshnessLifetime_ =
+      OwnShareOf(followed.options_.freshnessLifetime_);
     Copy copy{ followed.prefix_,
                followed.options_.prefix_,
                std::make_unique<metadata::PrefixMirror>(
@@ -161,7 +162,7 @@
 void
 StoreMirrors::SetFreshness(StorePrefix aPrefix, base::Duration aFreshFor)
 {
-  Find(aPrefix).SetFreshness(OwnShareOf(aFreshFor));
+  Find(aPrefix).SetFreshnessLifetime(OwnShareOf(aFreshFor));
 }
 
 StoreReport
--- a/Libraries/LibGateway/StoreTransport.cpp
+++ b/Libraries/LibGateway/StoreTransport.cpp
@@ -144,7 +144,7 @@
 StoreTransport::AskPeer(const PendingPtr& aPending)
 {
   const bool mayAsk =
-    aPending->peersAsked_ < metadata::StorePath::kPeersAsked &&
+    aPending->peersAsked_ < metadata::StorePath::kMaxPeersAsked &&
     path_.MayAskPeer(base::MonotonicNow());
   httpstream::HttpClient* peer = mayAsk ? NextPeer() : nullptr;
   if (peer == nullptr) {
--- a/Libraries/LibMetadata/FollowerSelector.cpp
+++ b/Libraries/LibMetadata/FollowerSelector.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A host's place among the candidates: the greatest follows.
+/// Rank of a host among the candidates; the highest follows.
 std::pair<bool, std::uint64_t>
 RankOf(std::string_view aPrefix, std::string_view aHost, FollowerState aState)
 {
@@ -36,7 +36,7 @@
 FollowerSelector::DropSilentPeers(base::Instant aNow)
 {
   std::erase_if(peers_, [aNow](const auto& aEntry) {
-    return aNow - aEntry.second.heardAt_ > kSilence;
+    return aNow - aEntry.second.lastReportAt_ > kSilenceTimeout;
   });
 }
 
--- a/Libraries/LibMetadata/FollowerSelector.h
+++ b/Libraries/LibMetadata/FollowerSelector.h
@@ -8,36 +8,39 @@
 
 namespace pumiceturn::metadata {
 
-/// What a host says of itself as a follower of the store.
+/// State that a host reports about itself as a possible follower of the store.
 struct FollowerState
 {
-  bool mayFollow_ = false;   ///< It has read the store and still reaches it.
-  bool isPreferred_ = false; ///< It has more processor time to spare.
+  /// The host has read the store and still reaches it.
+  bool mayFollow_ = false;
+  bool isPreferred_ = false; ///< The host has more processor time to spare.
 };
 
-/// Decides which host follows a prefix of the store for its peers, by highest
-/// random weight among the hosts that are heard. Nobody is elected: hosts that
-/// don't hear each other may both follow, which costs some calls, and where
-/// none does, each host asks the store itself once its copy is no longer
-/// confirmed. Decides only; not thread-safe.
+/// Decides which host follows a prefix of the store on behalf of its peers, by
+/// highest random weight among the reachable hosts.
+///
+/// There is no election. Hosts that don't reach each other may both follow,
+/// which costs some calls; if none follows, each host queries the store itself
+/// once its copy is no longer confirmed. Performs no I/O. Not thread-safe.
 class FollowerSelector
 {
 public:
-  /// Silence after which a host is no longer counted on: several of its reports
-  /// are missing.
-  static constexpr base::Duration kSilence{ std::chrono::milliseconds{ 700 } };
+  /// Time without a report after which a host is dropped; several of its
+  /// reports are missing by then.
+  static constexpr base::Duration kSilenceTimeout{ std::chrono::milliseconds{
+    700 } };
 
   explicit FollowerSelector(std::string aOwnName);
 
-  /// A report of a peer arrived from the peer itself.
+  /// Records a report received from a peer directly.
   void RecordPeer(const std::string& aPeer,
                   FollowerState aState,
                   base::Instant aNow);
 
-  /// @return whether no peer is heard.
+  /// @return whether no peer is reachable.
   [[nodiscard]] bool IsAlone(base::Instant aNow);
 
-  /// @return whether this host is to follow a prefix.
+  /// @return whether this host should follow a prefix.
   [[nodiscard]] bool IsFollower(std::string_view aPrefix,
                                 FollowerState aOwn,
                                 base::Instant aNow);
@@ -48,7 +51,7 @@
   struct Peer
   {
     FollowerState state_;
-    base::Instant heardAt_;
+    base::Instant lastReportAt_;
   };
 
   std::string ownName_;
--- a/Libraries/LibMetadata/HostLease.cpp
+++ b/Libraries/LibMetadata/HostLease.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Pause after a failed call; short against the lease's life of seconds.
+/// Pause after a failed call; short compared to the lease's lifetime.
 constexpr std::chrono::milliseconds kRetryPause{ 300 };
 
 } // namespace
@@ -25,12 +25,12 @@
 }
 
 void
-HostLease::After(base::Duration aPause, void (HostLease::*aStep)())
+HostLease::Schedule(base::Duration aPause, void (HostLease::*aStep)())
 {
   timer_.expires_after(aPause);
   timer_.async_wait(
     lifetime_.Guard([this, aStep](const boost::system::error_code& aError) {
-      if (!aError && !ended_) {
+      if (!aError && !isEnded_) {
         (this->*aStep)();
       }
     }));
@@ -41,8 +41,7 @@
 {
   const bool isAnswered =
     aStatus == StoreStatus::Ok || aStatus == StoreStatus::NotFound;
-  // A call that failed by its timeout tells of an outage that began when the
-  // call was made, at the latest.
+  // A call that timed out shows that the outage began no later than the call.
   health_.RecordCall(isAnswered, isAnswered ? base::MonotonicNow() : aMadeAt);
 }
 
@@ -52,11 +51,11 @@
   const base::Instant madeAt = base::MonotonicNow();
   const auto onReply = [this, madeAt](LeaseResponse aResponse) {
     RecordCall(aResponse.status_, madeAt);
-    if (ended_) {
+    if (isEnded_) {
       return;
     }
     if (aResponse.status_ != StoreStatus::Ok) {
-      After(kRetryPause, &HostLease::Grant);
+      Schedule(kRetryPause, &HostLease::Grant);
       return;
     }
     lease_ = aResponse.lease_;
@@ -71,7 +70,7 @@
   Transaction transaction;
   transaction.writes_.push_back({ options_.key_, options_.value_, lease_ });
   const auto onReply = [this](const TransactionResponse& aResponse) {
-    if (ended_) {
+    if (isEnded_) {
       return;
     }
     if (aResponse.status_ == StoreStatus::NotFound) {
@@ -79,12 +78,12 @@
       return;
     }
     if (aResponse.status_ != StoreStatus::Ok) {
-      After(kRetryPause, &HostLease::Register);
+      Schedule(kRetryPause, &HostLease::Register);
       return;
     }
-    registered_ = true;
+    isRegistered_ = true;
     base::Log(kLeaseGranted, { { "lease", lease_ } });
-    After(options_.renewal_, &HostLease::Renew);
+    Schedule(options_.renewalInterval_, &HostLease::Renew);
   };
   client_.Commit(transaction, lifetime_.Guard(onReply));
 }
@@ -95,22 +94,22 @@
   const base::Instant madeAt = base::MonotonicNow();
   const auto onReply = [this, madeAt](LeaseResponse aResponse) {
     RecordCall(aResponse.status_, madeAt);
-    if (ended_) {
+    if (isEnded_) {
       return;
     }
     if (aResponse.status_ == StoreStatus::NotFound) {
-      registered_ = false;
+      isRegistered_ = false;
       base::Log(kLeaseLost, { { "lease", lease_ } });
       Grant();
       return;
     }
     const bool isOk = aResponse.status_ == StoreStatus::Ok;
-    if (isOk && !registered_) {
+    if (isOk && !isRegistered_) {
       Register();
       return;
     }
-    After(isOk ? options_.renewal_ : base::Duration(kRetryPause),
-          &HostLease::Renew);
+    Schedule(isOk ? options_.renewalInterval_ : base::Duration(kRetryPause),
+             &HostLease::Renew);
   };
   client_.RenewLease(lease_, lifetime_.Guard(onReply));
 }
@@ -118,18 +117,18 @@
 void
 HostLease::OnKeyRemoved()
 {
-  if (!registered_ || ended_) {
+  if (!isRegistered_ || isEnded_) {
     return;
   }
-  // The next renewal tells whether the lease has ended too.
-  registered_ = false;
+  // The next renewal shows whether the lease has ended too.
+  isRegistered_ = false;
   base::Log(kLeaseLost, { { "lease", lease_ } });
 }
 
 void
 HostLease::End(std::function<void()> aDone)
 {
-  ended_ = true;
+  isEnded_ = true;
   timer_.cancel();
   if (lease_ == 0) {
     aDone();
--- a/Libraries/LibMetadata/HostLease.h
+++ b/Libraries/LibMetadata/HostLease.h
@@ -13,10 +13,11 @@
 
 namespace pumiceturn::metadata {
 
-/// Registers this host in the store under a lease, so that the others learn of
-/// it and of its end. A lease may lapse while the host is paused or the store
-/// is away; it then registers again. Its renewals are the calls by which a host
-/// that follows nothing learns of an outage. Belongs to the event thread.
+/// Registers this host in the store under a lease, so that other hosts notice
+/// when it starts and ends. If the lease lapses because the host is paused or
+/// the store is unavailable, the host registers again. A host that follows no
+/// prefix detects outages of the store by its renewals. Used on the event
+/// thread only.
 class HostLease
 {
 public:
@@ -25,7 +26,7 @@
     std::string key_;
     std::string value_;
     base::Duration lifetime_{ std::chrono::seconds{ 3 } };
-    base::Duration renewal_{ std::chrono::seconds{ 1 } };
+    base::Duration renewalInterval_{ std::chrono::seconds{ 1 } };
   };
 
   HostLease(boost::asio::io_context& aContext,
@@ -35,17 +36,20 @@
 
   void Start() { Grant(); }
 
-  /// Registers again if another process removed the key.
+  /// Handles the removal of the key by another process: writes it again with
+  /// the next renewal.
   void OnKeyRemoved();
 
-  /// Ends the registration; aDone is called when the store has answered.
+  /// Ends the lease.
+  /// @param aDone Called when the store has responded, or immediately if there
+  ///        is no lease.
   void End(std::function<void()> aDone);
 
 private:
   void Grant();
   void Register();
   void Renew();
-  void After(base::Duration aPause, void (HostLease::*aStep)());
+  void Schedule(base::Duration aPause, void (HostLease::*aStep)());
   void RecordCall(StoreStatus aStatus, base::Instant aMadeAt);
 
   StoreClient& client_;
@@ -53,8 +57,8 @@
   Options options_;
   boost::asio::steady_timer timer_;
   std::uint64_t lease_ = 0;
-  bool registered_ = false;
-  bool ended_ = false;
+  bool isRegistered_ = false;
+  bool isEnded_ = false;
   base::Lifetime lifetime_;
 };
 
--- a/Libraries/LibMetadata/MirrorDelta.h
+++ b/Libraries/LibMetadata/MirrorDelta.h
@@ -8,28 +8,29 @@
 
 namespace pumiceturn::metadata {
 
-/// How far a host's copy of a prefix has got.
+/// State of a host's copy of a prefix.
 struct MirrorView
 {
-  /// Revision of the newest change in the copy that matters.
+  /// Revision of the newest relevant change in the copy.
   std::uint64_t lastChange_ = 0;
-  /// The copy holds all changes up to here; between lastChange_ and here
-  /// nothing changed that matters.
+  /// The copy includes all changes up to this revision; there are no relevant
+  /// ones after lastChange_.
   std::uint64_t followed_ = 0;
-  /// Time since the store itself told that host so.
+  /// Time since the store last confirmed this to the host directly.
   base::Duration age_{};
-  /// The copy held all changes of this moment: the call to the store that
-  /// showed it was made then. On the clock of the host that has the view.
+  /// The copy includes all changes made before this moment, which is when the
+  /// call to the store that showed it was made. On the clock of the host that
+  /// holds the copy.
   base::BootInstant completeAsOf_{};
 };
 
-/// Changes of a prefix, as one host passes them on to its peers.
+/// Changes of a prefix that a follower sends to its peers.
 struct MirrorDelta
 {
-  /// The change before the first of these. A copy that does not reach it has
-  /// missed something.
+  /// Revision of the change before the first of these. A copy that doesn't
+  /// include it has missed a change.
   std::uint64_t previousChange_ = 0;
-  MirrorView view_; ///< With these changes.
+  MirrorView view_; ///< State of the sender's copy, including these changes.
   std::vector<StoreItem> items_;
 };
 
--- a/Libraries/LibMetadata/PeerClocks.cpp
+++ b/Libraries/LibMetadata/PeerClocks.cpp
@@ -14,12 +14,12 @@
   Peer& peer = peers_[aPeer];
   if (peer.messages_ == 0 || peer.incarnation_ != aIncarnation) {
     peer = { aIncarnation, 0, difference, difference, aNow };
-  } else if (aNow - peer.windowBegan_ > kWindow) {
-    peer.leastBefore_ = peer.least_;
-    peer.least_ = difference;
-    peer.windowBegan_ = aNow;
+  } else if (aNow - peer.windowStartedAt_ > kWindow) {
+    peer.previousMinDifference_ = peer.minDifference_;
+    peer.minDifference_ = difference;
+    peer.windowStartedAt_ = aNow;
   }
-  peer.least_ = std::min(peer.least_, difference);
+  peer.minDifference_ = std::min(peer.minDifference_, difference);
   ++peer.messages_;
 }
 
@@ -31,7 +31,7 @@
     return std::nullopt;
   }
   const Peer& peer = found->second;
-  return aMoment + std::min(peer.least_, peer.leastBefore_);
+  return aMoment + std::min(peer.minDifference_, peer.previousMinDifference_);
 }
 
 } // namespace pumiceturn::metadata
--- a/Libraries/LibMetadata/PeerClocks.h
+++ b/Libraries/LibMetadata/PeerClocks.h
@@ -9,33 +9,35 @@
 
 namespace pumiceturn::metadata {
 
-/// Translates moments that peers name on their own clocks to this host's. Both
-/// clocks go on while a machine is suspended, so that a message that waited in
-/// a socket doesn't make what it tells look fresh: among the messages of the
-/// last seconds, the one that took least time gives the difference. Takes the
-/// time as an argument, does no I/O, is not thread-safe.
+/// Translates times on the clocks of peers to this host's clock.
+///
+/// Both clocks advance while a machine is suspended, so a message that waited
+/// in a socket doesn't make its contents look recent. The difference of the
+/// clocks is taken from the message that was fastest in the last seconds. The
+/// time is passed as an argument. Performs no I/O. Not thread-safe.
 class PeerClocks
 {
 public:
-  /// Messages that must have come before a difference is relied on: the first
-  /// ones may all have waited.
+  /// Minimum number of messages before a difference is used, since the first
+  /// ones may all have been delayed.
   static constexpr std::uint32_t kMinMessages = 5;
 
-  /// How long a difference is kept at least. Clocks of two machines drift by
-  /// less than a millisecond meanwhile.
+  /// Minimum time for which a difference is kept. The clocks of two machines
+  /// drift by less than a millisecond in this time.
   static constexpr base::Duration kWindow{ std::chrono::seconds{ 10 } };
 
-  /// A message came from a peer itself.
-  /// @param aIncarnation New at each start of the peer's process.
-  /// @param aSentAt      On the peer's clock.
+  /// Records a message received from a peer directly.
+  /// @param aIncarnation Changes with each start of the peer's process.
+  /// @param aSentAt Send time on the peer's clock.
+  /// @param aNow Arrival time on this host's clock.
   void RecordMessage(const std::string& aPeer,
                      std::uint64_t aIncarnation,
                      base::BootInstant aSentAt,
                      base::BootInstant aNow);
 
-  /// @return a moment on this host's clock that is not after the one meant by
-  ///         more than the fastest message took; nothing where too few messages
-  ///         have come.
+  /// Translates a time of a peer's clock.
+  /// @return the time on this host's clock, late by at most the latency of the
+  ///         fastest message; empty if too few messages have arrived.
   [[nodiscard]] std::optional<base::BootInstant> ToLocal(
     const std::string& aPeer,
     base::BootInstant aMoment) const;
@@ -47,9 +49,12 @@
   {
     std::uint64_t incarnation_ = 0;
     std::uint32_t messages_ = 0;
-    base::Duration least_{ 0 };       ///< Arrival less sending, in this window.
-    base::Duration leastBefore_{ 0 }; ///< In the one before.
-    base::BootInstant windowBegan_;
+    base::Duration minDifference_{
+      0
+    }; ///< Smallest arrival time minus send time in this window.
+    /// The same in the previous window.
+    base::Duration previousMinDifference_{ 0 };
+    base::BootInstant windowStartedAt_;
   };
 
   std::unordered_map<std::string, Peer> peers_;
--- a/Libraries/LibMetadata/PrefixMirror.cpp
+++ b/Libraries/LibMetadata/PrefixMirror.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A host that asks the store only to know whether its copy is whole doesn't
-/// wait for changes.
+/// A host that only checks whether its copy is complete doesn't wait for
+/// changes.
 constexpr std::chrono::milliseconds kNoWait{ 1 };
 
 } // namespace
@@ -29,7 +29,7 @@
 }
 
 void
-PrefixMirror::After(base::Duration aPause, void (PrefixMirror::*aStep)())
+PrefixMirror::Schedule(base::Duration aPause, void (PrefixMirror::*aStep)())
 {
   timer_.expires_after(aPause);
   timer_.async_wait(
@@ -47,7 +47,7 @@
   if (aAfter.empty()) {
     pages_.clear();
     readRevision_.reset();
-    readBegan_ = base::BootNow();
+    readStartedAt_ = base::BootNow();
   }
   client_.Range(
     options_.prefix_, aAfter, lifetime_.Guard([this](RangeResponse aResponse) {
@@ -61,11 +61,11 @@
   const bool isOk = aResponse.status_ == StoreStatus::Ok;
   health_.RecordCall(isOk, base::MonotonicNow());
   if (!isOk) {
-    After(options_.retryPause_, &PrefixMirror::Restart);
+    Schedule(options_.retryPause_, &PrefixMirror::Restart);
     return;
   }
-  // Pages are not a snapshot: following from the first page's revision brings
-  // again whatever changed while the later ones were read.
+  // Pages are not a snapshot: watching from the first page's revision repeats
+  // the changes made while the later ones were read.
   if (!readRevision_) {
     readRevision_ = aResponse.storeRevision_;
   }
@@ -100,13 +100,13 @@
       changes.push_back(std::move(item));
     }
   }
-  tracker_.RecordRead(*readRevision_, readBegan_, base::BootNow());
+  tracker_.RecordRead(*readRevision_, readStartedAt_, base::BootNow());
   base::Log(kMirrorRead,
             { { "prefix", options_.prefix_ },
               { "keys", count },
               { "revision", *readRevision_ } });
-  if (std::exchange(complete_, true)) {
-    PassOn(previousChange, std::move(changes));
+  if (std::exchange(isComplete_, true)) {
+    ForwardChanges(previousChange, std::move(changes));
   }
   Continue();
 }
@@ -114,8 +114,8 @@
 bool
 PrefixMirror::Apply(const StoreItem& aItem)
 {
-  // News may have come by a peer first, and a page or a watch that was asked
-  // for before it must not undo them.
+  // A peer may have reported a newer change first; a page or watch requested
+  // before that must not undo it.
   const auto known = revisions_.find(aItem.key_);
   const bool isKnown = known != revisions_.end();
   const bool isNew =
@@ -136,8 +136,8 @@
 }
 
 void
-PrefixMirror::PassOn(std::uint64_t aPreviousChange,
-                     std::vector<StoreItem> aChanges)
+PrefixMirror::ForwardChanges(std::uint64_t aPreviousChange,
+                             std::vector<StoreItem> aChanges)
 {
   if (follows_ && !aChanges.empty()) {
     onDelta_({ aPreviousChange, View(), std::move(aChanges) });
@@ -160,7 +160,7 @@
 PrefixMirror::WaitFor(base::Duration aPause)
 {
   phase_ = Phase::Waiting;
-  After(aPause, &PrefixMirror::Continue);
+  Schedule(aPause, &PrefixMirror::Continue);
 }
 
 void
@@ -168,8 +168,8 @@
 {
   const base::BootInstant now = base::BootNow();
   if (!follows_ && !isCatchingUp_ &&
-      tracker_.IsConfirmed(options_.freshFor_, now)) {
-    WaitFor(tracker_.ConfirmedUntil(options_.freshFor_) - now);
+      tracker_.IsConfirmed(options_.freshnessLifetime_, now)) {
+    WaitFor(tracker_.ConfirmedUntil(options_.freshnessLifetime_) - now);
     return;
   }
   Watch();
@@ -203,7 +203,7 @@
   if (phase_ == Phase::Reading) {
     return;
   }
-  const ReportOutcome outcome = tracker_.Judge(aDelta);
+  const ReportOutcome outcome = tracker_.CheckDelta(aDelta);
   if (outcome == ReportOutcome::Gap) {
     CatchUp(aCatchUpAfter);
   }
@@ -240,19 +240,19 @@
                 { "revision", tracker_.Followed() } });
   }
   isCatchingUp_ = false;
-  const base::BootInstant askedAt = base::BootNow();
+  const base::BootInstant requestedAt = base::BootNow();
   client_.Watch(
     options_.prefix_,
     tracker_.Followed(),
-    follows_ ? options_.maxWatch_ : base::Duration(kNoWait),
-    lifetime_.Guard([this, askedAt](const WatchResponse& aResponse) {
-      OnWatch(aResponse, askedAt);
+    follows_ ? options_.maxWatchWait_ : base::Duration(kNoWait),
+    lifetime_.Guard([this, requestedAt](const WatchResponse& aResponse) {
+      OnWatch(aResponse, requestedAt);
     }));
 }
 
 void
 PrefixMirror::OnWatch(const WatchResponse& aResponse,
-                      base::BootInstant aAskedAt)
+                      base::BootInstant aRequestedAt)
 {
   const bool isAnswered = aResponse.status_ == StoreStatus::Ok ||
                           aResponse.status_ == StoreStatus::HistoryLost;
@@ -263,7 +263,7 @@
   }
   if (!isAnswered) {
     phase_ = Phase::Waiting;
-    After(options_.retryPause_, &PrefixMirror::Watch);
+    Schedule(options_.retryPause_, &PrefixMirror::Watch);
     return;
   }
   const std::uint64_t followed = tracker_.Followed();
@@ -274,10 +274,11 @@
       changes.push_back(item);
     }
   }
-  tracker_.NoteAnswer(aResponse.storeRevision_, aAskedAt, base::BootNow());
-  PassOn(previousChange, std::move(changes));
+  tracker_.RecordAnswer(
+    aResponse.storeRevision_, aRequestedAt, base::BootNow());
+  ForwardChanges(previousChange, std::move(changes));
   if (follows_ && !aResponse.events_.empty()) {
-    WaitFor(options_.pause_);
+    WaitFor(options_.pauseAfterChanges_);
   } else {
     Continue();
   }
--- a/Libraries/LibMetadata/PrefixMirror.h
+++ b/Libraries/LibMetadata/PrefixMirror.h
@@ -19,36 +19,37 @@
 namespace pumiceturn::metadata {
 
 /// Keeps a copy of all keys below a prefix: reads them page by page, then
-/// follows the changes, and reads anew where the store has dropped the history.
+/// follows the changes, and reads the prefix again if the store has dropped its
+/// history.
 ///
-/// Each call to the store is counted and charged, so that few hosts follow it
-/// by watches and pass what changed on to the others (SetFollows, ApplyDelta,
-/// ApplyView). A host whose copy nobody has confirmed for a while asks the
-/// store itself. Belongs to the event thread.
+/// Each call to the store is counted and charged, so only few hosts follow it
+/// by watches; they send the changes to the others (SetFollows, ApplyDelta,
+/// ApplyView). A host whose copy was not confirmed for a while queries the
+/// store itself. Used on the event thread only.
 class PrefixMirror
 {
 public:
   struct Options
   {
     std::string prefix_;
-    /// A follower's.
-    base::Duration maxWatch_{ std::chrono::seconds{ 1 } };
-    /// Pause after a follower's watch that brought changes: one watch brings
-    /// the changes of a whole interval.
-    base::Duration pause_{ std::chrono::milliseconds{ 250 } };
+    /// Maximum duration of a follower's watch.
+    base::Duration maxWatchWait_{ std::chrono::seconds{ 1 } };
+    /// Pause after a follower's watch that returned changes, so that the next
+    /// watch returns the changes of a whole interval.
+    base::Duration pauseAfterChanges_{ std::chrono::milliseconds{ 250 } };
     /// Pause after a failed call.
     base::Duration retryPause_{ std::chrono::milliseconds{ 250 } };
-    /// How long a copy that the store confirmed, to this host or to a follower,
-    /// is relied on without asking.
-    base::Duration freshFor_{ std::chrono::seconds{ 1 } };
+    /// How long a copy is used without a query after the store confirmed it, to
+    /// this host or to a follower.
+    base::Duration freshnessLifetime_{ std::chrono::seconds{ 1 } };
   };
 
-  /// Called for each key that appears, changes, or is removed.
-  /// @return whether it matters to anyone: what is registered again unchanged
-  ///         isn't passed on.
+  /// Called for each key that is added, changed, or removed.
+  /// @return whether the change is relevant; an unchanged registration that is
+  ///         written again isn't, and isn't forwarded.
   using ChangeHandler = std::function<bool(const StoreItem&)>;
 
-  /// Called with changes that the store told a follower.
+  /// Called with the changes that the store reported to a follower.
   using DeltaHandler = std::function<void(const MirrorDelta&)>;
 
   PrefixMirror(boost::asio::io_context& aContext,
@@ -61,38 +62,40 @@
 
   void Start() { ReadPage({}); }
 
-  /// This host begins or ceases to follow the prefix for its peers.
+  /// Sets whether this host follows the prefix for its peers.
   void SetFollows(bool aFollows);
   [[nodiscard]] bool Follows() const { return follows_; }
 
-  /// Sets how long a confirmed copy is relied on.
-  void SetFreshness(base::Duration aFreshFor)
+  /// Sets how long a copy is used after it was confirmed.
+  void SetFreshnessLifetime(base::Duration aLifetime)
   {
-    options_.freshFor_ = aFreshFor;
+    options_.freshnessLifetime_ = aLifetime;
   }
 
-  /// Takes in how far a follower's copy has got.
-  /// @param aCatchUpAfter When to ask the store, if the copy lacks something:
-  ///                      spread, as all hosts learn of it at once.
+  /// Applies the reported state of a follower's copy.
+  /// @param aCatchUpAfter Delay before the store is queried if the copy lacks a
+  ///        change. Random, since all hosts notice it at the same time.
   void ApplyView(const MirrorView& aView, base::Duration aCatchUpAfter);
 
-  /// Takes in what a follower passes on.
+  /// Applies changes sent by a follower.
+  /// @param aCatchUpAfter As for ApplyView().
   void ApplyDelta(const MirrorDelta& aDelta, base::Duration aCatchUpAfter);
 
-  /// This host did not run for a while: asks the store before it relies on what
-  /// peers say.
+  /// Called after this host did not run for a while: the store is queried
+  /// before reports of peers are used again.
   void MarkStale();
 
-  /// @return whether the prefix has been read once.
-  [[nodiscard]] bool IsComplete() const { return complete_; }
+  /// @return whether the prefix was read completely at least once.
+  [[nodiscard]] bool IsComplete() const { return isComplete_; }
 
-  /// @return the moment of which the copy surely holds all changes.
+  /// @return the latest time of which the copy is known to include all changes;
+  ///         empty before the first read.
   [[nodiscard]] std::optional<base::BootInstant> CompleteAsOf() const
   {
     return tracker_.CompleteAsOf();
   }
 
-  /// @return how far the copy has got, for peers.
+  /// @return the state of the copy, to send to peers.
   [[nodiscard]] MirrorView View() const
   {
     return tracker_.View(base::BootNow());
@@ -101,26 +104,27 @@
 private:
   enum class Phase : std::uint8_t
   {
-    Reading, ///< The whole prefix.
-    Waiting, ///< For the next call.
-    Calling, ///< A watch is under way.
+    Reading, ///< Reading the whole prefix.
+    Waiting, ///< Waiting for the next call.
+    Calling, ///< A watch is in progress.
   };
 
   void ReadPage(const std::string& aAfter);
   void OnPage(RangeResponse aResponse);
   void FinishReading();
   void Watch();
-  void OnWatch(const WatchResponse& aResponse, base::BootInstant aAskedAt);
+  void OnWatch(const WatchResponse& aResponse, base::BootInstant aRequestedAt);
 
-  /// Makes the next call if it is due, otherwise waits on.
+  /// Makes the next call if it is due; otherwise keeps waiting.
   void Continue();
   void WaitFor(base::Duration aPause);
   void CatchUp(base::Duration aAfter);
 
-  /// @return whether the change matters.
+  /// @return whether the change is relevant.
   bool Apply(const StoreItem& aItem);
-  void PassOn(std::uint64_t aPreviousChange, std::vector<StoreItem> aChanges);
-  void After(base::Duration aPause, void (PrefixMirror::*aStep)());
+  void ForwardChanges(std::uint64_t aPreviousChange,
+                      std::vector<StoreItem> aChanges);
+  void Schedule(base::Duration aPause, void (PrefixMirror::*aStep)());
   void Restart() { ReadPage({}); }
 
   StoreClient& client_;
@@ -131,13 +135,14 @@
   boost::asio::steady_timer timer_;
   ViewTracker tracker_;
   std::unordered_map<std::string, std::uint64_t> revisions_;
-  std::vector<StoreItem> pages_; ///< Read so far.
+  std::vector<StoreItem> pages_; ///< Items of the current read so far.
   std::optional<std::uint64_t> readRevision_;
-  base::BootInstant readBegan_;
+  base::BootInstant readStartedAt_;
   Phase phase_ = Phase::Reading;
-  bool complete_ = false;
+  bool isComplete_ = false;
   bool follows_ = false;
-  bool isCatchingUp_ = false; ///< The store is to be asked though confirmed.
+  /// The store must be queried even if the copy is confirmed.
+  bool isCatchingUp_ = false;
   base::Lifetime lifetime_;
 };
 
--- a/Libraries/LibMetadata/StoreClient.h
+++ b/Libraries/LibMetadata/StoreClient.h
@@ -9,15 +9,16 @@
 
 namespace pumiceturn::metadata {
 
-/// How a call to the store ended.
+/// Result of a call to the store.
 enum class StoreStatus : std::uint8_t
 {
   Ok,
-  Conflict,    ///< A transaction's expectation failed; nothing was done.
+  /// An expectation of the transaction was not met; nothing was changed.
+  Conflict,
   NotFound,    ///< No such key or lease.
-  HistoryLost, ///< A watch can't go on; read the prefix anew.
-  NotDone,     ///< Refused or not sent: certainly without effect.
-  Unknown,     ///< No answer: may have taken effect, or may do so later.
+  HistoryLost, ///< The watch can't continue; the prefix must be read again.
+  NotDone,     ///< Refused or not sent: certainly had no effect.
+  Unknown,     ///< No response: may have taken effect, or may do so later.
 };
 
 /// One key as stored.
@@ -25,8 +26,9 @@
 {
   std::string key_;
   std::string value_;
-  std::uint64_t revision_ = 0; ///< Of its last change; 0: not there.
-  bool removed_ = false;       ///< In a watch's events only.
+  /// Revision of its last change; 0: the key doesn't exist.
+  std::uint64_t revision_ = 0;
+  bool removed_ = false; ///< Set only in the events of a watch.
 };
 
 struct RangeResponse
@@ -41,10 +43,10 @@
 {
   StoreStatus status_ = StoreStatus::Unknown;
   std::vector<StoreItem> events_;
-  std::uint64_t storeRevision_ = 0; ///< Where the next watch goes on.
+  std::uint64_t storeRevision_ = 0; ///< Revision to start the next watch from.
 };
 
-/// A change of several keys, all or nothing.
+/// An atomic change of several keys.
 struct Transaction
 {
   struct Expectation
@@ -56,7 +58,7 @@
   {
     std::string key_;
     std::string value_;
-    std::uint64_t lease_ = 0; ///< 0: the key lasts.
+    std::uint64_t lease_ = 0; ///< 0: the key isn't tied to a lease.
   };
   std::vector<Expectation> expectations_;
   std::vector<Write> writes_;
@@ -67,7 +69,8 @@
 {
   StoreStatus status_ = StoreStatus::Unknown;
   std::uint64_t revision_ = 0;
-  std::vector<StoreItem> current_; ///< After Conflict: the expected keys.
+  /// After Conflict: the current items of the expected keys.
+  std::vector<StoreItem> current_;
 };
 
 struct LeaseResponse
@@ -76,8 +79,8 @@
   std::uint64_t lease_ = 0;
 };
 
-/// The platform's metadata store. Calls return at once and call back on the
-/// event thread, exactly once. Reads are linearizable.
+/// Client of the platform's metadata store. Calls return immediately and call
+/// back exactly once, on the event thread. Reads are linearizable.
 class StoreClient
 {
 public:
@@ -86,15 +89,16 @@
 
   virtual ~StoreClient() = default;
 
-  /// Reads one page of a prefix, of the keys that follow aAfter.
+  /// Reads one page of a prefix, starting after the key aAfter.
   virtual void Range(const std::string& aPrefix,
                      const std::string& aAfter,
                      Callback<RangeResponse> aCallback) = 0;
 
-  /// Waits until something under the prefix changes after a revision.
+  /// Waits until a key under the prefix changes after a revision.
+  /// @param aMaxWait Time after which the call returns without a change.
   virtual void Watch(const std::string& aPrefix,
                      std::uint64_t aAfterRevision,
-                     base::Duration aLongestWait,
+                     base::Duration aMaxWait,
                      Callback<WatchResponse> aCallback) = 0;
 
   virtual void Commit(const Transaction& aTransaction,
--- a/Libraries/LibMetadata/StoreHealth.cpp
+++ b/Libraries/LibMetadata/StoreHealth.cpp
@@ -7,15 +7,15 @@
 void
 StoreHealth::RecordCall(bool aIsAnswered, base::Instant aNow)
 {
-  if (!aIsAnswered && !lost_) {
-    lost_ = true;
+  if (!aIsAnswered && !isLost_) {
+    isLost_ = true;
     lostAt_ = aNow;
     base::Log(kStoreLost);
-  } else if (aIsAnswered && lost_) {
-    lost_ = false;
-    answeredSince_ = aNow;
+  } else if (aIsAnswered && isLost_) {
+    isLost_ = false;
+    answeredAgainAt_ = aNow;
     if (aNow - lostAt_ >= kMinOutage) {
-      returnedAt_ = aNow;
+      recoveredAt_ = aNow;
     }
     base::Log(kStoreRegained);
   }
@@ -24,14 +24,14 @@
 std::optional<base::Instant>
 StoreHealth::RecoveredAt(base::Instant aNow) const
 {
-  const bool isOutage = lost_ && aNow - lostAt_ >= kMinOutage;
-  return isOutage ? std::optional(aNow) : returnedAt_;
+  const bool isOutage = isLost_ && aNow - lostAt_ >= kMinOutage;
+  return isOutage ? std::optional(aNow) : recoveredAt_;
 }
 
 bool
-StoreHealth::WasLostWithin(base::Duration aSpan, base::Instant aNow) const
+StoreHealth::WasLostWithin(base::Duration aWindow, base::Instant aNow) const
 {
-  return lost_ || (answeredSince_ && aNow - *answeredSince_ < aSpan);
+  return isLost_ || (answeredAgainAt_ && aNow - *answeredAgainAt_ < aWindow);
 }
 
 } // namespace pumiceturn::metadata
--- a/Libraries/LibMetadata/StorePath.cpp
+++ b/Libraries/LibMetadata/StorePath.cpp
@@ -36,9 +36,9 @@
     return;
   }
   ++peersFailed_;
-  if (peersFailed_ >= kPeersAsked) {
+  if (peersFailed_ >= kMaxPeersAsked) {
     peersFailed_ = 0;
-    peersAfter_ = aNow + kPeerPause;
+    askPeersAfter_ = aNow + kPeerPause;
   }
 }
 
--- a/Libraries/LibMetadata/StorePath.h
+++ b/Libraries/LibMetadata/StorePath.h
@@ -6,60 +6,61 @@
 
 namespace pumiceturn::metadata {
 
-/// How a call ended on one way to the store.
+/// Result of a call over one path to the store, direct or through a peer.
 enum class PathOutcome : std::uint8_t
 {
   Served,
-  Refused,    ///< Certainly not carried out.
-  Throttled,  ///< Certainly not carried out: too many calls.
-  Unanswered, ///< Cut off or silent: may have been carried out.
+  Refused,    ///< Certainly not executed.
+  Throttled,  ///< Certainly not executed: too many calls.
+  Unanswered, ///< Disconnected or timed out: may have been executed.
 };
 
-/// Whether this host's own way to the store is open, and whether a peer is
-/// asked meanwhile. Decides only; not thread-safe.
+/// Tracks whether this host's direct path to the store works, and whether peers
+/// may be asked to relay calls. Performs no I/O. Not thread-safe.
 ///
-/// The store may turn some hosts away and serve the others. Such a host would
-/// lose its registration after seconds, and with it the jobs it runs. One call
-/// that fails proves nothing, as single answers get lost; a probe decides.
+/// The store may reject some hosts and serve the others. Such a host would lose
+/// its registration within seconds, and with it the jobs it runs. A single
+/// failed call isn't enough, as responses get lost; a probe decides.
 class StorePath
 {
 public:
-  /// Peers that are asked one after the other before they are left alone.
-  static constexpr int kPeersAsked = 3;
+  /// Number of peers asked in succession before a pause.
+  static constexpr int kMaxPeersAsked = 3;
 
-  /// How long they are left alone: the store is then likely down for all.
+  /// Pause after that many peers failed, as the store is then probably down for
+  /// all hosts.
   static constexpr base::Duration kPeerPause{ std::chrono::seconds{ 1 } };
 
-  /// Records how a call on the own way ended.
-  /// @return whether a probe is to be sent now.
+  /// Records the result of a call over the direct path.
+  /// @return whether to send a probe now.
   [[nodiscard]] bool RecordDirect(PathOutcome aOutcome);
 
-  /// Records how a probe ended.
-  /// @return whether another one is to be sent after a pause.
+  /// Records the result of a probe.
+  /// @return whether to send another one after a pause.
   [[nodiscard]] bool RecordProbe(PathOutcome aOutcome);
 
-  /// Records whether a peer reached the store.
+  /// Records the result of a call relayed by a peer.
   void RecordPeer(PathOutcome aOutcome, base::Instant aNow);
 
-  /// @return whether calls on the own way are pointless for now.
+  /// @return whether the direct path is known to fail.
   [[nodiscard]] bool IsDirectPathLost() const { return state_ == State::Lost; }
 
   [[nodiscard]] bool MayAskPeer(base::Instant aNow) const
   {
-    return aNow >= peersAfter_;
+    return aNow >= askPeersAfter_;
   }
 
 private:
   enum class State : std::uint8_t
   {
     Open,
-    InDoubt, ///< A call failed, and a probe is under way.
+    InDoubt, ///< A call failed, and a probe is in progress.
     Lost,
   };
 
   State state_ = State::Open;
   int peersFailed_ = 0;
-  base::Instant peersAfter_{};
+  base::Instant askPeersAfter_{};
 };
 
 } // namespace pumiceturn::metadata
--- a/Libraries/LibMetadata/ViewTracker.cpp
+++ b/Libraries/LibMetadata/ViewTracker.cpp
@@ -5,19 +5,19 @@
 namespace pumiceturn::metadata {
 
 void
-ViewTracker::NoteComplete(base::BootInstant aMoment)
+ViewTracker::RecordComplete(base::BootInstant aMoment)
 {
   completeAsOf_ = std::max(completeAsOf_.value_or(aMoment), aMoment);
 }
 
 void
 ViewTracker::RecordRead(std::uint64_t aRevision,
-                        base::BootInstant aAskedAt,
+                        base::BootInstant aRequestedAt,
                         base::BootInstant aNow)
 {
-  NoteComplete(aAskedAt);
-  // Which part of a first read is news to others isn't known: to a copy that is
-  // older, any of it may be.
+  RecordComplete(aRequestedAt);
+  // Which items of a first read are changes for other hosts isn't known: for an
+  // older copy, any of them may be.
   if (followed_ == 0) {
     lastChange_ = aRevision;
   }
@@ -34,13 +34,13 @@
 }
 
 void
-ViewTracker::NoteAnswer(std::uint64_t aRevision,
-                        base::BootInstant aAskedAt,
-                        base::BootInstant aNow)
+ViewTracker::RecordAnswer(std::uint64_t aRevision,
+                          base::BootInstant aRequestedAt,
+                          base::BootInstant aNow)
 {
-  NoteComplete(aAskedAt);
+  RecordComplete(aRequestedAt);
   followed_ = std::max(followed_, aRevision);
-  if (markedStaleAt_ && aAskedAt < *markedStaleAt_) {
+  if (markedStaleAt_ && aRequestedAt < *markedStaleAt_) {
     return;
   }
   markedStaleAt_.reset();
@@ -57,19 +57,19 @@
   if (aView.lastChange_ > followed_) {
     return ReportOutcome::Gap;
   }
-  // A peer that is behind says nothing about what came later.
+  // A peer that is behind knows nothing of later changes.
   if (aView.followed_ < followed_) {
     return ReportOutcome::Ignored;
   }
   followed_ = aView.followed_;
   lastChange_ = aView.lastChange_;
   confirmedAt_ = std::max(confirmedAt_, aNow - aView.age_);
-  NoteComplete(aView.completeAsOf_);
+  RecordComplete(aView.completeAsOf_);
   return ReportOutcome::Current;
 }
 
 ReportOutcome
-ViewTracker::Judge(const MirrorDelta& aDelta) const
+ViewTracker::CheckDelta(const MirrorDelta& aDelta) const
 {
   if (markedStaleAt_) {
     return ReportOutcome::Ignored;
@@ -94,9 +94,9 @@
 }
 
 bool
-ViewTracker::IsConfirmed(base::Duration aFreshFor, base::BootInstant aNow) const
+ViewTracker::IsConfirmed(base::Duration aLifetime, base::BootInstant aNow) const
 {
-  return !markedStaleAt_ && aNow < ConfirmedUntil(aFreshFor);
+  return !markedStaleAt_ && aNow < ConfirmedUntil(aLifetime);
 }
 
 MirrorView
--- a/Tests/LibMetadata/FakeStore.h
+++ b/Tests/LibMetadata/FakeStore.h
@@ -9,7 +9,7 @@
 
 namespace pumiceturn::metadata {
 
-/// Records calls; the test answers them.
+/// Records calls, which the test responds to.
 class FakeStore : public StoreClient
 {
 public:
@@ -27,7 +27,7 @@
   }
   void Watch(const std::string& /*aPrefix*/,
              std::uint64_t aAfterRevision,
-             base::Duration /*aLongestWait*/,
+             base::Duration /*aMaxWait*/,
              Callback<WatchResponse> aCallback) override
   {
     watches_.push_back({ aAfterRevision, std::move(aCallback) });
@@ -53,9 +53,9 @@
     ends_.push_back(std::move(aCallback));
   }
 
-  /// Answers the oldest call of a queue.
+  /// Removes and returns the oldest call of a queue.
   template<typename Call>
-  static Call Take(std::deque<Call>& aCalls)
+  static Call Pop(std::deque<Call>& aCalls)
   {
     Call call = std::move(aCalls.front());
     aCalls.pop_front();
--- a/Tests/LibMetadata/FollowerFleetTest.cpp
+++ b/Tests/LibMetadata/FollowerFleetTest.cpp
@@ -11,22 +11,22 @@
 
 using namespace std::chrono_literals;
 
-/// A fleet of hosts on virtual time, of which some follow one prefix. The store
-/// changes now and then; reports get lost as often as the test says.
+/// A fleet of hosts on virtual time, some of which follow one prefix. The store
+/// changes periodically; reports are lost at the rate lossShare_.
 class FollowedPrefixFixture
 {
 protected:
   static constexpr base::Duration kStep = 100ms;
-  static constexpr base::Duration kTrust = 1s;
+  static constexpr base::Duration kFreshnessLifetime = 1s;
   static constexpr std::size_t kHosts = 400;
-  /// Steps from one change in the store to the next.
-  static constexpr int kChangeEvery = 20;
+  /// Number of steps between changes in the store.
+  static constexpr int kStepsPerChange = 20;
 
   struct Host
   {
     std::string name_;
     bool isUp_ = true;
-    FollowerSelector choice_;
+    FollowerSelector selector_;
     ViewTracker tracker_;
   };
 
@@ -37,11 +37,11 @@
       hosts_.push_back({ name, true, FollowerSelector(name), {} });
       hosts_.back().tracker_.RecordRead(revision_, boot_, boot_);
     }
-    Play(1s);
+    Advance(1s);
     calls_ = 0;
   }
 
-  void Play(base::Duration aTime)
+  void Advance(base::Duration aTime)
   {
     for (base::Duration passed{}; passed < aTime; passed += kStep) {
       Step();
@@ -52,26 +52,27 @@
   {
     now_ += kStep;
     boot_ += kStep;
-    if (++steps_ % kChangeEvery == 0) {
+    if (++steps_ % kStepsPerChange == 0) {
       ++revision_;
     }
     for (Host& host : hosts_) {
       if (!host.isUp_) {
         continue;
       }
-      const bool follows = host.choice_.IsFollower("p/", { true, false }, now_);
-      if (follows || !host.tracker_.IsConfirmed(kTrust, boot_)) {
-        Ask(host);
+      const bool follows =
+        host.selector_.IsFollower("p/", { true, false }, now_);
+      if (follows || !host.tracker_.IsConfirmed(kFreshnessLifetime, boot_)) {
+        CallStore(host);
       }
       Report(host, follows);
     }
   }
 
-  void Ask(Host& aHost)
+  void CallStore(Host& aHost)
   {
     ++calls_;
     aHost.tracker_.RecordChange(revision_);
-    aHost.tracker_.NoteAnswer(revision_, boot_, boot_);
+    aHost.tracker_.RecordAnswer(revision_, boot_, boot_);
   }
 
   void Report(const Host& aSender, bool aFollows)
@@ -80,19 +81,20 @@
       if (&receiver == &aSender || !receiver.isUp_ || IsLost()) {
         continue;
       }
-      receiver.choice_.RecordPeer(aSender.name_, { true, false }, now_);
+      receiver.selector_.RecordPeer(aSender.name_, { true, false }, now_);
       if (!aFollows) {
         continue;
       }
       const MirrorView view = aSender.tracker_.View(boot_);
-      // What changed is told once, and later reports only how far the sender
-      // has got.
-      const bool isTold = view.lastChange_ == receiver.tracker_.Followed() + 1;
-      if (isTold && !IsLost()) {
+      // Each change is sent once; later reports only state the sender's
+      // revision.
+      const bool isNextChange =
+        view.lastChange_ == receiver.tracker_.Followed() + 1;
+      if (isNextChange && !IsLost()) {
         receiver.tracker_.RecordDelta(view, boot_);
       } else if (receiver.tracker_.ApplyView(view, boot_) ==
                  ReportOutcome::Gap) {
-        Ask(receiver);
+        CallStore(receiver);
       }
     }
   }
@@ -114,7 +116,8 @@
   Host* Follower()
   {
     for (Host& host : hosts_) {
-      if (host.isUp_ && host.choice_.IsFollower("p/", { true, false }, now_)) {
+      if (host.isUp_ &&
+          host.selector_.IsFollower("p/", { true, false }, now_)) {
         return &host;
       }
     }
@@ -131,38 +134,38 @@
   std::vector<Host> hosts_;
 };
 
-// Load: 400 hosts at rest. Each followed the store for itself, and calls grew
-// with the number of hosts.
+// Guards against calls to the store that grow with the number of idle hosts.
 TEST_CASE_METHOD(FollowedPrefixFixture,
-                 "FollowedPrefix_400HostsAtRest_OneHostCalls")
+                 "FollowedPrefix_400HostsIdle_OneHostCalls")
 {
-  Play(20s);
-  // One look of the follower each step.
+  Advance(20s);
+  // One call of the follower in each step.
   CHECK(calls_ <= 200);
   CHECK(HostsBehind() == 0);
 }
 
-// Load: one datagram in ten is lost. Each host that lacks a change asks once.
+// Guards against repeated calls of hosts that lack a change after datagrams
+// were lost.
 TEST_CASE_METHOD(FollowedPrefixFixture,
-                 "FollowedPrefix_DatagramsGetLost_OnlyThoseThatLackAChangeAsk")
+                 "FollowedPrefix_DatagramsLost_OnlyOutdatedHostsCall")
 {
   lossShare_ = 0.1;
-  Play(20s);
+  Advance(20s);
   const std::size_t changes = 10;
   CHECK(calls_ <= 200 + changes * kHosts / 4);
-  Play(kStep * 3);
+  Advance(kStep * 3);
   CHECK(HostsBehind() == 0);
 }
 
-// Load: the follower is lost. The whole fleet asked the store at once, or
-// nobody did and a change stayed unknown.
+// Guards against a fleet that queries the store all at once, or not at all,
+// after its follower is lost.
 TEST_CASE_METHOD(FollowedPrefixFixture,
-                 "FollowedPrefix_FollowerLost_FleetNeitherStormsNorWaits")
+                 "FollowedPrefix_FollowerLost_FewCallsAndNobodyBehind")
 {
   Host* follower = Follower();
   REQUIRE(follower != nullptr);
   follower->isUp_ = false;
-  Play(2s);
+  Advance(2s);
   CHECK(HostsBehind() == 0);
   CHECK(calls_ <= 40);
   CHECK(Follower() != nullptr);
--- a/Tests/LibMetadata/FollowerSelectorTest.cpp
+++ b/Tests/LibMetadata/FollowerSelectorTest.cpp
@@ -13,18 +13,18 @@
 
 using namespace std::chrono_literals;
 
-/// Hosts that tell each other their state each tenth of a second.
+/// Hosts that report their state to each other every 100 ms.
 class FollowerFleetFixture
 {
 protected:
-  static constexpr base::Duration kReport = 100ms;
+  static constexpr base::Duration kReportInterval = 100ms;
   static constexpr std::size_t kWorkers = 12;
 
   struct Host
   {
     std::string name_;
     FollowerState state_{ true, false };
-    FollowerSelector choice_;
+    FollowerSelector selector_;
   };
 
   void AddHosts(std::size_t aCount)
@@ -36,14 +36,16 @@
     }
   }
 
-  /// Lets time pass, with reports from whoever is heard.
-  void Pass(base::Duration aTime)
+  /// Advances time, with reports from each reachable host.
+  void Advance(base::Duration aTime)
   {
-    for (const base::Instant end = now_ + aTime; now_ < end; now_ += kReport) {
+    for (const base::Instant end = now_ + aTime; now_ < end;
+         now_ += kReportInterval) {
       for (const Host& sender : hosts_) {
         for (Host& receiver : hosts_) {
-          if (&sender != &receiver && hears_(receiver.name_, sender.name_)) {
-            receiver.choice_.RecordPeer(sender.name_, sender.state_, now_);
+          if (&sender != &receiver &&
+              isReachable_(receiver.name_, sender.name_)) {
+            receiver.selector_.RecordPeer(sender.name_, sender.state_, now_);
           }
         }
       }
@@ -54,7 +56,7 @@
   {
     std::set<std::string> followers;
     for (Host& host : hosts_) {
-      if (host.choice_.IsFollower(aPrefix, host.state_, now_)) {
+      if (host.selector_.IsFollower(aPrefix, host.state_, now_)) {
         followers.insert(host.name_);
       }
     }
@@ -70,15 +72,15 @@
 
   base::Instant now_{ std::chrono::hours(1) };
   std::vector<Host> hosts_;
-  std::function<bool(const std::string&, const std::string&)> hears_ =
+  std::function<bool(const std::string&, const std::string&)> isReachable_ =
     [](const std::string&, const std::string&) { return true; };
 };
 
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerSelector_400HostsHearEachOther_OneWorkerFollows")
+                 "FollowerSelector_400HostsReachable_OneWorkerFollows")
 {
   AddHosts(400);
-  Pass(300ms);
+  Advance(300ms);
   const auto followers = Followers("lots/");
   REQUIRE(followers.size() == 1);
   CHECK(Find(*followers.begin()).state_.isPreferred_);
@@ -88,7 +90,7 @@
                  "FollowerSelector_SeveralPrefixes_AreSpreadOverHosts")
 {
   AddHosts(400);
-  Pass(300ms);
+  Advance(300ms);
   std::set<std::string> followers;
   for (int prefix = 0; prefix < 8; ++prefix) {
     followers.merge(Followers("prefix" + std::to_string(prefix)));
@@ -97,49 +99,50 @@
 }
 
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerSelector_NobodyElseIsHeard_FollowsItself")
+                 "FollowerSelector_NoPeerReachable_FollowsItself")
 {
   AddHosts(1);
   CHECK(Followers("lots/").size() == 1);
 }
 
-// A configuration reaches nobody: the host that followed the store for all is
-// down, or frozen without knowing it, and the others wait for its word.
+// Guards against a fleet that keeps waiting for a follower that is down or
+// frozen.
 TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerSelector_FollowerFallsSilent_OneOtherFollowsSoon")
+                 "FollowerSelector_FollowerIsSilent_OneOtherFollows")
 {
   AddHosts(400);
-  Pass(300ms);
+  Advance(300ms);
   const std::string lost = *Followers("lots/").begin();
-  hears_ = [lost](const std::string& aReceiver, const std::string& aSender) {
+  isReachable_ = [lost](const std::string& aReceiver,
+                        const std::string& aSender) {
     return aReceiver != lost && aSender != lost;
   };
-  Pass(900ms);
+  Advance(900ms);
   auto followers = Followers("lots/");
-  // The one that was frozen believes that it is alone.
+  // The frozen host still considers itself the only one.
   CHECK(followers.erase(lost) == 1);
   CHECK(followers.size() == 1);
 
-  hears_ = [](const std::string&, const std::string&) { return true; };
-  Pass(200ms);
+  isReachable_ = [](const std::string&, const std::string&) { return true; };
+  Advance(200ms);
   CHECK(Followers("lots/") == std::set<std::string>{ lost });
 }
 
-// A follower that the store turns away lets all others grow stale.
+// Guards against stale copies at all hosts when the store rejects the follower.
 TEST_CASE_METHOD(FollowerFleetFixture,
                  "FollowerSelector_FollowerLosesTheStore_AnotherFollows")
 {
   AddHosts(40);
-  Pass(300ms);
+  Advance(300ms);
   const std::string first = *Followers("lots/").begin();
   Find(first).state_.mayFollow_ = false;
-  Pass(100ms);
+  Advance(100ms);
   const auto followers = Followers("lots/");
   CHECK(followers.size() == 1);
   CHECK_FALSE(followers.contains(first));
 }
 
-// Two halves of the fleet don't hear each other; each needs its own follower.
+// Guards against a half of a partitioned fleet without a follower.
 TEST_CASE_METHOD(FollowerFleetFixture,
                  "FollowerSelector_FleetSplit_EachHalfHasAFollower")
 {
@@ -148,10 +151,11 @@
   for (std::size_t index = 0; index < hosts_.size(); ++index) {
     half[hosts_[index].name_] = static_cast<int>(index % 2);
   }
-  hears_ = [&half](const std::string& aReceiver, const std::string& aSender) {
+  isReachable_ = [&half](const std::string& aReceiver,
+                         const std::string& aSender) {
     return half[aReceiver] == half[aSender];
   };
-  Pass(300ms);
+  Advance(300ms);
   const auto followers = Followers("lots/");
   REQUIRE(followers.size() == 2);
   CHECK(half[*followers.begin()] != half[*followers.rbegin()]);
--- a/Tests/LibMetadata/PeerClocksTest.cpp
+++ b/Tests/LibMetadata/PeerClocksTest.cpp
@@ -6,22 +6,22 @@
 
 using namespace std::chrono_literals;
 
-/// A peer whose clock shows another time and whose messages take 1 ms.
+/// A peer whose clock differs and whose messages take 1 ms.
 class PeerClocksFixture
 {
 protected:
-  static constexpr base::Duration kWay = 1ms;
+  static constexpr base::Duration kLatency = 1ms;
 
-  void Hear(int aMessages, base::Duration aWaited = 0ms)
+  void ReceiveMessages(int aMessages, base::Duration aDelay = 0ms)
   {
     for (int message = 0; message < aMessages; ++message) {
       clocks_.RecordMessage(
-        "peer", incarnation_, PeerTime(now_ - kWay - aWaited), now_);
+        "peer", incarnation_, PeerTime(now_ - kLatency - aDelay), now_);
       now_ += 100ms;
     }
   }
 
-  /// @return a moment of this host on the peer's clock.
+  /// @return a time of this host on the peer's clock.
   [[nodiscard]] base::BootInstant PeerTime(base::BootInstant aMoment) const
   {
     return aMoment - ahead_;
@@ -40,47 +40,49 @@
   PeerClocks clocks_;
 };
 
-TEST_CASE_METHOD(PeerClocksFixture, "PeerClocks_MessagesInTime_ErrsByTheWay")
+TEST_CASE_METHOD(PeerClocksFixture, "PeerClocks_MessagesPrompt_ErrorIsLatency")
 {
-  Hear(5);
-  CHECK(ErrorAt(now_ - 1s) == kWay);
+  ReceiveMessages(5);
+  CHECK(ErrorAt(now_ - 1s) == kLatency);
 }
 
-// A host that was frozen reads what waited in its socket, and takes its copy of
-// the declarations for fresh.
-TEST_CASE_METHOD(PeerClocksFixture, "PeerClocks_MessagesWaited_ErrsNoMore")
+// Guards against taking delayed messages for recent ones after a host was
+// frozen.
+TEST_CASE_METHOD(PeerClocksFixture,
+                 "PeerClocks_MessagesDelayed_ErrorStaysLatency")
 {
-  Hear(5);
+  ReceiveMessages(5);
   now_ += 8s;
-  Hear(20, 8s);
-  CHECK(ErrorAt(now_ - 9s) == kWay);
+  ReceiveMessages(20, 8s);
+  CHECK(ErrorAt(now_ - 9s) == kLatency);
 }
 
-// A host that starts reads only messages that have waited.
-TEST_CASE_METHOD(PeerClocksFixture, "PeerClocks_FewMessages_TellNothing")
+// Guards against using a clock difference taken only from delayed messages
+// after a start.
+TEST_CASE_METHOD(PeerClocksFixture, "PeerClocks_FewMessages_NoResult")
 {
-  Hear(4, 5s);
+  ReceiveMessages(4, 5s);
   CHECK_FALSE(ErrorAt(now_));
 }
 
 TEST_CASE_METHOD(PeerClocksFixture,
                  "PeerClocks_PeerStartsOnOtherMachine_Adapts")
 {
-  Hear(10);
+  ReceiveMessages(10);
   ahead_ = -3h;
   incarnation_ = 2;
-  Hear(1);
+  ReceiveMessages(1);
   CHECK_FALSE(ErrorAt(now_));
-  Hear(4);
-  CHECK(ErrorAt(now_ - 1s) == kWay);
+  ReceiveMessages(4);
+  CHECK(ErrorAt(now_ - 1s) == kLatency);
 }
 
 TEST_CASE_METHOD(PeerClocksFixture, "PeerClocks_ClocksDrift_Follows")
 {
-  Hear(200);
+  ReceiveMessages(200);
   ahead_ += 20ms;
-  Hear(250);
-  CHECK(ErrorAt(now_ - 1s) == kWay);
+  ReceiveMessages(250);
+  CHECK(ErrorAt(now_ - 1s) == kLatency);
 }
 
 } // namespace pumiceturn::metadata
--- a/Tests/LibMetadata/PrefixMirrorTest.cpp
+++ b/Tests/LibMetadata/PrefixMirrorTest.cpp
@@ -8,20 +8,20 @@
 
 namespace pumiceturn::metadata {
 
-/// A copy of a prefix, and a store that the test answers for.
+/// A copy of a prefix, and a store whose responses the test gives.
 class MirrorFixture
 {
 protected:
-  /// Registered anew without anything that matters to others.
+  /// Value of a registration that was written again without a relevant change.
   static constexpr const char* kHeartbeat = "heartbeat";
 
-  explicit MirrorFixture(base::Duration aFreshFor)
+  explicit MirrorFixture(base::Duration aFreshnessLifetime)
   {
     PrefixMirror::Options options;
     options.prefix_ = "p/";
-    options.pause_ = std::chrono::milliseconds(0);
+    options.pauseAfterChanges_ = std::chrono::milliseconds(0);
     options.retryPause_ = std::chrono::milliseconds(0);
-    options.freshFor_ = aFreshFor;
+    options.freshnessLifetime_ = aFreshnessLifetime;
     mirror_.emplace(
       context_, store_, health_, options, [this](const StoreItem& aItem) {
         ++changes_;
@@ -41,7 +41,7 @@
                    std::uint64_t aRevision,
                    bool aIsTruncated = false)
   {
-    FakeStore::Take(store_.ranges_)
+    FakeStore::Pop(store_.ranges_)
       .second({ StoreStatus::Ok, std::move(aItems), aIsTruncated, aRevision });
     Run();
   }
@@ -50,17 +50,17 @@
                    std::vector<StoreItem> aEvents = {},
                    std::uint64_t aRevision = 0)
   {
-    FakeStore::Take(store_.watches_)
+    FakeStore::Pop(store_.watches_)
       .callback_({ aStatus, std::move(aEvents), aRevision });
     Run();
   }
 
-  /// Runs what is due; timers of the far future stay.
+  /// Runs handlers that are due; timers in the far future stay pending.
   void Run()
   {
     context_.restart();
     context_.run_for(std::chrono::milliseconds(5));
-    // What a busy machine left undone in that time.
+    // Runs handlers that a busy machine did not get to in that time.
     context_.restart();
     context_.poll();
   }
@@ -74,7 +74,7 @@
   std::optional<PrefixMirror> mirror_;
 };
 
-/// A host that relies on nobody: it asks the store all the time.
+/// A host that doesn't rely on peers and queries the store all the time.
 class PrefixMirrorFixture : protected MirrorFixture
 {
 protected:
@@ -84,7 +84,8 @@
   }
 };
 
-TEST_CASE_METHOD(PrefixMirrorFixture, "PrefixMirror_SeveralPages_AreReadInTurn")
+TEST_CASE_METHOD(PrefixMirrorFixture,
+                 "PrefixMirror_SeveralPages_AreReadInOrder")
 {
   AnswerRange({ { "p/a", "1", 3 } }, 5, true);
   REQUIRE(store_.ranges_.size() == 1);
@@ -93,15 +94,16 @@
   AnswerRange({ { "p/b", "2", 4 } }, 9);
   CHECK(mirror_->IsComplete());
   CHECK(copy_.size() == 2);
-  // Following begins at the first page, whose later changes no page shows.
+  // The watch starts at the first page's revision, as no page shows later
+  // changes to it.
   REQUIRE(store_.watches_.size() == 1);
   CHECK(store_.watches_.front().after_ == 5);
 }
 
-// A draining server goes on getting requests. The store dropped its history
-// while the server left, and the watch that would have told was cut.
+// Guards against keeping keys that were removed while the store dropped its
+// history.
 TEST_CASE_METHOD(PrefixMirrorFixture,
-                 "PrefixMirror_HistoryLost_ReadsAnewAndDropsWhatIsGone")
+                 "PrefixMirror_HistoryLost_ReadsAgainAndDropsRemovedKeys")
 {
   AnswerRange({ { "p/a", "1", 3 }, { "p/b", "2", 4 } }, 5);
   AnswerWatch(StoreStatus::HistoryLost);
@@ -122,7 +124,7 @@
 }
 
 TEST_CASE_METHOD(PrefixMirrorFixture,
-                 "PrefixMirror_WatchFails_GoesOnWhereItWas")
+                 "PrefixMirror_WatchFails_ContinuesAtSameRevision")
 {
   AnswerRange({}, 5);
   AnswerWatch(StoreStatus::Unknown);
@@ -133,17 +135,18 @@
   CHECK_FALSE(health_.IsLost());
 }
 
-/// A host that does not follow the prefix itself; peers tell it what changes.
-class ToldMirrorFixture : protected MirrorFixture
+/// A host that doesn't follow the prefix itself and receives changes from
+/// peers.
+class PeerUpdatedMirrorFixture : protected MirrorFixture
 {
 protected:
-  ToldMirrorFixture()
+  PeerUpdatedMirrorFixture()
     : MirrorFixture(std::chrono::hours(1))
   {
     AnswerRange({ { "p/a", "1", 3 } }, 5);
   }
 
-  /// A report of a peer that the store answered just now.
+  /// Applies a report of a peer that the store has just responded to.
   void ApplyView(std::uint64_t aLastChange, std::uint64_t aFollowed)
   {
     mirror_->ApplyView({ aLastChange, aFollowed, {} }, base::Duration::zero());
@@ -151,8 +154,8 @@
   }
 };
 
-TEST_CASE_METHOD(ToldMirrorFixture,
-                 "PrefixMirror_PeersConfirmTheCopy_StoreIsNotAsked")
+TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
+                 "PrefixMirror_PeersConfirmCopy_StoreIsNotQueried")
 {
   ApplyView(5, 8);
   mirror_->ApplyDelta({ 5, { 9, 9, {} }, { { "p/a", "2", 9 } } }, {});
@@ -161,9 +164,9 @@
   CHECK(store_.watches_.empty());
 }
 
-// A configuration is in force at all hosts but one, which lost a datagram.
-TEST_CASE_METHOD(ToldMirrorFixture,
-                 "PrefixMirror_NewsWasLost_AsksTheStoreForIt")
+// Guards against a copy that stays outdated after a datagram was lost.
+TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
+                 "PrefixMirror_DeltaWasLost_QueriesStore")
 {
   ApplyView(9, 12);
   REQUIRE(store_.watches_.size() == 1);
@@ -174,11 +177,10 @@
   CHECK(store_.watches_.empty());
 }
 
-// A server that has left gets requests again: this host asked the store a
-// moment before a peer told it of the end, and the answer, which came after,
-// still showed the server.
-TEST_CASE_METHOD(ToldMirrorFixture,
-                 "PrefixMirror_AnswerOlderThanNews_DoesNotUndoThem")
+// Guards against a response of the store that undoes a newer change received
+// from a peer.
+TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
+                 "PrefixMirror_ResponseOlderThanDelta_DoesNotUndoIt")
 {
   mirror_->SetFollows(true);
   Run();
@@ -191,8 +193,8 @@
   CHECK(store_.watches_.front().after_ == 9);
 }
 
-TEST_CASE_METHOD(ToldMirrorFixture,
-                 "PrefixMirror_FollowerSeesChanges_PassesOnThoseThatMatter")
+TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
+                 "PrefixMirror_FollowerGetsChanges_ForwardsRelevantOnes")
 {
   mirror_->SetFollows(true);
   Run();
@@ -210,14 +212,14 @@
   CHECK(forwarded_.front().view_.followed_ == 9);
 }
 
-// Hundreds of hosts read a whole prefix at once, because the store dropped its
-// history and the one that follows it could not tell what was new.
-TEST_CASE_METHOD(ToldMirrorFixture,
-                 "PrefixMirror_FollowerReadsAnew_PassesOnWhatDiffers")
+// Guards against all hosts reading a whole prefix because the follower had to
+// read it again.
+TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
+                 "PrefixMirror_FollowerReadsAgain_ForwardsDifferences")
 {
   mirror_->SetFollows(true);
   Run();
-  FakeStore::Take(store_.watches_)
+  FakeStore::Pop(store_.watches_)
     .callback_({ StoreStatus::HistoryLost, {}, 0 });
   AnswerRange({ { "p/b", "new", 8 } }, 9);
   REQUIRE(forwarded_.size() == 1);
@@ -227,10 +229,9 @@
   CHECK(copy_ == std::map<std::string, std::string>{ { "p/b", "new" } });
 }
 
-// Requests go to servers that left while this host was frozen: it went on with
-// what peers had said before.
-TEST_CASE_METHOD(ToldMirrorFixture,
-                 "PrefixMirror_DidNotRun_AsksBeforeItTrustsPeers")
+// Guards against relying on peers' earlier reports after this host was frozen.
+TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
+                 "PrefixMirror_MarkedStale_QueriesStoreBeforePeersCount")
 {
   mirror_->MarkStale();
   Run();
@@ -248,7 +249,7 @@
     HostLease::Options options;
     options.key_ = "h/a";
     options.value_ = "v";
-    options.renewal_ = std::chrono::milliseconds(0);
+    options.renewalInterval_ = std::chrono::milliseconds(0);
     lease_.emplace(context_, store_, health_, options);
     lease_->Start();
   }
@@ -261,8 +262,8 @@
 
   void Register()
   {
-    FakeStore::Take(store_.grants_)({ StoreStatus::Ok, 7 });
-    FakeStore::Take(store_.commits_).second({ StoreStatus::Ok, 1, {} });
+    FakeStore::Pop(store_.grants_)({ StoreStatus::Ok, 7 });
+    FakeStore::Pop(store_.commits_).second({ StoreStatus::Ok, 1, {} });
     Run();
   }
 
@@ -274,17 +275,16 @@
 
 TEST_CASE_METHOD(HostLeaseFixture, "HostLease_Granted_RegistersUnderTheLease")
 {
-  FakeStore::Take(store_.grants_)({ StoreStatus::Ok, 7 });
+  FakeStore::Pop(store_.grants_)({ StoreStatus::Ok, 7 });
   REQUIRE(store_.commits_.size() == 1);
   CHECK(store_.commits_.front().first.writes_.front().lease_ == 7);
 }
 
-// Jobs of a living host are taken over. The store was away, the host's lease
-// lapsed, and nothing registered the host again.
+// Guards against a running host that stays unregistered after its lease lapsed.
 TEST_CASE_METHOD(HostLeaseFixture, "HostLease_LeaseLapsed_RegistersAgain")
 {
   Register();
-  FakeStore::Take(store_.renewals_)({ StoreStatus::NotFound, 7 });
+  FakeStore::Pop(store_.renewals_)({ StoreStatus::NotFound, 7 });
   REQUIRE(store_.grants_.size() == 1);
   Register();
   CHECK(store_.renewals_.size() == 1);
@@ -295,28 +295,28 @@
 {
   Register();
   lease_->OnKeyRemoved();
-  FakeStore::Take(store_.renewals_)({ StoreStatus::Ok, 7 });
+  FakeStore::Pop(store_.renewals_)({ StoreStatus::Ok, 7 });
   CHECK(store_.commits_.size() == 1);
 }
 
-// A job on a worker's disk is said not to exist: the host that was asked
-// follows nothing and had not noticed that the store was away a moment ago.
+// Guards against a host that follows no prefix and doesn't notice an outage of
+// the store.
 TEST_CASE_METHOD(HostLeaseFixture, "HostLease_RenewalFails_StoreCountsAsLost")
 {
   Register();
   CHECK_FALSE(health_.IsLost());
-  FakeStore::Take(store_.renewals_)({ StoreStatus::Unknown, 7 });
+  FakeStore::Pop(store_.renewals_)({ StoreStatus::Unknown, 7 });
   CHECK(health_.IsLost());
 }
 
-TEST_CASE_METHOD(HostLeaseFixture, "HostLease_Ended_RenewsNoMore")
+TEST_CASE_METHOD(HostLeaseFixture, "HostLease_Ended_IsNotRenewed")
 {
   Register();
   bool isDone = false;
   lease_->End([&isDone] { isDone = true; });
-  FakeStore::Take(store_.ends_)({ StoreStatus::Ok, 7 });
+  FakeStore::Pop(store_.ends_)({ StoreStatus::Ok, 7 });
   CHECK(isDone);
-  FakeStore::Take(store_.renewals_)({ StoreStatus::NotFound, 7 });
+  FakeStore::Pop(store_.renewals_)({ StoreStatus::NotFound, 7 });
   CHECK(store_.grants_.empty());
 }
 
--- a/Tests/LibMetadata/StoreHealthTest.cpp
+++ b/Tests/LibMetadata/StoreHealthTest.cpp
@@ -19,10 +19,8 @@
   base::Instant now_{ std::chrono::hours{ 1 } };
 };
 
-// A request goes to an engine two seconds after that has left. A single call to
-// the store had failed and the next one was answered; the host took that for an
-// outage, in which registrations lapse though their engines live, and kept the
-// engine whose registration had been removed.
+// Guards against taking a single failed call for an outage and so keeping
+// engines that have left.
 TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_SingleFailedCall_IsNoOutage")
 {
   Call(true, 0);
@@ -34,9 +32,9 @@
   CHECK_FALSE(health_.RecoveredAt(now_));
 }
 
-// All engines of a service are taken for gone when the store is back after some
-// seconds, as their registrations lapsed meanwhile.
-TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_AwayForSeconds_IsAnOutage")
+// Guards against dropping all engines whose registrations lapsed in an outage.
+TEST_CASE_METHOD(StoreHealthFixture,
+                 "StoreHealth_UnavailableForSeconds_IsOutage")
 {
   Call(true, 0);
   Call(false, 1000);
@@ -47,8 +45,10 @@
   CHECK(health_.RecoveredAt(now_ + milliseconds(900)) == now_);
 }
 
-// After an outage a single call fails: the outage before is still the last one.
-TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_FailureAfterOutage_KeepsIt")
+// Guards against a single failed call that replaces the time of the last
+// outage.
+TEST_CASE_METHOD(StoreHealthFixture,
+                 "StoreHealth_FailureAfterOutage_KeepsRecoveryTime")
 {
   Call(false, 0);
   Call(true, 3000);
@@ -59,9 +59,9 @@
   CHECK(health_.RecoveredAt(now_) == returned);
 }
 
-// A job that was accepted during an outage is denied: the host reads the store,
-// which is back, before the hosts that keep the job have stored it.
-TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_LatelyLost_IsRemembered")
+// Guards against denying a job that was accepted in an outage and isn't in the
+// store yet.
+TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_RecentlyLost_IsReported")
 {
   Call(true, 0);
   CHECK_FALSE(health_.WasLostWithin(milliseconds(3000), now_));
--- a/Tests/LibMetadata/StorePathTest.cpp
+++ b/Tests/LibMetadata/StorePathTest.cpp
@@ -7,7 +7,7 @@
 class StorePathFixture
 {
 protected:
-  void LoseOwnWay()
+  void LoseDirectPath()
   {
     REQUIRE(path_.RecordDirect(PathOutcome::Refused));
     REQUIRE(path_.RecordProbe(PathOutcome::Refused));
@@ -23,7 +23,7 @@
   CHECK_FALSE(path_.IsDirectPathLost());
 }
 
-// One answer got lost on a connection; the store is well.
+// Guards against giving up the direct path after a single lost response.
 TEST_CASE_METHOD(StorePathFixture, "StorePath_OneCallFails_IsNotLostYet")
 {
   for (const PathOutcome outcome : { PathOutcome::Refused,
@@ -42,9 +42,10 @@
   CHECK_FALSE(path_.RecordDirect(PathOutcome::Unanswered));
 }
 
-TEST_CASE_METHOD(StorePathFixture, "StorePath_ProbeFails_IsLostUntilOneServes")
+TEST_CASE_METHOD(StorePathFixture,
+                 "StorePath_ProbeFails_IsLostUntilProbeSucceeds")
 {
-  LoseOwnWay();
+  LoseDirectPath();
   CHECK(path_.IsDirectPathLost());
   CHECK_FALSE(path_.RecordDirect(PathOutcome::Refused));
   CHECK(path_.RecordProbe(PathOutcome::Unanswered));
@@ -53,11 +54,12 @@
   CHECK_FALSE(path_.IsDirectPathLost());
 }
 
-// The store is down for all: hosts that ask peers only multiply calls.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_PeersFailToo_AreLeftAloneAWhile")
+// Guards against multiplied calls through peers while the store is down for all
+// hosts.
+TEST_CASE_METHOD(StorePathFixture, "StorePath_PeersFailToo_ArePaused")
 {
-  LoseOwnWay();
-  for (int peer = 0; peer < StorePath::kPeersAsked; ++peer) {
+  LoseDirectPath();
+  for (int peer = 0; peer < StorePath::kMaxPeersAsked; ++peer) {
     CHECK(path_.MayAskPeer(now_));
     path_.RecordPeer(PathOutcome::Refused, now_);
   }
@@ -65,9 +67,9 @@
   CHECK(path_.MayAskPeer(now_ + StorePath::kPeerPause));
 }
 
-TEST_CASE_METHOD(StorePathFixture, "StorePath_APeerServes_IsAskedAgain")
+TEST_CASE_METHOD(StorePathFixture, "StorePath_PeerServes_ResetsFailures")
 {
-  LoseOwnWay();
+  LoseDirectPath();
   path_.RecordPeer(PathOutcome::Refused, now_);
   path_.RecordPeer(PathOutcome::Refused, now_);
   path_.RecordPeer(PathOutcome::Served, now_);
