--- a/Benchmarks/Gateway/Main.cpp
+++ b/Benchmarks/Gateway/Main.cpp
@@ -143,7 +143,7 @@
     settings.host_ = "bench";
     settings.incarnation_ = "1";
     settings.failureDomain_ = "a";
-    settings.batchPreference_ = batch::BatchPreference::IfNoOther;
+    settings.batchPreference_ = batch::BatchPreference::Fallback;
     settings.callerAddress_ = kCallersAddress;
     return settings;
   }
--- a/Libraries/LibBatch/BatchJob.cpp
+++ b/Libraries/LibBatch/BatchJob.cpp
@@ -10,8 +10,9 @@
 
 constexpr auto kKeepInvalidBytes = json::error_handler_t::replace;
 
-/// Parses and reads with a function that may throw on a missing field.
-/// @return nothing where the text has another form.
+/// Parses JSON and converts it with a function that may throw on a missing
+/// field.
+/// @return the value, or nullopt if the text is malformed.
 template<typename Value, typename Reader>
 std::optional<Value>
 ReadJson(std::string_view aText, Reader&& aReader)
@@ -103,8 +104,9 @@
 EncodeProgress(const std::unordered_map<std::string, PartialOutput>& aProgress)
 {
   json rows = json::object();
-  for (const auto& [item, run] : aProgress) {
-    rows[item] = { { "event", run.lastEvent_ }, { "output", run.output_ } };
+  for (const auto& [item, partial] : aProgress) {
+    rows[item] = { { "event", partial.lastEvent_ },
+                   { "output", partial.output_ } };
   }
   return Write(rows);
 }
--- a/Libraries/LibBatch/BatchJob.h
+++ b/Libraries/LibBatch/BatchJob.h
@@ -13,23 +13,25 @@
 
 namespace pumiceturn::batch {
 
-/// One item as its sender gave it.
+/// One item of a job, as submitted.
 struct BatchItem
 {
   std::string id_;
   std::string path_;
-  std::vector<std::pair<std::string, std::string>> fields_; ///< HTTP fields.
+  /// HTTP header fields.
+  std::vector<std::pair<std::string, std::string>> fields_;
   std::string body_;
-  std::uint64_t tokens_ = 0; ///< Of the prompt and the longest output.
+  std::uint64_t tokens_ = 0; ///< Prompt tokens plus maximum output tokens.
 };
 
 enum class ItemState : std::uint8_t
 {
   Completed,
-  Errored, ///< Given up; has no output.
+  Errored, ///< Abandoned without output.
 };
 
-/// The result of one item. Immutable, with a position that never changes.
+/// The immutable result of one item. Its position in the job's results never
+/// changes.
 struct ItemResult
 {
   std::string item_;
@@ -39,7 +41,8 @@
   bool operator==(const ItemResult&) const = default;
 };
 
-/// A run that was stopped: another endpoint goes on after its last event.
+/// Output of an interrupted attempt. The next attempt resumes after its last
+/// event.
 struct PartialOutput
 {
   std::uint64_t lastEvent_ = 0;
@@ -48,35 +51,39 @@
   bool operator==(const PartialOutput&) const = default;
 };
 
-/// What is stored of a job besides its content and results.
+/// The stored state of a job, without its content and results.
 struct BatchJobState
 {
-  std::string owner_; ///< Host and incarnation that runs it; empty: none.
+  std::string owner_; ///< Host and incarnation that run the job; empty: none.
   std::int64_t acceptedAtMs_ = 0; ///< Unix time.
   std::uint32_t itemCount_ = 0;
-  std::uint32_t partCount_ = 0; ///< Keys that hold the content.
-  std::string hostName_;        ///< Of the request that submitted it.
+  std::uint32_t partCount_ = 0; ///< Number of keys that hold the content.
+  std::string hostName_;        ///< Host header of the submitting request.
   std::string path_;
-  bool isEnded_ = false;    ///< Its sender wants no more results.
-  bool isFinished_ = false; ///< Each item has its result.
-  /// Whose keys may read and end it; empty: anyone's, and callers without one.
+  bool isEnded_ = false;    ///< The submitter has ended the job.
+  bool isFinished_ = false; ///< Every item has a result.
+  /// Organisation whose API keys may read and end the job. Empty: any caller
+  /// may, with or without a key.
   std::string organisation_{};
 
   bool operator==(const BatchJobState&) const = default;
 };
 
-/// A job as this host knows it from the store.
+/// A job as read from the store so far.
 struct BatchJob
 {
   std::string id_;
   BatchJobState state_;
-  std::uint64_t stateRevision_ = 0; ///< 0: the state isn't known yet.
+  std::uint64_t stateRevision_ = 0; ///< 0: the state has not been read.
   std::map<std::uint32_t, std::string> parts_;
-  std::optional<std::vector<BatchItem>> items_; ///< Once all parts are here.
-  std::vector<ItemResult> results_;             ///< By position, without gaps.
-  std::map<std::uint32_t, std::vector<ItemResult>> pages_;  ///< Not yet joined.
-  std::unordered_map<std::string, PartialOutput> progress_; ///< By item.
-  /// Content and all results of a moment are here, not the state alone.
+  /// Set once all parts have been read.
+  std::optional<std::vector<BatchItem>> items_;
+  std::vector<ItemResult> results_; ///< Ordered by position, without gaps.
+  /// Pages after a gap, by position.
+  std::map<std::uint32_t, std::vector<ItemResult>> pages_;
+  /// Keyed by item ID.
+  std::unordered_map<std::string, PartialOutput> progress_;
+  /// Whether the content and all results have been read, not only the state.
   bool isLoaded_ = false;
 
   [[nodiscard]] bool IsOpen() const
@@ -85,14 +92,14 @@
   }
 };
 
-/// @return the tokens of all items.
+/// @return the total number of tokens of all items.
 std::uint64_t
 TokensOf(const std::vector<BatchItem>& aItems);
 
 std::string
 EncodeState(const BatchJobState& aState);
 
-/// @return nothing where the text is not a state.
+/// @return the state, or nullopt if the text is malformed.
 std::optional<BatchJobState>
 DecodeState(std::string_view aText);
 
--- a/Libraries/LibBatch/BatchJobKeys.cpp
+++ b/Libraries/LibBatch/BatchJobKeys.cpp
@@ -14,7 +14,7 @@
 }
 
 std::string
-BatchJobKeySpace::DataOf(std::string_view aJob) const
+BatchJobKeySpace::DataPrefix(std::string_view aJob) const
 {
   return fmt::format("{}{}/", dataPrefix_, aJob);
 }
@@ -26,13 +26,14 @@
     case KeyPart::State:
       return statePrefix_ + aKey.job_;
     case KeyPart::Progress:
-      return DataOf(aKey.job_) + "progress";
+      return DataPrefix(aKey.job_) + "progress";
     case KeyPart::Content:
-      return fmt::format("{}content/{:06}", DataOf(aKey.job_), aKey.number_);
+      return fmt::format(
+        "{}content/{:06}", DataPrefix(aKey.job_), aKey.number_);
     case KeyPart::Results:
       break;
   }
-  return fmt::format("{}result/{:06}", DataOf(aKey.job_), aKey.number_);
+  return fmt::format("{}result/{:06}", DataPrefix(aKey.job_), aKey.number_);
 }
 
 std::optional<BatchJobKey>
--- a/Libraries/LibBatch/BatchJobTable.h
+++ b/Libraries/LibBatch/BatchJobTable.h
@@ -12,13 +12,13 @@
 
 namespace pumiceturn::batch {
 
-/// All jobs as this host knows them: the states of all, and content and results
-/// of those that it runs. Takes the store's keys in any order. Belongs to the
-/// event thread.
+/// The jobs that this host has read from the store: the states of all jobs, and
+/// the content and results of loaded jobs. Keys may be applied in any order.
+/// Must be used on the event thread.
 class BatchJobTable
 {
 public:
-  /// Reads a job's content. The sender's format is the adapter's matter.
+  /// Decodes a job's content. Returns nullopt if it is malformed.
   using Decoder =
     std::function<std::optional<std::vector<BatchItem>>(std::string_view)>;
 
@@ -30,29 +30,30 @@
 
   [[nodiscard]] const BatchJobKeySpace& Keys() const { return keys_; }
 
-  /// Takes over a key as stored.
-  /// @return the job's id, if the key was one of a job.
+  /// Applies a key and value read from the store at a revision.
+  /// @return the job ID, or nullopt if the key is not a job key.
   std::optional<std::string> Apply(std::string_view aKey,
                                    std::string_view aValue,
                                    std::uint64_t aRevision);
 
-  /// A key was removed: with its state a job is gone.
+  /// Handles the removal of a key. Removing a state key removes the job.
   void Remove(std::string_view aKey);
 
-  /// @return nullptr where no such job is known here with its state.
+  /// @return the job, or nullptr if its state is not known.
   [[nodiscard]] const BatchJob* Find(const std::string& aId) const;
 
-  /// All keys of a job have been applied.
-  /// @return false if the content is not whole: another host is still storing.
+  /// Marks a job as loaded after all its keys have been applied.
+  /// @return false if the content is incomplete, for example while another host
+  ///   is still writing it.
   bool FinishLoading(const std::string& aId);
 
-  /// Forgets all of a job but its state.
+  /// Discards everything about a job except its state.
   void Unload(const std::string& aId);
 
-  /// @return ids of all jobs that may still get results.
+  /// @return the IDs of all jobs that are neither ended nor finished.
   [[nodiscard]] std::vector<std::string> OpenJobs() const;
 
-  /// @return all jobs that have a state.
+  /// @return the IDs of all jobs with a known state.
   [[nodiscard]] std::vector<std::string> AllJobs() const;
 
 private:
--- a/Libraries/LibBatch/HostSet.cpp
+++ b/Libraries/LibBatch/HostSet.cpp
@@ -19,11 +19,12 @@
   member.address_ = aAddress;
   std::string& owner = member.owner_;
   if (!owner.empty() && owner != aOwner) {
-    // The host has started anew: what its former process ran is free at once.
-    goneSince_[owner] = aNow - kGrace;
+    // The host has restarted: jobs of its previous process may be taken over
+    // immediately.
+    unregisteredSince_[owner] = aNow - kTakeoverDelay;
   }
   owner = aOwner;
-  goneSince_.erase(aOwner);
+  unregisteredSince_.erase(aOwner);
 }
 
 void
@@ -33,7 +34,7 @@
   if (found == members_.end()) {
     return;
   }
-  goneSince_[found->second.owner_] = aNow;
+  unregisteredSince_[found->second.owner_] = aNow;
   members_.erase(found);
 }
 
@@ -49,11 +50,11 @@
 }
 
 std::vector<PeerAddress>
-HostSet::PeersBut(const std::string& aButOwner) const
+HostSet::PeersExcept(const std::string& aExcludedOwner) const
 {
   std::vector<PeerAddress> peers;
   for (const auto& [host, member] : members_) {
-    if (member.owner_ != aButOwner && !member.address_.empty()) {
+    if (member.owner_ != aExcludedOwner && !member.address_.empty()) {
       peers.push_back({ host,
                         member.address_,
                         member.preference_ == BatchPreference::Worker });
@@ -90,7 +91,7 @@
 }
 
 bool
-HostSet::IsGone(const std::string& aOwner, base::Instant aNow) const
+HostSet::CanTakeOverFrom(const std::string& aOwner, base::Instant aNow) const
 {
   if (aOwner.empty()) {
     return true;
@@ -98,8 +99,8 @@
   if (IsLive(aOwner)) {
     return false;
   }
-  const auto since = goneSince_.try_emplace(aOwner, aNow).first->second;
-  return aNow - since >= kGrace;
+  const auto since = unregisteredSince_.try_emplace(aOwner, aNow).first->second;
+  return aNow - since >= kTakeoverDelay;
 }
 
 std::string
@@ -107,7 +108,7 @@
 {
   using Rank = std::pair<BatchPreference, std::uint64_t>;
   std::string best;
-  Rank bestRank{ BatchPreference::IfNoOther, 0 };
+  Rank bestRank{ BatchPreference::Fallback, 0 };
   const std::uint64_t seed = base::HashBytes(aJob);
   for (const auto& [host, member] : members_) {
     const Rank rank{ member.preference_, base::HashBytes(host, seed) };
--- a/Libraries/LibBatch/HostSet.h
+++ b/Libraries/LibBatch/HostSet.h
@@ -11,14 +11,14 @@
 
 namespace pumiceturn::batch {
 
-/// Whether a host is to run jobs.
+/// The preference with which a host is assigned jobs.
 enum class BatchPreference : std::uint8_t
 {
-  IfNoOther, ///< It serves callers, and steps in where no worker is left.
+  Fallback, ///< Entry host, assigned jobs only if no worker is live.
   Worker,
 };
 
-/// Where a host takes calls of other hosts.
+/// The address at which a host accepts calls from its peers.
 struct PeerAddress
 {
   std::string host_;
@@ -28,65 +28,71 @@
   bool operator==(const PeerAddress&) const = default;
 };
 
-/// The hosts that run jobs, as their registrations say, and which of them is to
-/// run a job. Belongs to the event thread.
+/// The registered hosts, and the assignment of jobs to them. Must be used on
+/// the event thread.
 class HostSet
 {
 public:
-  /// How long the jobs of a host that is gone wait for its return: a lease may
-  /// lapse while the store is away although the host lives.
-  static constexpr base::Duration kGrace{ std::chrono::milliseconds{ 1200 } };
-
-  /// @param aOwner Host and incarnation, as jobs name their owner.
-  /// @param aPreference Hosts of the highest preference alone are given jobs.
-  /// @param aAddress    IP:PORT for calls between hosts.
+  /// Delay before jobs of an unregistered host are taken over. The lease of a
+  /// live host may expire while the store is unavailable.
+  static constexpr base::Duration kTakeoverDelay{ std::chrono::milliseconds{
+    1200 } };
+
+  /// Adds or updates a host.
+  /// @param aOwner Host and incarnation, as stored in the job state.
+  /// @param aPreference Only hosts of the highest preference present are
+  ///   assigned jobs.
+  /// @param aAddress IP:PORT for calls from other hosts.
   void Put(const std::string& aHost,
            const std::string& aOwner,
            BatchPreference aPreference,
            const std::string& aAddress,
            base::Instant aNow);
+
+  /// Removes a host. Its jobs may be taken over after kTakeoverDelay.
   void Remove(const std::string& aHost, base::Instant aNow);
 
-  /// @return whether jobs of that owner may be taken over.
-  [[nodiscard]] bool IsGone(const std::string& aOwner,
-                            base::Instant aNow) const;
+  /// @return whether jobs of the owner may be taken over.
+  [[nodiscard]] bool CanTakeOverFrom(const std::string& aOwner,
+                                     base::Instant aNow) const;
 
-  /// @return where a live owner takes calls of other hosts, or nothing.
+  /// @return the IP:PORT at which a live owner accepts calls from other hosts,
+  ///   or nullopt if it is not live.
   [[nodiscard]] std::optional<std::string> AddressOf(
     const std::string& aOwner) const;
 
   [[nodiscard]] bool IsLive(const std::string& aOwner) const;
 
-  /// @return the live owner that is to run a job, by highest random weight: all
-  /// hosts that see the same registrations agree. Empty where none is live.
+  /// @return the live owner assigned to a job by rendezvous hashing, or an
+  ///   empty string if no host is live. Hosts with the same registrations
+  ///   choose the same owner.
   [[nodiscard]] std::string OwnerFor(std::string_view aJob) const;
 
-  /// @return whether hosts of that preference are given jobs now.
+  /// @return whether hosts with this preference are currently assigned jobs.
   [[nodiscard]] bool IsPreferred(BatchPreference aPreference) const;
 
-  /// @return how many live hosts are there to run jobs.
+  /// @return the number of live workers.
   [[nodiscard]] std::size_t WorkerCount() const;
 
-  /// @return how many hosts are live.
+  /// @return the number of live hosts.
   [[nodiscard]] std::size_t Count() const { return members_.size(); }
 
-  /// @return where the live hosts take calls of other hosts.
-  /// @param aButOwner Left out: the one who asks.
-  [[nodiscard]] std::vector<PeerAddress> PeersBut(
-    const std::string& aButOwner) const;
+  /// @return the addresses of the live hosts, without the given owner.
+  [[nodiscard]] std::vector<PeerAddress> PeersExcept(
+    const std::string& aExcludedOwner) const;
 
 private:
   struct Member
   {
     std::string owner_;
-    BatchPreference preference_ = BatchPreference::IfNoOther;
+    BatchPreference preference_ = BatchPreference::Fallback;
     std::string address_;
   };
 
-  std::unordered_map<std::string, Member> members_; ///< By host.
-  /// When an owner was last seen to be registered; hosts that were never seen
-  /// count from the first question.
-  mutable std::unordered_map<std::string, base::Instant> goneSince_;
+  std::unordered_map<std::string, Member> members_; ///< Keyed by host name.
+  /// When each owner was found to be unregistered. For an owner that was never
+  /// registered, the time of the first query.
+  mutable std::unordered_map<std::string, base::Instant> unregisteredSince_;
 };
 
 } // namespace pumiceturn::batch
--- a/Libraries/LibBatch/ItemSchedule.cpp
+++ b/Libraries/LibBatch/ItemSchedule.cpp
@@ -29,7 +29,8 @@
 }
 
 std::vector<std::size_t>
-ItemSchedule::StartableItems(base::Instant aNow, const HasSurvived& aHasLivedOn)
+ItemSchedule::StartableItems(base::Instant aNow,
+                             const HasSurvived& aHasSurvived)
 {
   std::vector<std::size_t> startable;
   for (std::size_t index = 0; index < items_.size(); ++index) {
@@ -37,9 +38,10 @@
     if (item.phase_ != Phase::Waiting || item.notBefore_ > aNow) {
       continue;
     }
-    std::erase_if(item.crashes_, [&aHasLivedOn](const Break& aBreak) {
-      return aHasLivedOn(aBreak.endpoint_, aBreak.at_);
-    });
+    std::erase_if(item.crashes_,
+                  [&aHasSurvived](const BrokenAttempt& aAttempt) {
+                    return aHasSurvived(aAttempt.endpoint_, aAttempt.at_);
+                  });
     if (item.crashes_.size() < kMaxCrashes) {
       startable.push_back(index);
     }
@@ -57,7 +59,7 @@
 
 std::optional<ItemResult>
 ItemSchedule::End(std::size_t aItem,
-                  ItemAttemptOutcome aEnd,
+                  ItemAttemptOutcome aOutcome,
                   PartialOutput aProgress,
                   base::Instant aNow)
 {
@@ -67,7 +69,7 @@
   }
   const bool hasAdvanced = aProgress.lastEvent_ > item.progress_.lastEvent_;
   item.progress_ = std::move(aProgress);
-  switch (aEnd) {
+  switch (aOutcome) {
     case ItemAttemptOutcome::Completed:
       return Finish(
         item, ItemState::Completed, std::move(item.progress_.output_));
--- a/Libraries/LibBatch/ItemSchedule.h
+++ b/Libraries/LibBatch/ItemSchedule.h
@@ -13,47 +13,46 @@
 
 namespace pumiceturn::batch {
 
-/// How a run of an item ended.
+/// The outcome of an attempt to run an item.
 enum class ItemAttemptOutcome : std::uint8_t
 {
   Completed,
-  Failed,     ///< The endpoint reported an error of its own.
-  Impossible, ///< The endpoint says that the item can never be done.
-  NotRun,     ///< The endpoint had no place.
-  Broken,     ///< The stream broke off.
-  Preempted,  ///< Cancelled here, for online work.
+  Failed,     ///< The endpoint reported an error.
+  Impossible, ///< The endpoint rejected the item permanently.
+  NotRun,     ///< The endpoint had no free slot.
+  Broken,     ///< The stream was interrupted.
+  Preempted,  ///< Cancelled in favour of online work.
 };
 
-/// What a job's route says of its items.
+/// Limits that the job's route sets for its items.
 struct ItemLimits
 {
-  std::uint32_t maxAttempts_ = 1; ///< Failures after which an item is given up.
+  /// Number of failures after which an item is abandoned.
+  std::uint32_t maxAttempts_ = 1;
   base::Instant dueAt_ = base::Instant::max();
   base::Instant giveUpAt_ = base::Instant::max();
 };
 
-/// Decides which item of a job runs next, and what becomes of it when its run
-/// ends. For the job's owner alone; takes the time as an argument. Not
-/// thread-safe.
+/// Tracks the items of a job: which may start, which are running and which are
+/// done. Used by the job's owner only. Not thread-safe.
 class ItemSchedule
 {
 public:
-  /// Endpoints that ended with an item's run, without a new event, after which
-  /// the item is held until it is given up: a request that crashes each
-  /// endpoint that runs it would take the whole fleet down. An endpoint that
-  /// lived on doesn't count: it only reset the connection.
+  /// Number of endpoint crashes during attempts without a new event after which
+  /// an item is not started again. Prevents an item that crashes endpoints from
+  /// taking down the whole fleet. An endpoint that survived the interruption
+  /// doesn't count.
   static constexpr std::size_t kMaxCrashes = 3;
 
-  /// Tells whether an endpoint lived on after a moment.
+  /// Returns whether an endpoint was still alive after a given time.
   using HasSurvived =
     std::function<bool(const std::string& aEndpoint, base::Instant aMoment)>;
 
-  /// Pause after a break or an error, so that an item doesn't go straight back
-  /// to the trouble that ended its run.
+  /// Delay before an item is retried after an interruption or an error.
   static constexpr base::Duration kRetryPause{ std::chrono::milliseconds{
     200 } };
 
-  /// Pause after an endpoint had no place.
+  /// Delay before an item is retried after its endpoint had no free slot.
   static constexpr base::Duration kNoSlotPause{ std::chrono::milliseconds{
     100 } };
 
@@ -65,36 +64,39 @@
   /// @return the indices of the items that may start now.
   [[nodiscard]] std::vector<std::size_t> StartableItems(
     base::Instant aNow,
-    const HasSurvived& aHasLivedOn);
+    const HasSurvived& aHasSurvived);
 
   [[nodiscard]] std::uint64_t TokensOf(std::size_t aItem) const
   {
     return items_[aItem].tokens_;
   }
 
-  /// @return what a run of the item goes on from.
+  /// @return the output from which the next attempt resumes.
   [[nodiscard]] const PartialOutput& ProgressOf(std::size_t aItem) const
   {
     return items_[aItem].progress_;
   }
 
+  /// Records the start of an attempt at an endpoint.
   void Start(std::size_t aItem, const std::string& aEndpoint);
 
-  /// Records the end of a run.
-  /// @param aProgress All events so far, those of earlier runs included.
-  /// @return the item's result, if it now has one.
+  /// Records the end of an attempt.
+  /// @param aProgress All events so far, including those of earlier attempts.
+  /// @return the item's result if the item is now done.
   std::optional<ItemResult> End(std::size_t aItem,
-                                ItemAttemptOutcome aEnd,
+                                ItemAttemptOutcome aOutcome,
                                 PartialOutput aProgress,
                                 base::Instant aNow);
 
-  /// Gives up what has waited too long and doesn't run.
+  /// Abandons all waiting items once the give-up time has passed.
+  /// @return their results.
   std::vector<ItemResult> GiveUp(base::Instant aNow);
 
-  /// @return the tokens of all items that have no result.
+  /// @return the total number of tokens of all items without a result.
   [[nodiscard]] std::uint64_t WaitingTokens() const;
 
-  /// @return partial runs of items without a result, for the next owner.
+  /// @return the partial outputs of items without a result, by item ID, for the
+  ///   next owner.
   [[nodiscard]] std::unordered_map<std::string, PartialOutput> Progress() const;
 
 private:
@@ -104,7 +106,7 @@
     Running,
     Done,
   };
-  struct Break
+  struct BrokenAttempt
   {
     std::string endpoint_;
     base::Instant at_;
@@ -116,8 +118,9 @@
     Phase phase_ = Phase::Waiting;
     PartialOutput progress_;
     std::uint32_t failures_ = 0;
-    std::string endpoint_;       ///< Of the run.
-    std::vector<Break> crashes_; ///< Not disproved yet.
+    std::string endpoint_; ///< Endpoint of the current attempt.
+    std::vector<BrokenAttempt>
+      crashes_; ///< Excludes endpoints known to have survived.
     base::Instant notBefore_;
   };
 
--- a/Libraries/LibBatch/LedgerCache.h
+++ b/Libraries/LibBatch/LedgerCache.h
@@ -11,44 +11,43 @@
 
 namespace pumiceturn::batch {
 
-/// A ledger as the store had it at a revision.
+/// A ledger at a revision of the store.
 struct LedgerView
 {
-  std::uint64_t revision_ = 0; ///< 0: none is known.
+  std::uint64_t revision_ = 0; ///< 0: not read yet.
   TokenLedger ledger_;
 };
 
-/// What a learned key was.
+/// The outcome of applying a ledger value to the cache.
 enum class LedgerUpdateOutcome : std::uint8_t
 {
-  Newer,
-  Old,        ///< As known, or older.
-  Unreadable, ///< Taken as empty: the hosts that run jobs add their rows anew.
+  Applied,
+  Stale,     ///< Not newer than the cached revision.
+  Malformed, ///< Treated as empty; the owners of jobs add their rows again.
 };
 
-/// The ledgers as this host last saw them, and how fast tokens leave
-/// them. A view may be old: a change is made under the condition that it is
-/// not, and the store's refusal brings the present one. Takes the time as an
-/// argument, does no I/O, is not thread-safe.
+/// Caches the ledgers read from the store and tracks how fast their tokens are
+/// released. A cached ledger may be stale, so writes expect its revision and a
+/// conflict returns the current value. Not thread-safe.
 class LedgerCache
 {
 public:
-  [[nodiscard]] const LedgerView& Of(const std::string& aLedger) const;
+  [[nodiscard]] const LedgerView& Get(const std::string& aLedger) const;
 
-  /// Takes over a ledger as the store has it.
+  /// Applies a ledger value read from the store, if it is newer.
   LedgerUpdateOutcome Update(const std::string& aLedger,
                              std::string_view aValue,
                              std::uint64_t aRevision,
                              base::Instant aNow);
 
-  /// @return when room for a job that doesn't fit now is expected, by how fast
-  ///         tokens were freed of late.
-  /// @param aRandom Uniform in [0, 1): spreads the returns of senders.
-  [[nodiscard]] base::Duration RoomExpectedAfter(const std::string& aLedger,
-                                                 std::uint64_t aTokens,
-                                                 std::uint64_t aCap,
-                                                 base::Instant aNow,
-                                                 double aRandom) const;
+  /// Estimates when a job will fit, from the recent release rate.
+  /// @param aRandom Jitter, uniform in [0, 1).
+  /// @return the time after which the submitter should retry.
+  [[nodiscard]] base::Duration EstimateRetryDelay(const std::string& aLedger,
+                                                  std::uint64_t aTokens,
+                                                  std::uint64_t aCap,
+                                                  base::Instant aNow,
+                                                  double aRandom) const;
 
 private:
   struct Release
@@ -59,10 +58,10 @@
   struct Entry
   {
     LedgerView view_;
-    std::deque<Release> releases_; ///< Of the last seconds.
+    std::deque<Release> releases_; ///< Within the rate window.
   };
 
-  std::unordered_map<std::string, Entry> entries_; ///< By ledger.
+  std::unordered_map<std::string, Entry> entries_; ///< Keyed by ledger name.
 };
 
 } // namespace pumiceturn::batch
--- a/Libraries/LibBatch/SpoolFiles.cpp
+++ b/Libraries/LibBatch/SpoolFiles.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::string_view kUnfinished = ".part";
+constexpr std::string_view kTemporarySuffix = ".part";
 
 std::optional<base::Failure>
 FailureOf(const base::Outcome<std::monostate>& aOutcome)
@@ -31,34 +31,34 @@
   : folder_(std::move(aFolder))
 {
   std::error_code ignored;
-  // Where it can't be made, each write says why.
+  // If this fails, each write reports an error.
   std::filesystem::create_directories(folder_, ignored);
 }
 
 std::filesystem::path
 SpoolFiles::PathOf(const std::string& aJob) const
 {
-  // A job's id comes from its sender and may hold any character.
+  // The job ID is chosen by the submitter and may contain any character.
   return folder_ / fmt::format("lot-{:016x}", base::HashBytes(aJob));
 }
 
 base::Result<void>
-SpoolFiles::WritePart(const std::filesystem::path& aPart,
-                      const SpooledJob& aJob)
+SpoolFiles::WriteTemporary(const std::filesystem::path& aTemporary,
+                           const SpooledJob& aJob)
 {
   const base::Disk disk = base::Disk::Real();
-  BOOST_LEAF_AUTO(file, base::OpenFile(aPart.string()));
+  BOOST_LEAF_AUTO(file, base::OpenFile(aTemporary.string()));
   BOOST_LEAF_CHECK(base::TruncateFile(*file, 0));
   BOOST_LEAF_CHECK(disk.write_(*file, EncodeSpooledJob(aJob), 0));
   return disk.sync_(*file);
 }
 
 base::Result<void>
-SpoolFiles::Rename(const std::filesystem::path& aPart,
+SpoolFiles::Rename(const std::filesystem::path& aTemporary,
                    const std::filesystem::path& aPath) const
 {
   std::error_code error;
-  std::filesystem::rename(aPart, aPath, error);
+  std::filesystem::rename(aTemporary, aPath, error);
   if (error) {
     return base::Fail(base::ResultCode::InputOutput,
                       fmt::format("rename: {}", error.message()));
@@ -70,13 +70,15 @@
 SpoolFiles::Write(const SpooledJob& aJob)
 {
   const std::filesystem::path path = PathOf(aJob.id_);
-  std::filesystem::path part = path;
-  part += kUnfinished;
-  auto error = FailureOf(base::Capture([&] { return WritePart(part, aJob); }));
+  std::filesystem::path temporary = path;
+  temporary += kTemporarySuffix;
+  auto error =
+    FailureOf(base::Capture([&] { return WriteTemporary(temporary, aJob); }));
   if (error) {
     return { std::move(error), false };
   }
-  return { FailureOf(base::Capture([&] { return Rename(part, path); })), true };
+  return { FailureOf(base::Capture([&] { return Rename(temporary, path); })),
+           true };
 }
 
 void
@@ -90,7 +92,7 @@
 SpoolFiles::ReadAll()
 {
   std::vector<SpooledJob> jobs;
-  std::vector<std::filesystem::path> broken;
+  std::vector<std::filesystem::path> incomplete;
   std::error_code error;
   for (const auto& entry :
        std::filesystem::directory_iterator(folder_, error)) {
@@ -100,10 +102,10 @@
     if (job && entry.path() == PathOf(job->id_)) {
       jobs.push_back(std::move(*job));
     } else {
-      broken.push_back(entry.path());
+      incomplete.push_back(entry.path());
     }
   }
-  for (const auto& path : broken) {
+  for (const auto& path : incomplete) {
     std::filesystem::remove(path, error);
   }
   return jobs;
--- a/Libraries/LibBatch/SpoolFiles.h
+++ b/Libraries/LibBatch/SpoolFiles.h
@@ -10,44 +10,43 @@
 
 namespace pumiceturn::batch {
 
-/// How the writing of a job went.
+/// The outcome of writing a job to disk.
 struct WriteOutcome
 {
-  std::optional<base::Failure> error_; ///< None: the job is on the disk.
-  /// After an error: the file has its name already, and may be there after a
-  /// restart.
-  bool mayBeThere_ = false;
+  std::optional<base::Failure> error_; ///< Not set: the job is durable.
+  /// After an error: whether the file may exist after a restart because it was
+  /// renamed before the error.
+  bool mayExist_ = false;
 };
 
-/// Held jobs as files, one each, in a folder. A file has its name only once its
-/// content is on the disk, so after a loss of power it is whole or isn't there.
-/// Each call waits for the disk. Not thread-safe.
+/// Stores spooled jobs as one file each in a folder. A file is renamed to its
+/// final name only after its content was synced, so after a power failure it is
+/// either complete or absent. All calls block on disk I/O. Not thread-safe.
 class SpoolFiles
 {
 public:
-  /// @param aFolder Made where it is missing.
+  /// @param aFolder Created if it does not exist.
   explicit SpoolFiles(std::filesystem::path aFolder);
 
-  /// Writes a job and waits until it would outlast a loss of power.
+  /// Writes a job durably.
   [[nodiscard]] WriteOutcome Write(const SpooledJob& aJob);
 
-  /// Removes a job's file. It may be back after a loss of power: whoever reads
-  /// it then finds that the store has the job.
+  /// Removes a job's file. The file may reappear after a power failure; the job
+  /// is then already in the store.
   void Remove(const std::string& aJob);
 
-  /// @return all whole jobs. Files that are not whole were never acknowledged
-  ///         and are removed.
+  /// Reads all jobs. Incomplete files were never acknowledged and are deleted.
   [[nodiscard]] std::vector<SpooledJob> ReadAll();
 
 private:
-  /// Makes a file with the job's content durable, under any name.
-  [[nodiscard]] static base::Result<void> WritePart(
-    const std::filesystem::path& aPart,
+  /// Writes and syncs a job to a temporary file.
+  [[nodiscard]] static base::Result<void> WriteTemporary(
+    const std::filesystem::path& aTemporary,
     const SpooledJob& aJob);
 
-  /// Gives the file its name for good.
+  /// Renames a file and syncs the folder.
   [[nodiscard]] base::Result<void> Rename(
-    const std::filesystem::path& aPart,
+    const std::filesystem::path& aTemporary,
     const std::filesystem::path& aPath) const;
   [[nodiscard]] std::filesystem::path PathOf(const std::string& aJob) const;
 
--- a/Libraries/LibBatch/SpooledJob.h
+++ b/Libraries/LibBatch/SpooledJob.h
@@ -8,21 +8,21 @@
 
 namespace pumiceturn::batch {
 
-/// A job that was accepted before the store had it.
+/// A job that was accepted before it was in the store.
 struct SpooledJob
 {
   std::string id_;
   BatchJobState state_;
-  std::string content_; ///< As its sender gave it.
+  std::string content_; ///< As submitted.
 
   bool operator==(const SpooledJob&) const = default;
 };
 
-/// @return the job as one text with a checksum, for a disk or a peer.
+/// @return the job serialized with a checksum, for storage or transfer.
 std::string
 EncodeSpooledJob(const SpooledJob& aJob);
 
-/// @return nothing where the text is not whole.
+/// @return the job, or nullopt if the text is incomplete or corrupt.
 std::optional<SpooledJob>
 DecodeSpooledJob(std::string_view aText);
 
--- a/Libraries/LibBatch/StartOrder.cpp
+++ b/Libraries/LibBatch/StartOrder.cpp
@@ -7,23 +7,20 @@
 
 namespace {
 
-/// Part of an item's remaining time that is added to it, as online bursts put
-/// runs off. On virtual time (six seeds of a flood, lengths known as averages)
-/// 134 of 145 possible items are on time with a tenth, 130 with a quarter, 127
-/// with 0.4, 135 with none.
-constexpr double kMargin = 0.1;
+/// Share of the remaining run time added as a margin for preemption by online
+/// bursts.
+constexpr double kRemainingMargin = 0.1;
 
-/// From the last event until a reader has the result: it is stored, and readers
-/// come twice a second.
-constexpr std::chrono::milliseconds kListing{ 300 };
+/// Time from an item's last event until a reader has its result.
+constexpr std::chrono::milliseconds kPublishDelay{ 300 };
 
-/// Which part of the order an item belongs to.
+/// Groups of the start order.
 enum class Rank : std::uint8_t
 {
   Interrupted,
   Planned,
-  LeftOut,
-  OutOfReach,
+  Deferred,
+  Late,
 };
 
 struct Ranked
@@ -39,10 +36,10 @@
 }
 
 Rank
-FirstRank(const StartCandidate& aCandidate, base::Instant aNow)
+InitialRank(const StartCandidate& aCandidate, base::Instant aNow)
 {
-  if (!aCandidate.urgency_.IsInReach(aNow)) {
-    return Rank::OutOfReach;
+  if (!aCandidate.urgency_.CanFinishInTime(aNow)) {
+    return Rank::Late;
   }
   return aCandidate.hasStarted_ ? Rank::Interrupted : Rank::Planned;
 }
@@ -54,42 +51,41 @@
          std::make_pair(aRight.rank_, aRight.candidate_.urgency_.dueAt_);
 }
 
-/// Leaves out the oldest planned items until the others, one after the other at
-/// the host's places, are all in time.
-/// @param aRanked In order.
+/// Defers the oldest planned items until the others can all be done in time
+/// when run one after the other on the host's slots.
+/// @param aRanked Sorted with IsBefore().
 void
-LeaveOutOldest(std::vector<Ranked>& aRanked, const StartConditions& aConditions)
+DeferOldest(std::vector<Ranked>& aRanked, const StartConditions& aConditions)
 {
-  const double places = std::max(aConditions.slots_, 1.0);
-  // Work in place-seconds that is done before an item can start, from the
-  // present runs on.
+  const double slots = std::max(aConditions.slots_, 1.0);
+  // Work in slot-seconds ahead of each item, including the running attempts.
   std::vector<double> workBefore;
   double work = Seconds(aConditions.runningWork_);
   for (const Ranked& item : aRanked) {
     workBefore.push_back(work);
     work += Seconds(item.candidate_.urgency_.remaining_);
   }
-  // The work that must be left out before an item so that it is in time is the
-  // most that any item from there on needs.
+  // The work to defer ahead of an item is the maximum excess of that item and
+  // all later ones.
   const auto isPlanned = [](const Ranked& aItem) {
     return aItem.rank_ == Rank::Planned;
   };
   const auto begin = std::find_if(aRanked.begin(), aRanked.end(), isPlanned);
   const auto end = std::find_if_not(begin, aRanked.end(), isPlanned);
-  double mostExcess = 0.0;
+  double maxExcess = 0.0;
   std::size_t keptFrom = static_cast<std::size_t>(end - aRanked.begin());
   const auto first = static_cast<std::size_t>(begin - aRanked.begin());
   for (std::size_t index = keptFrom; index-- > first;) {
     const base::Duration slack =
       aRanked[index].candidate_.urgency_.LatestStart() - aConditions.now_;
-    const double excess = workBefore[index] - places * Seconds(slack);
-    mostExcess = std::max(mostExcess, excess);
-    if (workBefore[index] - workBefore[first] >= mostExcess) {
+    const double excess = workBefore[index] - slots * Seconds(slack);
+    maxExcess = std::max(maxExcess, excess);
+    if (workBefore[index] - workBefore[first] >= maxExcess) {
       keptFrom = index;
     }
   }
   for (std::size_t index = first; index < keptFrom; ++index) {
-    aRanked[index].rank_ = Rank::LeftOut;
+    aRanked[index].rank_ = Rank::Deferred;
   }
 }
 
@@ -98,9 +94,9 @@
 base::Instant
 ItemUrgency::LatestStart() const
 {
-  return dueAt_ - kListing -
+  return dueAt_ - kPublishDelay -
          std::chrono::duration_cast<base::Duration>(remaining_ *
-                                                    (1.0 + kMargin));
+                                                    (1.0 + kRemainingMargin));
 }
 
 std::vector<StartCandidate>
@@ -110,11 +106,11 @@
   std::vector<Ranked> ranked;
   ranked.reserve(aCandidates.size());
   for (StartCandidate& candidate : aCandidates) {
-    const Rank rank = FirstRank(candidate, aConditions.now_);
+    const Rank rank = InitialRank(candidate, aConditions.now_);
     ranked.push_back({ rank, std::move(candidate) });
   }
   std::stable_sort(ranked.begin(), ranked.end(), IsBefore);
-  LeaveOutOldest(ranked, aConditions);
+  DeferOldest(ranked, aConditions);
   std::stable_sort(ranked.begin(), ranked.end(), IsBefore);
   std::vector<StartCandidate> ordered;
   ordered.reserve(ranked.size());
@@ -129,10 +125,10 @@
                   const ItemUrgency& aOther,
                   base::Instant aNow)
 {
-  const bool isOneInReach = aOne.IsInReach(aNow);
-  const bool isOtherInReach = aOther.IsInReach(aNow);
-  if (isOneInReach != isOtherInReach) {
-    return !isOneInReach;
+  const bool canOneFinish = aOne.CanFinishInTime(aNow);
+  const bool canOtherFinish = aOther.CanFinishInTime(aNow);
+  if (canOneFinish != canOtherFinish) {
+    return !canOneFinish;
   }
   return aOne.LatestStart() > aOther.LatestStart();
 }
--- a/Libraries/LibBatch/StartOrder.h
+++ b/Libraries/LibBatch/StartOrder.h
@@ -8,17 +8,17 @@
 
 namespace pumiceturn::batch {
 
-/// When an item is due, and how long it still runs.
+/// The due time of an item and its estimated remaining run time.
 struct ItemUrgency
 {
   base::Instant dueAt_;
   base::Duration remaining_{ 0 };
 
-  /// @return the last moment at which the item can start to be done in time.
+  /// @return the latest time at which the item can start and be done when due.
   [[nodiscard]] base::Instant LatestStart() const;
 
-  /// @return whether a start now would be in time.
-  [[nodiscard]] bool IsInReach(base::Instant aNow) const
+  /// @return whether the item would be done when due if it started now.
+  [[nodiscard]] bool CanFinishInTime(base::Instant aNow) const
   {
     return LatestStart() >= aNow;
   }
@@ -30,36 +30,34 @@
   std::string job_;
   std::size_t item_ = 0;
   ItemUrgency urgency_;
-  bool hasStarted_ = false; ///< It was interrupted, and goes on from there.
+  bool hasStarted_ = false; ///< Whether an earlier attempt was interrupted.
 };
 
-/// What a host has to run items with.
+/// The capacity of a host to run items.
 struct StartConditions
 {
   base::Instant now_;
-  double slots_ = 1.0; ///< Runs that the host had at a time of late.
-  /// What the present runs still take, all together.
+  double slots_ = 1.0; ///< Recent average number of concurrent attempts.
+  /// Total remaining run time of the running attempts.
   base::Duration runningWork_{ 0 };
 };
 
-/// Orders items for the next free places:
+/// Orders items for the next free slots:
 ///
-/// 1. interrupted ones that can still be in time. Else many items are begun
-///    and few are finished while online bursts take the places by turns.
-/// 2. those that can be in time together, by due time. Where there is too much
-///    for all, the oldest are left out until the rest fits: an item that starts
-///    at its last moment ends just late, and the next one too, so that in a
-///    flood each place goes to an item whose time is just over.
-/// 3. what is left out, then what is out of reach, the oldest due time first.
-///
-/// Six times the jobs for 15 s on 12 engines: 36 in 100 items that were owed
-/// were on time by due time alone, 45 with this order (three plays each).
+/// 1. Interrupted items that can still be done in time. Otherwise many items
+/// would be started and few finished while online bursts preempt them.
+/// 2. Items that can be done in time together, by due time. Under overload the
+/// oldest items are deferred until the rest fits. Otherwise each slot would run
+/// an item that has just missed its due time.
+/// 3. Deferred items, then items that can no longer be done in time, by due
+/// time.
 [[nodiscard]] std::vector<StartCandidate>
 OrderStarts(std::vector<StartCandidate> aCandidates,
             const StartConditions& aConditions);
 
-/// @return whether a run should give way sooner than another one: out of reach
-/// first, where the delay costs least, and then the one with most laxity.
+/// @return whether an item should be preempted before another one: items that
+///   can no longer be done in time first, then those with the latest possible
+///   start.
 [[nodiscard]] bool
 IsPreemptedBefore(const ItemUrgency& aOne,
                   const ItemUrgency& aOther,
--- a/Libraries/LibBatch/TokenLedger.cpp
+++ b/Libraries/LibBatch/TokenLedger.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// More tokens than any job has; keeps sums of spoiled rows from wrapping.
+/// Upper bound per row, so that corrupt rows cannot overflow the total.
 constexpr std::uint64_t kMaxTokensPerJob = 1ULL << 40;
 
 } // namespace
 
 std::optional<std::uint64_t>
-TokenLedger::Of(const std::string& aJob) const
+TokenLedger::Find(const std::string& aJob) const
 {
   const auto row = entries_.find(aJob);
   return row == entries_.end() ? std::nullopt : std::optional(row->second);
@@ -23,7 +23,7 @@
 void
 TokenLedger::Set(const std::string& aJob, std::uint64_t aTokens)
 {
-  total_ -= Of(aJob).value_or(0);
+  total_ -= Find(aJob).value_or(0);
   total_ += aTokens;
   if (aTokens == 0) {
     entries_.erase(aJob);
--- a/Libraries/LibBatch/TokenLedger.h
+++ b/Libraries/LibBatch/TokenLedger.h
@@ -8,25 +8,26 @@
 
 namespace pumiceturn::batch {
 
-/// Tokens of accepted items that wait on one route, by job. The store keeps one
-/// ledger a capped route. Whoever accepts a job adds its row in the transaction
-/// that creates the job, so that hosts that accept at the same moment can't
-/// exceed the cap together; the host that runs a job lowers its row.
+/// Waiting tokens of accepted jobs on one route, by job. Accepting a job adds
+/// its row in the transaction that creates the job, so that hosts accepting
+/// concurrently cannot exceed the cap together. The owner of the job decreases
+/// its row.
 class TokenLedger
 {
 public:
   [[nodiscard]] std::uint64_t Total() const { return total_; }
 
-  /// @return whether a job of that many tokens may be accepted.
+  /// @return whether a job with this many tokens may be accepted.
   [[nodiscard]] bool Fits(std::uint64_t aTokens, std::uint64_t aCap) const
   {
     return aTokens <= aCap && total_ <= aCap - aTokens;
   }
 
-  /// @return the tokens of a job that wait, or nothing where it has no row.
-  [[nodiscard]] std::optional<std::uint64_t> Of(const std::string& aJob) const;
+  /// @return the waiting tokens of a job, or nullopt if it has no row.
+  [[nodiscard]] std::optional<std::uint64_t> Find(
+    const std::string& aJob) const;
 
-  /// Adds a job or changes its row; zero tokens remove it.
+  /// Sets the row of a job; zero removes it.
   void Set(const std::string& aJob, std::uint64_t aTokens);
 
   [[nodiscard]] const std::map<std::string, std::uint64_t>& Entries() const
@@ -37,14 +38,15 @@
   bool operator==(const TokenLedger&) const = default;
 
 private:
-  std::map<std::string, std::uint64_t> entries_; ///< Without zeros.
-  std::uint64_t total_ = 0;                      ///< Of all rows.
+  /// Rows with zero tokens are removed.
+  std::map<std::string, std::uint64_t> entries_;
+  std::uint64_t total_ = 0; ///< Sum of all rows.
 };
 
 std::string
 EncodeLedger(const TokenLedger& aLedger);
 
-/// @return nothing where the text is no ledger.
+/// @return the ledger, or nullopt if the text is malformed.
 std::optional<TokenLedger>
 DecodeLedger(std::string_view aText);
 
--- a/Libraries/LibGateway/BatchJobCreation.cpp
+++ b/Libraries/LibGateway/BatchJobCreation.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Size of one stored part of a job's content; values are limited to 1 MB,
-/// and some stores count them in base64.
+/// Size of one part of a job's content. The store limits values to 1 MB, and
+/// some stores count them in base64.
 constexpr std::size_t kPartBytes = 600000;
 
 } // namespace
@@ -25,7 +25,7 @@
         0 });
     ++state.partCount_;
   }
-  const std::string stateKey = aKeys.StateOf(aJob.id_);
+  const std::string stateKey = aKeys.StateKey(aJob.id_);
   transaction.expectations_.push_back({ stateKey, 0 });
   transaction.writes_.push_back({ stateKey, batch::EncodeState(state), 0 });
   return transaction;
--- a/Libraries/LibGateway/BatchJobCreation.h
+++ b/Libraries/LibGateway/BatchJobCreation.h
@@ -6,8 +6,8 @@
 
 namespace pumiceturn::gateway {
 
-/// @return what stores a new job, its content in parts. It takes effect once,
-///         whoever makes it and however often: the job's state must not exist.
+/// @return a transaction that creates a job and stores its content in parts. It
+///   expects that the job doesn't exist, so it takes effect only once.
 metadata::Transaction
 MakeCreation(const batch::BatchJobKeySpace& aKeys,
              const batch::SpooledJob& aJob);
--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -11,30 +11,26 @@
 
 namespace {
 
-/// When a caller should come back while the store can't tell. The store's
-/// outages last seconds; a caller takes a third of its time at most.
+/// Retry delay sent to callers when the store is unavailable.
 constexpr std::chrono::milliseconds kRetryAfter{ 400 };
 
-/// After an outage of the store, workers store the jobs that were accepted
-/// meanwhile: the call that finds the store back waits up to 1 s for its
-/// timeout, and 0.25 s until it is made again. Until then, a job that the store
-/// doesn't have may exist.
-constexpr std::chrono::milliseconds kHoldersNeed{ 3000 };
+/// Time after a store outage within which workers store the spooled jobs. Until
+/// then, a job that is missing in the store may still exist.
+constexpr std::chrono::milliseconds kSpoolRecoveryTime{ 3000 };
 
-/// Times that ending a job is tried against changes by others.
-constexpr std::uint32_t kEndTries = 8;
+/// Maximum number of retries when ending a job conflicts with other changes.
+constexpr std::uint32_t kMaxEndRetries = 8;
 
-/// Largest page of results in one answer.
+/// Maximum size of a page of results in one response.
 constexpr std::size_t kMaxPageBytes = 900000;
 
-/// Longest wait for the host that runs a job, beyond the reader's own wait.
-/// Callers wait 1.5 s longer than they allow, and the store may have to be
-/// asked afterwards.
-constexpr std::chrono::milliseconds kPassOnMargin{ 400 };
+/// Time allowed for a forwarded request beyond the reader's own wait. Leaves
+/// time to read from the store before the caller times out.
+constexpr std::chrono::milliseconds kForwardMargin{ 400 };
 
-/// @return the job that a reading call asks for, empty for any other call.
+/// @return the ID of the job to read, or an empty string for any other call.
 std::string
-JobOfReading(const BatchJobCall& aCall)
+JobIdOfRead(const BatchJobCall& aCall)
 {
   struct Visitor
   {
@@ -78,18 +74,18 @@
                         const BatchJobCall& aCall,
                         const CallerName& aCaller)
 {
-  if (const auto* unreadable = std::get_if<MalformedCall>(&aCall)) {
+  if (const auto* malformed = std::get_if<MalformedCall>(&aCall)) {
     aExchange->Respond(httpstream::MakeResponse(
-      httpstream::kStatusBadRequest, unreadable->reason_, "text/plain"));
+      httpstream::kStatusBadRequest, malformed->reason_, "text/plain"));
   } else if (const auto* end = std::get_if<EndBatchJob>(&aCall)) {
     WithState(aExchange,
               end->job_,
               aCaller,
               [this, aExchange](const batch::BatchJob& aJob) {
-                End(aExchange, aJob, kEndTries);
+                End(aExchange, aJob, kMaxEndRetries);
               });
   } else {
-    Read(aExchange, JobOfReading(aCall), aCall, aCaller);
+    Read(aExchange, JobIdOfRead(aCall), aCall, aCaller);
   }
 }
 
@@ -98,25 +94,25 @@
   const std::shared_ptr<httpstream::Exchange>& aExchange,
   const BatchJobCall& aCall)
 {
-  const batch::BatchJob* job = jobs_.Find(JobOfReading(aCall));
+  const batch::BatchJob* job = jobs_.Find(JobIdOfRead(aCall));
   if (job == nullptr || !job->isLoaded_) {
-    AnswerComeBack(*aExchange);
+    RespondRetryLater(*aExchange);
     return;
   }
-  AnswerLoaded(aExchange, *job, aCall, true);
+  RespondFromMemory(aExchange, *job, aCall, true);
 }
 
 void
-BatchJobHandler::AnswerComeBack(httpstream::Exchange& aExchange) const
+BatchJobHandler::RespondRetryLater(httpstream::Exchange& aExchange) const
 {
   aExchange.Respond(shared_.codec_.MakeNotRun(kRetryAfter));
 }
 
 void
-BatchJobHandler::AnswerNone(httpstream::Exchange& aExchange,
-                            const CallerName& aCaller) const
+BatchJobHandler::RespondNotFound(httpstream::Exchange& aExchange,
+                                 const CallerName& aCaller) const
 {
-  // A caller without a key must not learn which jobs there are.
+  // Don't reveal to callers without a key which jobs exist.
   const bool hasNoKey = aCaller && aCaller->empty();
   aExchange.Respond(
     hasNoKey ? shared_.codec_.MakeUnauthorised()
@@ -132,7 +128,7 @@
   if (!aCaller || organisation.empty() || organisation == *aCaller) {
     return true;
   }
-  AnswerNone(*aExchange, aCaller);
+  RespondNotFound(*aExchange, aCaller);
   return false;
 }
 
@@ -148,23 +144,23 @@
     }
     return;
   }
-  // The job may have been accepted elsewhere a moment ago.
-  loader_.ReadState(
-    aJob,
-    [this, aJob, aExchange, aCaller, use = std::move(aUse)](
-      metadata::StoreStatus aStatus) {
-      if (const batch::BatchJob* job = jobs_.Find(aJob)) {
-        onStateRead_(aJob);
-        if (IsAllowed(aExchange, *job, aCaller)) {
-          use(*job);
-        }
-      } else if (aStatus == metadata::StoreStatus::Ok &&
-                 !health_.WasLostWithin(kHoldersNeed, base::MonotonicNow())) {
-        AnswerNone(*aExchange, aCaller);
-      } else {
-        AnswerComeBack(*aExchange);
-      }
-    });
+  // The job may have just been accepted by another host.
+  loader_.ReadState(aJob,
+                    [this, aJob, aExchange, aCaller, use = std::move(aUse)](
+                      metadata::StoreStatus aStatus) {
+                      if (const batch::BatchJob* job = jobs_.Find(aJob)) {
+                        onStateRead_(aJob);
+                        if (IsAllowed(aExchange, *job, aCaller)) {
+                          use(*job);
+                        }
+                      } else if (aStatus == metadata::StoreStatus::Ok &&
+                                 !health_.WasLostWithin(kSpoolRecoveryTime,
+                                                        base::MonotonicNow())) {
+                        RespondNotFound(*aExchange, aCaller);
+                      } else {
+                        RespondRetryLater(*aExchange);
+                      }
+                    });
 }
 
 void
@@ -179,7 +175,7 @@
             [this, aExchange, aJob, aCall](const batch::BatchJob& aFound) {
               const std::string& owner = aFound.state_.owner_;
               if (aFound.isLoaded_) {
-                AnswerLoaded(aExchange, aFound, aCall, true);
+                RespondFromMemory(aExchange, aFound, aCall, true);
                 return;
               }
               const auto address = hosts_.AddressOf(owner);
@@ -197,8 +193,8 @@
                          const std::string& aAddress,
                          const BatchJobCall& aCall)
 {
-  httpstream::HttpClient* caller = clients_.Find(aAddress);
-  if (caller == nullptr) {
+  httpstream::HttpClient* client = clients_.Find(aAddress);
+  if (client == nullptr) {
     ReadFromStore(aExchange, aJob, aCall);
     return;
   }
@@ -211,8 +207,8 @@
   const auto* read = std::get_if<ReadResults>(&aCall);
   const base::Duration wait =
     read != nullptr ? read->longestWait_ : base::Duration::zero();
-  caller->Call(request,
-               wait + kPassOnMargin,
+  client->Call(request,
+               wait + kForwardMargin,
                [this, aExchange, aJob, aCall](httpstream::CallResult aResult) {
                  const bool isAnswer =
                    aResult.end_ == httpstream::CallOutcome::Complete &&
@@ -237,11 +233,11 @@
       const batch::BatchJob* job = jobs_.Find(aJob);
       if (aStatus != metadata::StoreStatus::Ok || job == nullptr ||
           !job->isLoaded_) {
-        AnswerComeBack(*aExchange);
+        RespondRetryLater(*aExchange);
         return;
       }
-      AnswerLoaded(aExchange, *job, aCall, false);
-      // What others run goes on without this host: its copy would grow old.
+      RespondFromMemory(aExchange, *job, aCall, false);
+      // Other hosts update their jobs, so this copy would become stale.
       if (job->state_.owner_ != ownName_) {
         jobs_.Unload(aJob);
       }
@@ -249,38 +245,38 @@
 }
 
 void
-BatchJobHandler::AnswerLoaded(const ExchangePtr& aExchange,
-                              const batch::BatchJob& aJob,
-                              const BatchJobCall& aCall,
-                              bool aMayWait)
+BatchJobHandler::RespondFromMemory(const ExchangePtr& aExchange,
+                                   const batch::BatchJob& aJob,
+                                   const BatchJobCall& aCall,
+                                   bool aMayWait)
 {
   if (const auto* read = std::get_if<ReadResults>(&aCall)) {
-    AnswerResults(aExchange, aJob, *read, aMayWait);
+    RespondResults(aExchange, aJob, *read, aMayWait);
   } else {
-    AnswerBody(aExchange, aJob, std::get<ReadItemBody>(aCall));
+    RespondItemBody(aExchange, aJob, std::get<ReadItemBody>(aCall));
   }
 }
 
 void
-BatchJobHandler::AnswerResults(const ExchangePtr& aExchange,
-                               const batch::BatchJob& aJob,
-                               const ReadResults& aCall,
-                               bool aMayWait)
+BatchJobHandler::RespondResults(const ExchangePtr& aExchange,
+                                const batch::BatchJob& aJob,
+                                const ReadResults& aCall,
+                                bool aMayWait)
 {
-  const base::Instant until = aExchange->ReceivedAt() + aCall.longestWait_;
+  const base::Instant deadline = aExchange->ReceivedAt() + aCall.longestWait_;
   const bool hasResult = aCall.position_ < aJob.results_.size();
   if (hasResult || !aMayWait || !aJob.IsOpen() ||
-      base::MonotonicNow() >= until) {
+      base::MonotonicNow() >= deadline) {
     SendResults(*aExchange, aJob, aCall.position_);
     return;
   }
-  readers_[aJob.id_].push_back({ aExchange, aCall.position_, until });
+  readers_[aJob.id_].push_back({ aExchange, aCall.position_, deadline });
 }
 
 void
-BatchJobHandler::AnswerBody(const ExchangePtr& aExchange,
-                            const batch::BatchJob& aJob,
-                            const ReadItemBody& aCall)
+BatchJobHandler::RespondItemBody(const ExchangePtr& aExchange,
+                                 const batch::BatchJob& aJob,
+                                 const ReadItemBody& aCall)
 {
   const auto item = std::find_if(
     aJob.items_->begin(), aJob.items_->end(), [&aCall](const auto& aItem) {
@@ -320,7 +316,7 @@
 void
 BatchJobHandler::End(const std::shared_ptr<httpstream::Exchange>& aExchange,
                      const batch::BatchJob& aJob,
-                     std::uint32_t aTriesLeft)
+                     std::uint32_t aRetriesLeft)
 {
   if (aJob.state_.isEnded_) {
     aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
@@ -328,10 +324,10 @@
   }
   batch::BatchJobState state = aJob.state_;
   state.isEnded_ = true;
-  const std::string key = jobs_.Keys().StateOf(aJob.id_);
+  const std::string key = jobs_.Keys().StateKey(aJob.id_);
   store_.Commit(
     MakeStateChange(jobs_.Keys(), aJob, state),
-    [this, aExchange, id = aJob.id_, key, state, aTriesLeft](
+    [this, aExchange, id = aJob.id_, key, state, aRetriesLeft](
       const metadata::TransactionResponse& aResponse) {
       using metadata::StoreStatus;
       if (aResponse.status_ == StoreStatus::Ok) {
@@ -348,8 +344,8 @@
       const batch::BatchJob* job = jobs_.Find(id);
       const bool mayRetry = aResponse.status_ == StoreStatus::Conflict ||
                             aResponse.status_ == StoreStatus::Unknown;
-      if (job != nullptr && mayRetry && aTriesLeft > 0) {
-        End(aExchange, *job, aTriesLeft - 1);
+      if (job != nullptr && mayRetry && aRetriesLeft > 0) {
+        End(aExchange, *job, aRetriesLeft - 1);
         return;
       }
       aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
@@ -385,7 +381,7 @@
   for (auto entry = readers_.begin(); entry != readers_.end();) {
     const batch::BatchJob* job = jobs_.Find(entry->first);
     std::erase_if(entry->second, [&](const Reader& aReader) {
-      const bool isOver = aReader.until_ <= aNow || job == nullptr;
+      const bool isOver = aReader.deadline_ <= aNow || job == nullptr;
       if (isOver && job != nullptr) {
         SendResults(*aReader.exchange_, *job, aReader.position_);
       } else if (isOver) {
--- a/Libraries/LibGateway/BatchJobHandler.h
+++ b/Libraries/LibGateway/BatchJobHandler.h
@@ -17,11 +17,11 @@
 
 namespace pumiceturn::gateway {
 
-/// Answers the callers' calls on accepted jobs: gives a job's results by
-/// position, its items' bodies, and ends it. Any host answers
-/// for any job: from memory where it runs the job, else by asking the host that
-/// runs it, else from the store; where that can't tell, the caller is told to
-/// come back. Belongs to the event thread.
+/// Handles callers' requests for accepted jobs: reading results and item
+/// bodies, and ending jobs. Any host can answer for any job: from memory if it
+/// runs the job, otherwise through the owner, otherwise from the store. If none
+/// of them can answer, the caller is asked to retry. Must be used on the event
+/// thread.
 class BatchJobHandler
 {
 public:
@@ -34,23 +34,24 @@
                   std::string aOwnName,
                   PeerClients& aClients);
 
-  /// Answers a call of a caller. What belongs to another organisation is not
-  /// there for it.
+  /// Handles a caller's request. Jobs of other organisations are reported as
+  /// not found.
   void Handle(const std::shared_ptr<httpstream::Exchange>& aExchange,
               const BatchJobCall& aCall,
               const CallerName& aCaller);
 
-  /// Answers a call that another host passes on, from memory alone.
+  /// Handles a request forwarded by another host, from memory only.
   void HandleForwarded(const std::shared_ptr<httpstream::Exchange>& aExchange,
                        const BatchJobCall& aCall);
 
-  /// A job's keys have changed: readers that wait for results may go on.
+  /// Answers readers that wait for the results of a job, after its keys have
+  /// changed.
   void OnJobChanged(const std::string& aJob);
 
-  /// Answers readers whose wait is over.
+  /// Answers readers whose maximum wait has passed.
   void Tick(base::Instant aNow);
 
-  /// Called with each job whose state was changed or read here.
+  /// Sets a callback for jobs whose state this handler has read or changed.
   void SetOnStateRead(std::function<void(const std::string&)> aCallback)
   {
     onStateRead_ = std::move(aCallback);
@@ -61,27 +62,27 @@
   {
     std::shared_ptr<httpstream::Exchange> exchange_;
     std::uint32_t position_ = 0;
-    base::Instant until_;
+    base::Instant deadline_;
   };
 
   using ExchangePtr = std::shared_ptr<httpstream::Exchange>;
 
-  /// Calls back with the job's state known, or answers the caller that there is
-  /// no such job for it, or that this can't be told now.
+  /// Calls back with the job once its state is known. Otherwise responds that
+  /// it was not found, or asks the caller to retry.
   void WithState(const ExchangePtr& aExchange,
                  const std::string& aJob,
                  const CallerName& aCaller,
                  std::function<void(const batch::BatchJob&)> aUse);
 
-  /// @return whether the job is the caller's; answers it where it isn't.
+  /// Checks whether the caller may access the job; responds with an error if
+  /// not.
   [[nodiscard]] bool IsAllowed(const ExchangePtr& aExchange,
                                const batch::BatchJob& aJob,
                                const CallerName& aCaller) const;
-  void AnswerNone(httpstream::Exchange& aExchange,
-                  const CallerName& aCaller) const;
+  void RespondNotFound(httpstream::Exchange& aExchange,
+                       const CallerName& aCaller) const;
 
-  /// Answers a reading call by the first way that works: memory, the host that
-  /// runs the job, the store.
+  /// Answers a read request from memory, through the owner or from the store.
   void Read(const ExchangePtr& aExchange,
             const std::string& aJob,
             const BatchJobCall& aCall,
@@ -95,21 +96,22 @@
                      const BatchJobCall& aCall);
 
   /// Answers from a loaded job.
-  void AnswerLoaded(const ExchangePtr& aExchange,
-                    const batch::BatchJob& aJob,
-                    const BatchJobCall& aCall,
-                    bool aMayWait);
-  void AnswerResults(const ExchangePtr& aExchange,
-                     const batch::BatchJob& aJob,
-                     const ReadResults& aCall,
-                     bool aMayWait);
-  static void AnswerBody(const ExchangePtr& aExchange,
+  /// @param aMayWait Whether to wait for a result that isn't available yet.
+  void RespondFromMemory(const ExchangePtr& aExchange,
                          const batch::BatchJob& aJob,
-                         const ReadItemBody& aCall);
-  void AnswerComeBack(httpstream::Exchange& aExchange) const;
+                         const BatchJobCall& aCall,
+                         bool aMayWait);
+  void RespondResults(const ExchangePtr& aExchange,
+                      const batch::BatchJob& aJob,
+                      const ReadResults& aCall,
+                      bool aMayWait);
+  static void RespondItemBody(const ExchangePtr& aExchange,
+                              const batch::BatchJob& aJob,
+                              const ReadItemBody& aCall);
+  void RespondRetryLater(httpstream::Exchange& aExchange) const;
   void End(const std::shared_ptr<httpstream::Exchange>& aExchange,
            const batch::BatchJob& aJob,
-           std::uint32_t aTriesLeft);
+           std::uint32_t aRetriesLeft);
   void SendResults(httpstream::Exchange& aExchange,
                    const batch::BatchJob& aJob,
                    std::uint32_t aPosition) const;
@@ -121,7 +123,7 @@
   const batch::HostSet& hosts_;
   const metadata::StoreHealth& health_;
   std::string ownName_;
-  PeerClients& clients_; ///< To the hosts that run jobs.
+  PeerClients& clients_; ///< HTTP clients for the other hosts.
   std::function<void(const std::string&)> onStateRead_;
   std::unordered_map<std::string, std::vector<Reader>> readers_;
 };
--- a/Libraries/LibGateway/BatchJobLoader.cpp
+++ b/Libraries/LibGateway/BatchJobLoader.cpp
@@ -9,13 +9,13 @@
 void
 BatchJobLoader::ReadState(const std::string& aJob, Done aDone)
 {
-  ReadPage(jobs_.Keys().StateOf(aJob), {}, std::move(aDone));
+  ReadPage(jobs_.Keys().StateKey(aJob), {}, std::move(aDone));
 }
 
 void
 BatchJobLoader::ReadData(const std::string& aJob, Done aDone)
 {
-  ReadPage(jobs_.Keys().DataOf(aJob),
+  ReadPage(jobs_.Keys().DataPrefix(aJob),
            {},
            [this, aJob, done = std::move(aDone)](StoreStatus aStatus) {
              if (aStatus == StoreStatus::Ok) {
--- a/Libraries/LibGateway/BatchJobLoader.h
+++ b/Libraries/LibGateway/BatchJobLoader.h
@@ -8,11 +8,11 @@
 
 namespace pumiceturn::gateway {
 
-/// Reads jobs from the store into the table. Belongs to the event thread.
+/// Reads jobs from the store into the table. Must be used on the event thread.
 class BatchJobLoader
 {
 public:
-  /// Receives how the reading went; after Ok the table has what the store has.
+  /// Receives the result. After Ok, the table holds the job as read.
   using Done = std::function<void(metadata::StoreStatus)>;
 
   BatchJobLoader(metadata::StoreClient& aStore, batch::BatchJobTable& aJobs)
@@ -24,8 +24,8 @@
   /// Reads a job's state.
   void ReadState(const std::string& aJob, Done aDone);
 
-  /// Reads a job's content, results and progress. The table's copy counts as
-  /// loaded afterwards, if the content was whole.
+  /// Reads a job's content, results and progress. Marks the job as loaded if
+  /// its content was complete.
   void ReadData(const std::string& aJob, Done aDone);
 
 private:
--- a/Libraries/LibGateway/BatchJobRetention.cpp
+++ b/Libraries/LibGateway/BatchJobRetention.cpp
@@ -9,18 +9,17 @@
 
 namespace {
 
-/// How often a host looks for jobs to remove.
-constexpr std::chrono::seconds kLookInterval{ 5 };
+/// Interval between scans for expired jobs.
+constexpr std::chrono::seconds kScanInterval{ 5 };
 
-/// Jobs that a host removes at a time: two calls each, spread over time.
-constexpr std::size_t kMostAtOnce = 4;
+/// Maximum number of jobs that a host removes concurrently.
+constexpr std::size_t kMaxConcurrentRemovals = 4;
 
-/// Keys in one transaction, of the platform's 32.
-constexpr std::size_t kMostRemovals = 30;
+/// Maximum number of content keys per transaction; the store allows 32 keys.
+constexpr std::size_t kMaxKeysPerTransaction = 30;
 
-/// An open job is removed too when it is this many times as old: its route has
-/// gone, or its sender never came back.
-constexpr int kOpenJobFactor = 10;
+/// Multiple of the retention after which an open job is removed too.
+constexpr int kOpenJobRetentionFactor = 10;
 
 } // namespace
 
@@ -38,26 +37,28 @@
 }
 
 bool
-BatchJobRetention::IsOver(const batch::BatchJob& aJob,
-                          base::WallTime aWallNow) const
+BatchJobRetention::IsExpired(const batch::BatchJob& aJob,
+                             base::WallTime aWallNow) const
 {
   const base::Duration age =
     aWallNow - base::FromUnixMs(aJob.state_.acceptedAtMs_);
-  return age > (aJob.IsOpen() ? retention_ * kOpenJobFactor : retention_);
+  return age >
+         (aJob.IsOpen() ? retention_ * kOpenJobRetentionFactor : retention_);
 }
 
 void
 BatchJobRetention::Tick(base::Instant aNow, base::WallTime aWallNow)
 {
-  if (aNow < nextLook_) {
+  if (aNow < nextScan_) {
     return;
   }
-  nextLook_ = aNow + kLookInterval;
+  nextScan_ = aNow + kScanInterval;
   for (const std::string& id : jobs_.AllJobs()) {
-    if (underWay_ >= kMostAtOnce) {
+    if (pendingRemovals_ >= kMaxConcurrentRemovals) {
       return;
     }
-    if (IsOver(*jobs_.Find(id), aWallNow) && hosts_.OwnerFor(id) == ownName_) {
+    if (IsExpired(*jobs_.Find(id), aWallNow) &&
+        hosts_.OwnerFor(id) == ownName_) {
       Remove(id);
     }
   }
@@ -66,32 +67,33 @@
 void
 BatchJobRetention::Remove(const std::string& aJob)
 {
-  ++underWay_;
+  ++pendingRemovals_;
   store_.Range(
-    jobs_.Keys().DataOf(aJob),
+    jobs_.Keys().DataPrefix(aJob),
     {},
     [this, aJob](metadata::RangeResponse aResponse) {
       if (aResponse.status_ != metadata::StoreStatus::Ok) {
-        --underWay_;
+        --pendingRemovals_;
         return;
       }
       const std::size_t count =
-        std::min(aResponse.items_.size(), kMostRemovals);
+        std::min(aResponse.items_.size(), kMaxKeysPerTransaction);
       metadata::Transaction transaction;
       for (std::size_t index = 0; index < count; ++index) {
         transaction.removals_.push_back(
           std::move(aResponse.items_[index].key_));
       }
-      // The state goes last: as long as it is there, a later look goes on.
+      // The state is removed last, so that later scans continue an incomplete
+      // removal.
       const bool isLast =
         count == aResponse.items_.size() && !aResponse.isTruncated_;
       if (isLast) {
-        transaction.removals_.push_back(jobs_.Keys().StateOf(aJob));
+        transaction.removals_.push_back(jobs_.Keys().StateKey(aJob));
       }
       base::Log(kBatchJobRemoved,
                 { { "lot", aJob }, { "keys", count }, { "last", isLast } });
       store_.Commit(transaction, [this](const metadata::TransactionResponse&) {
-        --underWay_;
+        --pendingRemovals_;
       });
     });
 }
--- a/Libraries/LibGateway/BatchJobSpool.cpp
+++ b/Libraries/LibGateway/BatchJobSpool.cpp
@@ -14,20 +14,20 @@
 
 namespace {
 
-/// All jobs kept at once: the largest that the platform takes, several times.
-constexpr std::size_t kMostBytes = 33554432;
+/// Maximum total size of spooled jobs.
+constexpr std::size_t kMaxBytes = 33554432;
 
-/// How long the host that is to run a job is left to store it alone. Within a
-/// second of its acceptance, other hosts must know the job.
-constexpr std::chrono::milliseconds kOwnerFirst{ 300 };
+/// Head start of the job's assigned owner in storing it.
+constexpr std::chrono::milliseconds kOwnerHeadStart{ 300 };
 
-/// How long a job that was stored still counts as held: this host's view of the
-/// ledger may be older than the job's row by the mirror's pause, the pause
-/// between two changes of the ledger, and a call without an answer.
+/// How long a stored job still counts towards the cap: this host's cached
+/// ledger may not contain its row yet.
 constexpr std::chrono::seconds kLedgerLag{ 3 };
 
-/// Pause before a failed call is made again, and how long a call may take.
+/// Delay before a failed transaction is retried.
 constexpr std::chrono::milliseconds kRetryPause{ 300 };
+
+/// Time after which a transaction without a response is retried.
 constexpr std::chrono::milliseconds kCallTimeout{ 1500 };
 
 } // namespace
@@ -82,7 +82,7 @@
 }
 
 std::string
-BatchJobSpool::LedgerOf(const batch::SpooledJob& aJob) const
+BatchJobSpool::LedgerNameOf(const batch::SpooledJob& aJob) const
 {
   const fleet::Route* route = CappedRouteOf(aJob);
   return route == nullptr
@@ -106,26 +106,26 @@
   if (route == nullptr) {
     return true;
   }
-  const std::string ledger = LedgerOf(aJob);
-  std::uint64_t held = aTokens;
+  const std::string ledger = LedgerNameOf(aJob);
+  std::uint64_t spooledTokens = aTokens;
   for (const auto& [id, entry] : spooled_) {
-    held += LedgerOf(entry.job_) == ledger ? entry.tokens_ : 0;
+    spooledTokens += LedgerNameOf(entry.job_) == ledger ? entry.tokens_ : 0;
   }
   for (const StoredBatchJob& stored : stored_) {
-    held += stored.ledger_ == ledger ? stored.tokens_ : 0;
+    spooledTokens += stored.ledger_ == ledger ? stored.tokens_ : 0;
   }
-  // Accepting by the ledger keeps to the cap itself, so what is beyond it there
-  // and on all disks must stay within what the bound allows. Each job is on so
-  // many of the workers' disks.
+  // Acceptance through the ledger enforces the cap, so any excess in the ledger
+  // and all spooled jobs must fit within the extra share. Each job is spooled
+  // by copies_ workers, so this host's spool is scaled up accordingly.
   const std::uint64_t cap = route->waitingTokenCap_;
-  const std::uint64_t counted = shared_.ledgers_.Of(ledger).ledger_.Total();
-  const double beyond = static_cast<double>(counted > cap ? counted - cap : 0);
+  const std::uint64_t counted = shared_.ledgers_.Get(ledger).ledger_.Total();
+  const double excess = static_cast<double>(counted > cap ? counted - cap : 0);
   const double workers =
     static_cast<double>(std::max<std::size_t>(hosts_.WorkerCount(), 1));
-  const double onAllDisks =
-    static_cast<double>(held) *
+  const double spooledByAll =
+    static_cast<double>(spooledTokens) *
     std::max(workers / static_cast<double>(copies_), 1.0);
-  return onAllDisks + beyond <= static_cast<double>(cap) * capShare_;
+  return spooledByAll + excess <= static_cast<double>(cap) * capShare_;
 }
 
 std::size_t
@@ -139,15 +139,15 @@
 }
 
 bool
-BatchJobSpool::IsAnothers(const batch::SpooledJob& aJob) const
+BatchJobSpool::BelongsToAnotherOrganisation(const batch::SpooledJob& aJob) const
 {
   const std::string& organisation = aJob.state_.organisation_;
   if (const batch::BatchJob* known = jobs_.Find(aJob.id_)) {
     return known->state_.organisation_ != organisation;
   }
-  const auto held = spooled_.find(aJob.id_);
-  return held != spooled_.end() &&
-         held->second.job_.state_.organisation_ != organisation;
+  const auto entry = spooled_.find(aJob.id_);
+  return entry != spooled_.end() &&
+         entry->second.job_.state_.organisation_ != organisation;
 }
 
 void
@@ -160,12 +160,12 @@
       httpstream::MakeResponse(httpstream::kStatusBadRequest, {}));
     return;
   }
-  if (isDraining_ || Bytes() + body.size() > kMostBytes) {
+  if (isDraining_ || Bytes() + body.size() > kMaxBytes) {
     aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
   }
-  if (IsAnothers(*job)) {
+  if (BelongsToAnotherOrganisation(*job)) {
     aExchange->Respond(
       httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     return;
@@ -185,14 +185,14 @@
   const base::Instant now = base::MonotonicNow();
   const std::string id = job->id_;
   const bool isOwner = hosts_.OwnerFor(id) == ownName_;
-  const base::Instant tryAt = isOwner ? now : now + kOwnerFirst;
+  const base::Instant nextAttemptAt = isOwner ? now : now + kOwnerHeadStart;
   const auto [entry, isNew] = spooled_.try_emplace(
-    id, Entry{ std::move(*job), tokens, now, tryAt, false });
+    id, Entry{ std::move(*job), tokens, now, nextAttemptAt, false });
   if (entry->second.isWritten_) {
     aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
   }
-  entry->second.waiting_.push_back(aExchange);
+  entry->second.pendingExchanges_.push_back(aExchange);
   if (!isNew) {
     return;
   }
@@ -207,10 +207,10 @@
 BatchJobSpool::OnWritten(const std::string& aJob,
                          const batch::WriteOutcome& aOutcome)
 {
-  // An entry stays until it is written.
+  // Entries are not erased before they are written.
   const auto found = spooled_.find(aJob);
   Entry& entry = found->second;
-  const auto waiting = std::exchange(entry.waiting_, {});
+  const auto waiting = std::exchange(entry.pendingExchanges_, {});
   unsigned status = httpstream::kStatusOk;
   if (aOutcome.error_) {
     base::Log(kBatchJobNotSpooled,
@@ -218,9 +218,10 @@
                 { "code", base::NameOf(aOutcome.error_->code_) },
                 { "error", aOutcome.error_->detail_ } });
     spooled_.erase(found);
-    // A file that may be there is stored after a restart: not a refusal.
-    status = aOutcome.mayBeThere_ ? httpstream::kStatusGatewayTimeout
-                                  : httpstream::kStatusUnavailable;
+    // A file that may exist is stored after a restart, so the job was not
+    // refused.
+    status = aOutcome.mayExist_ ? httpstream::kStatusGatewayTimeout
+                                : httpstream::kStatusUnavailable;
   } else {
     base::Log(kBatchJobSpooled, { { "lot", aJob }, { "from", "peer" } });
     entry.isWritten_ = true;
@@ -251,7 +252,7 @@
       Drop(id, "stored");
     } else if (age > retention_) {
       Drop(id, "too old");
-    } else if (!health_.IsLost() && aNow >= entry.tryAt_) {
+    } else if (!health_.IsLost() && aNow >= entry.nextAttemptAt_) {
       Store(entry, aNow);
     }
   }
@@ -260,11 +261,12 @@
 void
 BatchJobSpool::Store(Entry& aEntry, base::Instant aNow)
 {
-  aEntry.tryAt_ = aNow + kCallTimeout;
+  aEntry.nextAttemptAt_ = aNow + kCallTimeout;
   metadata::Transaction creation = MakeCreation(jobs_.Keys(), aEntry.job_);
-  const std::string ledger = LedgerOf(aEntry.job_);
+  const std::string ledger = LedgerNameOf(aEntry.job_);
   if (!ledger.empty()) {
-    // Accepted long since: it counts whether it fits or not.
+    // The job was already accepted, so it is counted even if it exceeds the
+    // cap.
     AddLedgerEntry(
       creation, shared_, jobs_.Keys(), ledger, aEntry.job_.id_, aEntry.tokens_);
   }
@@ -287,27 +289,27 @@
   }
   const bool hasLedger = !aLedger.empty();
   const bool isConflict = aResponse.status_ == StoreStatus::Conflict;
-  // Another host, or an earlier try, has stored it.
-  const bool isThere =
+  // Another host or an earlier attempt has stored the job.
+  const bool isStored =
     isConflict &&
-    (!hasLedger || ContainsKey(aResponse, jobs_.Keys().StateOf(aJob)));
-  if (aResponse.status_ == StoreStatus::Ok || isThere) {
+    (!hasLedger || ContainsKey(aResponse, jobs_.Keys().StateKey(aJob)));
+  if (aResponse.status_ == StoreStatus::Ok || isStored) {
     Drop(aJob, "stored");
     return;
   }
   if (isConflict) {
     UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aResponse);
-    found->second.tryAt_ = base::MonotonicNow();
+    found->second.nextAttemptAt_ = base::MonotonicNow();
     return;
   }
-  found->second.tryAt_ = base::MonotonicNow() + kRetryPause;
+  found->second.nextAttemptAt_ = base::MonotonicNow() + kRetryPause;
 }
 
 void
 BatchJobSpool::Drop(const std::string& aJob, std::string_view aReason)
 {
   const auto found = spooled_.find(aJob);
-  if (std::string ledger = LedgerOf(found->second.job_); !ledger.empty()) {
+  if (std::string ledger = LedgerNameOf(found->second.job_); !ledger.empty()) {
     stored_.push_back(
       { std::move(ledger), found->second.tokens_, base::MonotonicNow() });
   }
@@ -315,7 +317,7 @@
     kBatchJobUnspooled,
     { { "lot", aJob },
       { "reason", aReason },
-      { "ms", base::ToMs(base::MonotonicNow() - found->second.since_) } });
+      { "ms", base::ToMs(base::MonotonicNow() - found->second.spooledAt_) } });
   spooled_.erase(found);
   disk_.Run([this, aJob] { files_.Remove(aJob); });
 }
--- a/Libraries/LibGateway/BatchJobSpool.h
+++ b/Libraries/LibGateway/BatchJobSpool.h
@@ -20,22 +20,22 @@
 
 namespace pumiceturn::gateway {
 
-/// Keeps jobs on this host's disk that were accepted while the store could not
-/// take them, and stores them once it can. Several hosts keep each job, and any
-/// of them stores it; a job that is stored already stays as it is. Belongs to
-/// the event thread.
+/// Spools jobs on this host's disk that were accepted while the store was
+/// unavailable, and stores them later. Several hosts spool each job, and any of
+/// them may store it; storing a job again has no effect. Must be used on the
+/// event thread.
 class BatchJobSpool
 {
 public:
-  /// Begins the target of a peer's call that brings a job.
+  /// Prefix of the request target with which a peer sends a job.
   static constexpr std::string_view kTargetPrefix = "/held/";
 
-  /// @param aFolder    Where the files are.
-  /// @param aCapShare  Part of a route's cap that jobs kept on all disks may
-  ///   have beyond it, as the ledger can't be asked.
-  /// @param aCopies    Hosts that keep each job.
-  /// @param aRetention Jobs older than this are dropped: they were stored by
-  ///   another host and are removed from the store by now.
+  /// @param aFolder The folder of the spool files.
+  /// @param aCapShare Share of a route's cap that spooled jobs on all hosts may
+  ///   use in addition to the cap, as the ledger is unavailable.
+  /// @param aCopies Number of hosts that spool each job.
+  /// @param aRetention Jobs older than this are dropped: another host has
+  ///   stored them, and they have since been removed from the store.
   BatchJobSpool(boost::asio::io_context& aContext,
                 SharedState& aShared,
                 metadata::StoreClient& aStore,
@@ -48,16 +48,17 @@
                 double aCapShare,
                 std::size_t aCopies);
 
-  /// Reads what a former process of this host has kept.
+  /// Reads the jobs that a previous process has spooled.
   void Start();
 
-  /// Keeps a job that a peer brings, and answers once it is on the disk.
+  /// Spools a job sent by a peer, and responds once it is on disk.
   void Spool(const std::shared_ptr<httpstream::Exchange>& aExchange);
 
-  /// Takes no more jobs: the host leaves.
+  /// Rejects new jobs, because this host is shutting down.
   void SetDraining() { isDraining_ = true; }
 
-  /// Stores what can be stored.
+  /// Stores spooled jobs when the store is available, and drops those that are
+  /// stored or expired.
   void Tick(base::Instant aNow, base::WallTime aWallNow);
 
   [[nodiscard]] bool IsEmpty() const { return spooled_.empty(); }
@@ -68,14 +69,14 @@
   {
     batch::SpooledJob job_;
     std::uint64_t tokens_ = 0;
-    base::Instant since_;
-    base::Instant tryAt_;
+    base::Instant spooledAt_;
+    base::Instant nextAttemptAt_;
     bool isWritten_ = false;
-    /// Those who brought it and wait for the write under way.
-    std::vector<std::shared_ptr<httpstream::Exchange>> waiting_{};
+    /// Requests to answer once the pending write is done.
+    std::vector<std::shared_ptr<httpstream::Exchange>> pendingExchanges_{};
   };
 
-  /// A job on a capped route that this host kept until it was stored.
+  /// A recently stored job on a capped route.
   struct StoredBatchJob
   {
     std::string ledger_;
@@ -85,22 +86,24 @@
 
   void OnWritten(const std::string& aJob, const batch::WriteOutcome& aOutcome);
 
-  /// @return the job's route, if it bounds the tokens that may wait.
+  /// @return the job's route, or nullptr if it has no cap on waiting tokens.
   [[nodiscard]] const fleet::Route* CappedRouteOf(
     const batch::SpooledJob& aJob) const;
-  /// @return the name of the job's ledger, empty where its route has no cap.
-  [[nodiscard]] std::string LedgerOf(const batch::SpooledJob& aJob) const;
+  /// @return the name of the job's ledger, or an empty string if its route has
+  ///   no cap.
+  [[nodiscard]] std::string LedgerNameOf(const batch::SpooledJob& aJob) const;
   [[nodiscard]] std::uint64_t TokensOf(const batch::SpooledJob& aJob) const;
 
-  /// @return whether another organisation has a job under the same id.
-  [[nodiscard]] bool IsAnothers(const batch::SpooledJob& aJob) const;
+  /// @return whether the ID is used by another organisation's job.
+  [[nodiscard]] bool BelongsToAnotherOrganisation(
+    const batch::SpooledJob& aJob) const;
 
-  /// @return whether a job may be kept here by its route's cap.
+  /// @return whether spooling the job keeps within the cap of its route.
   [[nodiscard]] bool IsWithinCap(const batch::SpooledJob& aJob,
                                  std::uint64_t aTokens) const;
   void Store(Entry& aEntry, base::Instant aNow);
-  /// @param aLedger The ledger that was part of the call, though a
-  ///   configuration may have changed its route's cap since; empty: none was.
+  /// @param aLedger Ledger that was part of the transaction; empty: none. The
+  ///   route's cap may have changed since.
   void OnStored(const std::string& aJob,
                 const std::string& aLedger,
                 const metadata::TransactionResponse& aResponse);
@@ -116,11 +119,12 @@
   base::Duration retention_;
   double capShare_;
   std::size_t copies_;
-  /// Used on the disk's thread only, as the thread ends before it.
+  /// Used on the disk thread only. Declared before it, so that the thread ends
+  /// first.
   batch::SpoolFiles files_;
   DiskThread disk_;
   std::map<std::string, Entry> spooled_;
-  std::vector<StoredBatchJob> stored_; ///< Lately.
+  std::vector<StoredBatchJob> stored_; ///< Within kLedgerLag.
   bool isDraining_ = false;
 };
 
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -15,20 +15,20 @@
 
 namespace {
 
-/// How long a job is tried to be stored; its sender comes again afterwards.
+/// Time within which storing a job is retried.
 constexpr std::chrono::milliseconds kSubmitTimeout{ 2500 };
 
-/// Silence of the store after which a job is kept on workers' disks: the store
-/// answers within 10 ms, on a slow day within 250 ms, and senders count an
-/// answer after half a second as late.
-constexpr std::chrono::milliseconds kSpoolAfter{ 250 };
+/// Time without a response from the store after which a job is spooled on
+/// workers. Callers expect a response within half a second.
+constexpr std::chrono::milliseconds kSpoolDelay{ 250 };
 
 constexpr std::chrono::milliseconds kRetryAfter{ 300 };
 
-/// The store's first revision belongs to a key that is older than any route.
-constexpr std::uint64_t kNeverALedgersRevision = 1;
+/// A revision that no ledger can have, as the store's first key is older.
+constexpr std::uint64_t kImpossibleRevision = 1;
 
-/// @return a job's state, if the response to a refused transaction shows one.
+/// @return the job's state if the response to a conflicting transaction
+///   contains one.
 std::optional<batch::BatchJobState>
 FindState(const metadata::TransactionResponse& aResponse,
           const std::string& aKey)
@@ -43,13 +43,13 @@
 
 } // namespace
 
-/// A job on its way into the store or onto disks.
+/// A job that is being stored or spooled.
 struct BatchSubmissionHandler::Submission
 {
   enum class SpoolState : std::uint8_t
   {
     NotTried,
-    UnderWay,
+    InProgress,
     Failed,
   };
 
@@ -62,14 +62,14 @@
   batch::SpooledJob job_;
   metadata::Transaction creation_;
   std::string ledger_;
-  std::uint64_t cap_ = 0; ///< Of tokens in the ledger; 0: none.
+  std::uint64_t cap_ = 0; ///< Token cap of the ledger; 0: none.
   std::uint64_t tokens_ = 0;
   boost::asio::steady_timer spoolTimer_;
   base::Instant giveUpAt_;
   bool isCommitting_ = false;
   SpoolState spoolState_ = SpoolState::NotTried;
-  bool mayBeStored_ = false; ///< A try had no answer.
-  bool isOverCap_ = false;   ///< The store shows that it doesn't fit.
+  bool mayBeStored_ = false; ///< An attempt had no known outcome.
+  bool isOverCap_ = false;   ///< According to the store.
   bool isAnswered_ = false;
 };
 
@@ -119,9 +119,9 @@
 {
   const httpstream::Request& request = aExchange->GetRequest();
   const auto content = shared_.codec_.ReadBatchJobContent(request.body());
-  if (const auto* unreadable = std::get_if<MalformedCall>(&content)) {
+  if (const auto* malformed = std::get_if<MalformedCall>(&content)) {
     aExchange->Respond(httpstream::MakeResponse(
-      httpstream::kStatusBadRequest, unreadable->reason_, "text/plain"));
+      httpstream::kStatusBadRequest, malformed->reason_, "text/plain"));
     return;
   }
   const auto& items = std::get<std::vector<batch::BatchItem>>(content);
@@ -140,7 +140,7 @@
     return;
   }
   Commit(submission);
-  SpoolLater(submission);
+  ScheduleSpooling(submission);
 }
 
 void
@@ -158,7 +158,7 @@
 BatchSubmissionHandler::Fits(const Submission& aSubmission) const
 {
   return aSubmission.cap_ == 0 ||
-         shared_.ledgers_.Of(aSubmission.ledger_)
+         shared_.ledgers_.Get(aSubmission.ledger_)
            .ledger_.Fits(aSubmission.tokens_, aSubmission.cap_);
 }
 
@@ -178,11 +178,11 @@
                    aSubmission.tokens_);
     return transaction;
   }
-  // By what is known here, the job doesn't fit. That may be old, or the job may
-  // be there already: an expectation that can't hold makes the store tell both
-  // in one call.
-  const std::string key = jobs_.Keys().LedgerOf(aSubmission.ledger_);
-  transaction.expectations_.push_back({ key, kNeverALedgersRevision });
+  // The job doesn't fit according to the cached ledger, which may be stale, or
+  // the job may already exist. An expectation that always fails makes the store
+  // return the current ledger and the job's state in one call.
+  const std::string key = jobs_.Keys().LedgerKey(aSubmission.ledger_);
+  transaction.expectations_.push_back({ key, kImpossibleRevision });
   transaction.writes_.clear();
   transaction.writes_.push_back({ key, {}, 0 });
   return transaction;
@@ -200,7 +200,7 @@
   if (status == StoreStatus::Ok) {
     if (submission.cap_ > 0) {
       batch::TokenLedger ledger =
-        shared_.ledgers_.Of(submission.ledger_).ledger_;
+        shared_.ledgers_.Get(submission.ledger_).ledger_;
       ledger.Set(submission.job_.id_, submission.tokens_);
       shared_.ledgers_.Update(submission.ledger_,
                               batch::EncodeLedger(ledger),
@@ -223,7 +223,7 @@
     Commit(aSubmission);
   }
   Spool(aSubmission);
-  GiveUpIfOver(submission);
+  RespondIfFailed(submission);
 }
 
 void
@@ -232,10 +232,9 @@
   const metadata::TransactionResponse& aResponse)
 {
   Submission& submission = *aSubmission;
-  // The job is there already, by this call's earlier try or by another host: it
-  // is accepted once either way.
+  // The job already exists, through an earlier attempt or another host.
   const auto existing =
-    FindState(aResponse, jobs_.Keys().StateOf(submission.job_.id_));
+    FindState(aResponse, jobs_.Keys().StateKey(submission.job_.id_));
   if (existing) {
     AcceptExisting(submission, *existing);
     return;
@@ -250,32 +249,32 @@
   }
   if (!Fits(submission)) {
     submission.isOverCap_ = true;
-    RefuseOverCap(submission);
+    RejectOverCap(submission);
   } else if (base::MonotonicNow() < submission.giveUpAt_) {
     Commit(aSubmission);
   } else {
     Spool(aSubmission);
-    GiveUpIfOver(submission);
+    RespondIfFailed(submission);
   }
 }
 
 void
-BatchSubmissionHandler::RefuseOverCap(Submission& aSubmission)
+BatchSubmissionHandler::RejectOverCap(Submission& aSubmission)
 {
-  // A worker that may have the job on its disk will store it.
+  // A worker that has the job on disk will store it.
   if (aSubmission.isAnswered_ ||
-      aSubmission.spoolState_ == Submission::SpoolState::UnderWay) {
+      aSubmission.spoolState_ == Submission::SpoolState::InProgress) {
     return;
   }
   aSubmission.isAnswered_ = true;
   aSubmission.spoolTimer_.cancel();
-  const base::Duration comeBack =
-    shared_.ledgers_.RoomExpectedAfter(aSubmission.ledger_,
-                                       aSubmission.tokens_,
-                                       aSubmission.cap_,
-                                       base::MonotonicNow(),
-                                       NextRandom(shared_.random_));
-  const batch::LedgerView& view = shared_.ledgers_.Of(aSubmission.ledger_);
+  const base::Duration retryAfter =
+    shared_.ledgers_.EstimateRetryDelay(aSubmission.ledger_,
+                                        aSubmission.tokens_,
+                                        aSubmission.cap_,
+                                        base::MonotonicNow(),
+                                        NextRandom(shared_.random_));
+  const batch::LedgerView& view = shared_.ledgers_.Get(aSubmission.ledger_);
   base::Log(kBatchJobOverCap,
             { { "lot", aSubmission.job_.id_ },
               { "ledger", aSubmission.ledger_ },
@@ -284,18 +283,19 @@
               { "cap", aSubmission.cap_ },
               { "revision", view.revision_ },
               { "may_be_stored", aSubmission.mayBeStored_ },
-              { "come_back_ms", base::ToMs(comeBack) } });
-  // A refusal says that nothing runs: not where an earlier try had no answer.
+              { "come_back_ms", base::ToMs(retryAfter) } });
+  // Only respond with a rejection if the job cannot have been stored by an
+  // earlier attempt without a response.
   aSubmission.exchange_->Respond(
     aSubmission.mayBeStored_
       ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
-      : shared_.codec_.MakeRateLimited(comeBack));
+      : shared_.codec_.MakeRateLimited(retryAfter));
 }
 
 void
-BatchSubmissionHandler::SpoolLater(const SubmissionPtr& aSubmission)
+BatchSubmissionHandler::ScheduleSpooling(const SubmissionPtr& aSubmission)
 {
-  aSubmission->spoolTimer_.expires_after(kSpoolAfter);
+  aSubmission->spoolTimer_.expires_after(kSpoolDelay);
   aSubmission->spoolTimer_.async_wait(
     [this, aSubmission](const boost::system::error_code& aError) {
       if (!aError) {
@@ -311,9 +311,9 @@
       aSubmission->spoolState_ != Submission::SpoolState::NotTried) {
     return;
   }
-  aSubmission->spoolState_ = Submission::SpoolState::UnderWay;
+  aSubmission->spoolState_ = Submission::SpoolState::InProgress;
   spoolClient_.Spool(aSubmission->job_,
-                     hosts_.PeersBut(ownName_),
+                     hosts_.PeersExcept(ownName_),
                      [this, aSubmission](SpoolOutcome aOutcome) {
                        OnSpooled(aSubmission, aOutcome);
                      });
@@ -330,9 +330,9 @@
   aSubmission->spoolState_ = Submission::SpoolState::Failed;
   aSubmission->mayBeStored_ |= aOutcome.mayBeSpooled_;
   if (aSubmission->isOverCap_) {
-    RefuseOverCap(*aSubmission);
+    RejectOverCap(*aSubmission);
   } else {
-    GiveUpIfOver(*aSubmission);
+    RespondIfFailed(*aSubmission);
   }
 }
 
@@ -369,13 +369,13 @@
   base::Log(kBatchJobNotAccepted,
             { { "lot", aSubmission.job_.id_ },
               { "organisation", organisation },
-              { "reason", "id of another organisation's lot" } });
+              { "reason", "job ID is used by another organisation" } });
   aSubmission.exchange_->Respond(
     httpstream::MakeResponse(httpstream::kStatusConflict, {}));
 }
 
 void
-BatchSubmissionHandler::GiveUpIfOver(Submission& aSubmission)
+BatchSubmissionHandler::RespondIfFailed(Submission& aSubmission)
 {
   if (aSubmission.isAnswered_ || aSubmission.isCommitting_ ||
       aSubmission.spoolState_ != Submission::SpoolState::Failed) {
@@ -386,8 +386,8 @@
   base::Log(kBatchJobNotAccepted,
             { { "lot", aSubmission.job_.id_ },
               { "may_be_stored", aSubmission.mayBeStored_ } });
-  // "Not run" must be true: a call without an answer may still take effect, or
-  // a worker may have the job, and it would then run.
+  // "Not run" must be true: a transaction without a response may still take
+  // effect, or a worker may have spooled the job.
   aSubmission.exchange_->Respond(
     aSubmission.mayBeStored_
       ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
--- a/Libraries/LibGateway/BatchSubmissionHandler.h
+++ b/Libraries/LibGateway/BatchSubmissionHandler.h
@@ -16,11 +16,10 @@
 
 namespace pumiceturn::gateway {
 
-/// Accepts jobs: a caller hears that its job is accepted once the store has it
-/// or, where the store doesn't answer, once several workers have it on their
-/// disks. Where its route bounds the tokens that may wait, the job's row in the
-/// route's ledger is part of the same transaction. Belongs to the event
-/// thread.
+/// Accepts jobs. A job is accepted once it is in the store or, if the store
+/// does not respond, once several workers have spooled it on disk. On a route
+/// with a cap on waiting tokens, the transaction also adds the job's row to the
+/// ledger. Must be used on the event thread.
 class BatchSubmissionHandler
 {
 public:
@@ -33,8 +32,9 @@
                          PeerClients& aClients,
                          std::size_t aCopies);
 
-  /// @param aRoute  By which the job came.
-  /// @param aCaller Whose job it is.
+  /// @param aJob ID of the job.
+  /// @param aRoute Route of the request.
+  /// @param aCaller Organisation that submits the job.
   void Submit(std::shared_ptr<httpstream::Exchange> aExchange,
               const std::string& aJob,
               const fleet::Route& aRoute,
@@ -55,19 +55,20 @@
                    const metadata::TransactionResponse& aResponse);
   void OnConflict(const SubmissionPtr& aSubmission,
                   const metadata::TransactionResponse& aResponse);
-  void RefuseOverCap(Submission& aSubmission);
-  void SpoolLater(const SubmissionPtr& aSubmission);
+  void RejectOverCap(Submission& aSubmission);
+  void ScheduleSpooling(const SubmissionPtr& aSubmission);
   void Spool(const SubmissionPtr& aSubmission);
   void OnSpooled(const SubmissionPtr& aSubmission, SpoolOutcome aOutcome);
   void Accept(Submission& aSubmission, std::string_view aWhere);
 
-  /// Answers a job that is there already: accepted once again, unless it is
-  /// another organisation's.
+  /// Responds to a job whose ID already exists: accepted if the same
+  /// organisation owns it, otherwise a conflict.
   void AcceptExisting(Submission& aSubmission,
                       const batch::BatchJobState& aExisting);
 
-  /// Answers that the job isn't accepted, when no way is open any more.
-  void GiveUpIfOver(Submission& aSubmission);
+  /// Responds that the job was not accepted, if neither the store nor the spool
+  /// can still accept it.
+  void RespondIfFailed(Submission& aSubmission);
 
   SharedState& shared_;
   metadata::StoreClient& store_;
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -13,24 +13,21 @@
 
 namespace {
 
-/// Time that an endpoint may spend on one run of an item: the longest items
-/// take about 8 s.
+/// Time limit of one attempt, sent to the endpoint.
 constexpr std::chrono::seconds kItemTimeout{ 30 };
 
-/// How long a job's route must be missing to count as removed. Hosts have a new
-/// configuration within 2 to 3 s, and somewhat later when the store was away.
-constexpr std::chrono::seconds kRouteGoneAfter{ 10 };
+/// How long a route must be missing to count as removed. Longer than a new
+/// configuration takes to reach all hosts.
+constexpr std::chrono::seconds kRouteRemovalDelay{ 10 };
 
-/// How long a claim waits for its answer before another may be made.
+/// Time after which an unanswered claim is repeated.
 constexpr std::chrono::seconds kClaimTimeout{ 3 };
 
-/// Times of day of two hosts differ, and may jump by seconds on one of them. An
-/// item that is given up this much later than its route allows costs nobody
-/// anything; one that is given up sooner is lost. Within the process, times are
-/// steady.
+/// Tolerance for differences between the wall clocks of hosts, so that no item
+/// is abandoned before its give-up time.
 constexpr std::chrono::seconds kClockTolerance{ 10 };
 
-/// @return the time since a job's acceptance, as far as clocks of day tell.
+/// @return the time since a job's acceptance, by wall clock.
 base::Duration
 AgeOf(const batch::BatchJob& aJob)
 {
@@ -39,10 +36,9 @@
   return std::max(age, base::Duration::zero());
 }
 
-/// Weight of the present number of runs in the usual one, at each look while
-/// items wait: an average over the last 5 s, longer than a burst of online
-/// work.
-constexpr double kUsualRunsWeight = 0.02;
+/// Weight of a new sample in the average number of concurrent attempts. At the
+/// tick rate this averages over 5 s, longer than a burst of online work.
+constexpr double kAverageAttemptsWeight = 0.02;
 
 WaitingBatchJob
 MakeWaitingJob(const batch::BatchJob& aJob,
@@ -56,9 +52,9 @@
 }
 
 std::string_view
-NameOf(batch::ItemAttemptOutcome aEnd)
+NameOf(batch::ItemAttemptOutcome aOutcome)
 {
-  switch (aEnd) {
+  switch (aOutcome) {
     case batch::ItemAttemptOutcome::Completed:
       return "completed";
     case batch::ItemAttemptOutcome::Failed:
@@ -106,52 +102,54 @@
 
 void
 BatchWorker::UpdateLimits(const batch::BatchJob& aJob,
-                          OwnBatchJob& aOwn,
+                          OwnedJob& aOwned,
                           base::Instant aNow)
 {
-  batch::ItemLimits limits = aOwn.schedule_.Limits();
+  batch::ItemLimits limits = aOwned.schedule_.Limits();
   const fleet::Route* route = RouteOf(aJob);
   if (route != nullptr) {
-    aOwn.routeMissingSince_.reset();
+    aOwned.routeMissingSince_.reset();
     limits.maxAttempts_ = route->maxAttempts_;
-    limits.dueAt_ = aOwn.acceptedAt_ + route->dueAfter_;
-    limits.giveUpAt_ = aOwn.acceptedAt_ + route->giveUpAfter_ + kClockTolerance;
+    limits.dueAt_ = aOwned.acceptedAt_ + route->dueAfter_;
+    limits.giveUpAt_ =
+      aOwned.acceptedAt_ + route->giveUpAfter_ + kClockTolerance;
   } else {
-    // The route may come with a configuration that this host doesn't have yet.
-    // Only one that stays away was removed: what is left is given up then.
-    if (!aOwn.routeMissingSince_) {
-      aOwn.routeMissingSince_ = aNow;
+    // The configuration may not have reached this host yet. Waiting items are
+    // abandoned only if the route stays missing.
+    if (!aOwned.routeMissingSince_) {
+      aOwned.routeMissingSince_ = aNow;
     }
-    const bool isRemoved = shared_.routes_.Version() > 0 &&
-                           aNow - *aOwn.routeMissingSince_ > kRouteGoneAfter;
+    const bool isRemoved =
+      shared_.routes_.Version() > 0 &&
+      aNow - *aOwned.routeMissingSince_ > kRouteRemovalDelay;
     limits.giveUpAt_ = isRemoved ? aNow : base::Instant::max();
   }
-  aOwn.schedule_.SetLimits(limits);
+  aOwned.schedule_.SetLimits(limits);
 }
 
 void
 BatchWorker::OnJobChanged(const std::string& aJob)
 {
   const batch::BatchJob* job = jobs_.Find(aJob);
-  const auto own = own_.find(aJob);
-  const bool isOwned = own != own_.end();
-  // The store's watch may tell of a job's last result before the answer to the
-  // write arrives, or when that answer is lost. Leaving the job now would lose
-  // that result for readers here.
+  const auto owned = ownedJobs_.find(aJob);
+  const bool isOwned = owned != ownedJobs_.end();
+  // The store's watch may report a finished job before the response to the
+  // write of its last result arrives, or when that response is lost. Releasing
+  // the job now would lose that result for readers on this host.
   if (isOwned && job != nullptr && IsOwn(*job) && job->state_.isFinished_ &&
       results_.IsStoring(aJob)) {
     return;
   }
   if (job == nullptr || !IsOwn(*job) || !job->IsOpen()) {
     if (isOwned) {
-      Leave(aJob, job == nullptr || !job->IsOpen() ? "closed" : "taken over");
+      Release(aJob, job == nullptr || !job->IsOpen() ? "closed" : "taken over");
     }
     if (job != nullptr && !IsOwn(*job) && job->isLoaded_) {
       jobs_.Unload(aJob);
     }
     return;
   }
-  if (!isOwned && !leaving_) {
+  if (!isOwned && !isDraining_) {
     Load(aJob);
   }
 }
@@ -165,23 +163,23 @@
   loader_.ReadData(aJob, [this, aJob](metadata::StoreStatus /*aStatus*/) {
     loading_.erase(aJob);
     const batch::BatchJob* job = jobs_.Find(aJob);
-    // Without success the next look tries again.
+    // If loading failed, the next tick retries.
     if (job != nullptr && job->isLoaded_ && IsOwn(*job) && job->IsOpen() &&
-        !leaving_ && !own_.contains(aJob)) {
-      Take(*job);
+        !isDraining_ && !ownedJobs_.contains(aJob)) {
+      Acquire(*job);
     }
   });
 }
 
 void
-BatchWorker::Take(const batch::BatchJob& aJob)
+BatchWorker::Acquire(const batch::BatchJob& aJob)
 {
   const base::Instant now = base::MonotonicNow();
-  OwnBatchJob own{ batch::ItemSchedule(aJob, {}) };
-  own.acceptedAt_ = now - AgeOf(aJob);
+  OwnedJob owned{ batch::ItemSchedule(aJob, {}) };
+  owned.acceptedAt_ = now - AgeOf(aJob);
   results_.Begin(aJob);
-  UpdateLimits(aJob, own, now);
-  own_.emplace(aJob.id_, std::move(own));
+  UpdateLimits(aJob, owned, now);
+  ownedJobs_.emplace(aJob.id_, std::move(owned));
   claims_.erase(aJob.id_);
   base::Log(kBatchJobAcquired,
             { { "lot", aJob.id_ },
@@ -191,27 +189,27 @@
 }
 
 void
-BatchWorker::Leave(const std::string& aJob, std::string_view aReason)
+BatchWorker::Release(const std::string& aJob, std::string_view aReason)
 {
   std::vector<std::shared_ptr<ItemAttempt>> kept;
-  for (auto& run : runs_) {
-    if (run->JobId() == aJob) {
-      run->Cancel();
+  for (auto& attempt : attempts_) {
+    if (attempt->JobId() == aJob) {
+      attempt->Cancel();
     } else {
-      kept.push_back(std::move(run));
+      kept.push_back(std::move(attempt));
     }
   }
-  runs_ = std::move(kept);
+  attempts_ = std::move(kept);
   const batch::BatchJob* job = jobs_.Find(aJob);
   const fleet::Route* route = CappedRouteOf(aJob);
   if (route != nullptr && !job->IsOpen()) {
     closedJobs_.push_back(MakeWaitingJob(*job, *route, 0));
   }
   if (results_.IsStoring(aJob)) {
-    // Whether its results are stored isn't known here: readers ask the store.
+    // The outcome of the write is unknown, so reads must go to the store.
     jobs_.Unload(aJob);
   }
-  own_.erase(aJob);
+  ownedJobs_.erase(aJob);
   results_.Forget(aJob);
   progressWriter_.Forget(aJob);
   base::Log(kBatchJobReleased, { { "lot", aJob }, { "reason", aReason } });
@@ -220,31 +218,32 @@
 void
 BatchWorker::Tick(base::Instant aNow)
 {
-  if (leaving_) {
+  if (isDraining_) {
     return;
   }
   for (const std::string& id : jobs_.OpenJobs()) {
     const batch::BatchJob* job = jobs_.Find(id);
     if (IsOwn(*job)) {
       OnJobChanged(id);
-    } else if (hosts_.IsGone(job->state_.owner_, aNow) &&
+    } else if (hosts_.CanTakeOverFrom(job->state_.owner_, aNow) &&
                hosts_.OwnerFor(id) == ownName_) {
       Claim(id);
     }
   }
-  for (auto& [id, own] : own_) {
+  for (auto& [id, owned] : ownedJobs_) {
     if (const batch::BatchJob* job = jobs_.Find(id)) {
-      UpdateLimits(*job, own, aNow);
+      UpdateLimits(*job, owned, aNow);
     }
-    for (batch::ItemResult& result : own.schedule_.GiveUp(aNow)) {
-      results_.Add(id, std::move(result), own.schedule_.Limits().dueAt_, aNow);
+    for (batch::ItemResult& result : owned.schedule_.GiveUp(aNow)) {
+      results_.Add(
+        id, std::move(result), owned.schedule_.Limits().dueAt_, aNow);
     }
   }
   results_.Tick(aNow);
   PreemptForOnline(aNow);
-  StartRuns(aNow);
-  for (const auto& run : std::vector(runs_)) {
-    run->ReadOn();
+  StartAttempts(aNow);
+  for (const auto& attempt : std::vector(attempts_)) {
+    attempt->ResumeReading();
   }
   if (progressWriter_.IsDue(hosts_.Count(), aNow)) {
     progressWriter_.Store(CollectProgress(), aNow);
@@ -270,10 +269,10 @@
 BatchWorker::CollectWaitingJobs()
 {
   std::vector<WaitingBatchJob> waiting = std::exchange(closedJobs_, {});
-  for (const auto& [id, own] : own_) {
+  for (const auto& [id, owned] : ownedJobs_) {
     if (const fleet::Route* route = CappedRouteOf(id)) {
-      waiting.push_back(
-        MakeWaitingJob(*jobs_.Find(id), *route, own.schedule_.WaitingTokens()));
+      waiting.push_back(MakeWaitingJob(
+        *jobs_.Find(id), *route, owned.schedule_.WaitingTokens()));
     }
   }
   return waiting;
@@ -283,16 +282,16 @@
 BatchWorker::CollectProgress() const
 {
   std::map<std::string, BatchJobProgress> byJob;
-  for (const auto& [id, own] : own_) {
+  for (const auto& [id, owned] : ownedJobs_) {
     if (const batch::BatchJob* job = jobs_.Find(id)) {
-      byJob[id] = { id, job->stateRevision_, own.schedule_.Progress() };
+      byJob[id] = { id, job->stateRevision_, owned.schedule_.Progress() };
     }
   }
-  for (const auto& run : runs_) {
-    const batch::BatchJob* job = jobs_.Find(run->JobId());
-    if (job != nullptr && job->items_ && run->Progress().lastEvent_ > 0) {
-      byJob[run->JobId()].runs_[(*job->items_)[run->Item()].id_] =
-        run->Progress();
+  for (const auto& attempt : attempts_) {
+    const batch::BatchJob* job = jobs_.Find(attempt->JobId());
+    if (job != nullptr && job->items_ && attempt->Progress().lastEvent_ > 0) {
+      byJob[attempt->JobId()].outputs_[(*job->items_)[attempt->Item()].id_] =
+        attempt->Progress();
     }
   }
   std::vector<BatchJobProgress> jobs;
@@ -315,8 +314,8 @@
   claims_[aJob] = now;
   batch::BatchJobState state = job->state_;
   state.owner_ = ownName_;
-  // The mirror brings the new state, and with it the job's work; a claim that
-  // lost against another host's has no effect.
+  // The mirror delivers the new state, which loads the job. A claim that
+  // conflicts with another host's has no effect.
   store_.Commit(MakeStateChange(jobs_.Keys(), *job, state),
                 [](const metadata::TransactionResponse&) {});
 }
@@ -324,22 +323,23 @@
 std::vector<batch::StartCandidate>
 BatchWorker::CollectCandidates(base::Instant aNow)
 {
-  const auto hasLivedOn = [this, aNow](const std::string& aEndpoint,
-                                       base::Instant aMoment) {
+  const auto hasSurvived = [this, aNow](const std::string& aEndpoint,
+                                        base::Instant aMoment) {
     return shared_.endpoints_.HasSurvived(aEndpoint, aMoment, aNow);
   };
   std::vector<batch::StartCandidate> candidates;
-  for (auto& [id, own] : own_) {
+  for (auto& [id, owned] : ownedJobs_) {
     const batch::BatchJob* job = jobs_.Find(id);
     if (job == nullptr || !job->items_ ||
-        aNow >= own.schedule_.Limits().giveUpAt_) {
+        aNow >= owned.schedule_.Limits().giveUpAt_) {
       continue;
     }
     for (const std::size_t item :
-         own.schedule_.StartableItems(aNow, hasLivedOn)) {
-      const std::uint64_t lastEvent = own.schedule_.ProgressOf(item).lastEvent_;
+         owned.schedule_.StartableItems(aNow, hasSurvived)) {
+      const std::uint64_t lastEvent =
+        owned.schedule_.ProgressOf(item).lastEvent_;
       candidates.push_back(
-        { id, item, UrgencyOf(*job, own, item, lastEvent), lastEvent > 0 });
+        { id, item, UrgencyOf(*job, owned, item, lastEvent), lastEvent > 0 });
     }
   }
   return candidates;
@@ -347,61 +347,66 @@
 
 batch::ItemUrgency
 BatchWorker::UrgencyOf(const batch::BatchJob& aJob,
-                       const OwnBatchJob& aOwn,
+                       const OwnedJob& aOwned,
                        std::size_t aItem,
                        std::uint64_t aLastEvent) const
 {
-  batch::ItemUrgency urgency{ aOwn.schedule_.Limits().dueAt_ };
+  batch::ItemUrgency urgency{ aOwned.schedule_.Limits().dueAt_ };
   const fleet::Route* route = RouteOf(aJob);
-  const auto pace = route != nullptr ? paces_.find(route->name_) : paces_.end();
-  if (pace != paces_.end()) {
-    urgency.remaining_ =
-      pace->second.Remaining(aOwn.schedule_.TokensOf(aItem), aLastEvent);
+  const auto estimator = route != nullptr
+                           ? durationEstimators_.find(route->name_)
+                           : durationEstimators_.end();
+  if (estimator != durationEstimators_.end()) {
+    urgency.remaining_ = estimator->second.EstimateRemaining(
+      aOwned.schedule_.TokensOf(aItem), aLastEvent);
   }
   return urgency;
 }
 
 batch::ItemUrgency
-BatchWorker::UrgencyOf(const ItemAttempt& aRun) const
+BatchWorker::UrgencyOf(const ItemAttempt& aAttempt) const
 {
-  const batch::BatchJob* job = jobs_.Find(aRun.JobId());
-  const auto own = own_.find(aRun.JobId());
-  if (job == nullptr || own == own_.end()) {
+  const batch::BatchJob* job = jobs_.Find(aAttempt.JobId());
+  const auto owned = ownedJobs_.find(aAttempt.JobId());
+  if (job == nullptr || owned == ownedJobs_.end()) {
     return {};
   }
-  return UrgencyOf(*job, own->second, aRun.Item(), aRun.Progress().lastEvent_);
+  return UrgencyOf(
+    *job, owned->second, aAttempt.Item(), aAttempt.Progress().lastEvent_);
 }
 
 void
-BatchWorker::StartRuns(base::Instant aNow)
+BatchWorker::StartAttempts(base::Instant aNow)
 {
   std::vector<batch::StartCandidate> candidates = CollectCandidates(aNow);
   if (candidates.empty()) {
     return;
   }
-  usualRuns_ +=
-    (static_cast<double>(runs_.size()) - usualRuns_) * kUsualRunsWeight;
-  batch::StartConditions conditions{ aNow, usualRuns_ };
-  for (const auto& run : runs_) {
-    conditions.runningWork_ += UrgencyOf(*run).remaining_;
+  averageAttempts_ +=
+    (static_cast<double>(attempts_.size()) - averageAttempts_) *
+    kAverageAttemptsWeight;
+  batch::StartConditions conditions{ aNow, averageAttempts_ };
+  for (const auto& attempt : attempts_) {
+    conditions.runningWork_ += UrgencyOf(*attempt).remaining_;
   }
   for (const batch::StartCandidate& candidate :
        batch::OrderStarts(std::move(candidates), conditions)) {
-    if (!StartOne(candidate, aNow)) {
+    if (!StartAttempt(candidate, aNow)) {
       return;
     }
   }
 }
 
 bool
-BatchWorker::StartOne(const batch::StartCandidate& aCandidate,
-                      base::Instant aNow)
+BatchWorker::StartAttempt(const batch::StartCandidate& aCandidate,
+                          base::Instant aNow)
 {
   const batch::BatchJob* job = jobs_.Find(aCandidate.job_);
-  OwnBatchJob& own = own_.at(aCandidate.job_);
+  OwnedJob& owned = ownedJobs_.at(aCandidate.job_);
   const fleet::Route* route = RouteOf(*job);
   if (route == nullptr) {
-    // It may come with the next configuration; other jobs go on.
+    // The route may arrive with the next configuration; continue with other
+    // jobs.
     return true;
   }
   const std::string& service =
@@ -419,24 +424,24 @@
               { "endpoint", choice->endpoint_.id_ },
               { "running", choice->running_ },
               { "candidates", choice->candidates_ },
-              { "after_event", own.schedule_.ProgressOf(item).lastEvent_ },
+              { "after_event", owned.schedule_.ProgressOf(item).lastEvent_ },
               { "due_ms", base::ToMs(aCandidate.urgency_.dueAt_ - aNow) },
               { "run_ms", base::ToMs(aCandidate.urgency_.remaining_) },
               { "version", shared_.routes_.Version() } });
-  auto run = std::make_shared<ItemAttempt>(
+  auto attempt = std::make_shared<ItemAttempt>(
     shared_,
-    [this](ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd) {
-      OnRunEnd(aRun, aEnd);
+    [this](ItemAttempt& aAttempt, batch::ItemAttemptOutcome aOutcome) {
+      OnAttemptEnd(aAttempt, aOutcome);
     },
     aCandidate.job_,
     item,
-    own.schedule_.ProgressOf(item));
-  own.schedule_.Start(item, choice->endpoint_.id_);
-  runs_.push_back(run);
-  run->Start(choice->endpoint_,
-             content,
-             { job->state_.hostName_, CallerOf(*job) },
-             kItemTimeout);
+    owned.schedule_.ProgressOf(item));
+  owned.schedule_.Start(item, choice->endpoint_.id_);
+  attempts_.push_back(attempt);
+  attempt->Start(choice->endpoint_,
+                 content,
+                 { job->state_.hostName_, CallerOf(*job) },
+                 kItemTimeout);
   return true;
 }
 
@@ -453,16 +458,16 @@
 BatchWorker::PreemptForOnline(base::Instant aNow)
 {
   std::vector<std::string> endpoints;
-  for (const auto& run : runs_) {
-    if (std::find(endpoints.begin(), endpoints.end(), run->EndpointId()) ==
+  for (const auto& attempt : attempts_) {
+    if (std::find(endpoints.begin(), endpoints.end(), attempt->EndpointId()) ==
         endpoints.end()) {
-      endpoints.push_back(run->EndpointId());
+      endpoints.push_back(attempt->EndpointId());
     }
   }
   for (const std::string& endpoint : endpoints) {
-    std::uint32_t left = shared_.endpoints_.BatchToPreempt(
+    std::uint32_t pending = shared_.endpoints_.BatchToPreempt(
       endpoint, aNow, NextRandom(shared_.random_));
-    for (; left > 0; --left) {
+    for (; pending > 0; --pending) {
       Preempt(endpoint);
     }
   }
@@ -473,13 +478,13 @@
 {
   const base::Instant now = base::MonotonicNow();
   std::shared_ptr<ItemAttempt> chosen;
-  for (const auto& run : runs_) {
-    if (run->EndpointId() != aEndpoint) {
+  for (const auto& attempt : attempts_) {
+    if (attempt->EndpointId() != aEndpoint) {
       continue;
     }
-    if (!chosen ||
-        batch::IsPreemptedBefore(UrgencyOf(*run), UrgencyOf(*chosen), now)) {
-      chosen = run;
+    if (!chosen || batch::IsPreemptedBefore(
+                     UrgencyOf(*attempt), UrgencyOf(*chosen), now)) {
+      chosen = attempt;
     }
   }
   if (!chosen) {
@@ -487,89 +492,92 @@
   }
   chosen->Cancel();
   shared_.endpoints_.RecordPreemption(aEndpoint, now);
-  OnRunEnd(*chosen, batch::ItemAttemptOutcome::Preempted);
+  OnAttemptEnd(*chosen, batch::ItemAttemptOutcome::Preempted);
 }
 
 void
-BatchWorker::OnRunEnd(ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd)
+BatchWorker::OnAttemptEnd(ItemAttempt& aAttempt,
+                          batch::ItemAttemptOutcome aOutcome)
 {
-  const std::string job = aRun.JobId();
-  const std::size_t item = aRun.Item();
+  const std::string job = aAttempt.JobId();
+  const std::size_t item = aAttempt.Item();
   base::Log(kItemRunEnded,
             { { "lot", job },
               { "item", item },
-              { "endpoint", aRun.EndpointId() },
-              { "end", NameOf(aEnd) },
-              { "last_event", aRun.Progress().lastEvent_ } });
+              { "endpoint", aAttempt.EndpointId() },
+              { "end", NameOf(aOutcome) },
+              { "last_event", aAttempt.Progress().lastEvent_ } });
   shared_.metrics_
     .GetCounter("pumiceturn_item_runs_total",
-                "Ended runs of lots' items.",
-                fmt::format("end=\"{}\"", NameOf(aEnd)))
+                "Ended attempts to run items of batch jobs.",
+                fmt::format("end=\"{}\"", NameOf(aOutcome)))
     .Add();
-  NotePace(aRun, aEnd);
-  batch::PartialOutput progress = aRun.TakeProgress();
-  RemoveRun(aRun);
-  const auto own = own_.find(job);
-  if (own == own_.end()) {
+  RecordDuration(aAttempt, aOutcome);
+  batch::PartialOutput progress = aAttempt.ReleaseProgress();
+  RemoveAttempt(aAttempt);
+  const auto owned = ownedJobs_.find(job);
+  if (owned == ownedJobs_.end()) {
     return;
   }
-  auto result = own->second.schedule_.End(
-    item, aEnd, std::move(progress), base::MonotonicNow());
+  auto result = owned->second.schedule_.End(
+    item, aOutcome, std::move(progress), base::MonotonicNow());
   if (!result) {
     return;
   }
   const base::Instant now = base::MonotonicNow();
   results_.Add(
-    job, std::move(*result), own->second.schedule_.Limits().dueAt_, now);
+    job, std::move(*result), owned->second.schedule_.Limits().dueAt_, now);
 }
 
 void
-BatchWorker::NotePace(const ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd)
+BatchWorker::RecordDuration(const ItemAttempt& aAttempt,
+                            batch::ItemAttemptOutcome aOutcome)
 {
-  const batch::BatchJob* job = jobs_.Find(aRun.JobId());
-  const auto own = own_.find(aRun.JobId());
+  const batch::BatchJob* job = jobs_.Find(aAttempt.JobId());
+  const auto owned = ownedJobs_.find(aAttempt.JobId());
   const fleet::Route* route = job == nullptr ? nullptr : RouteOf(*job);
-  if (route == nullptr || own == own_.end()) {
+  if (route == nullptr || owned == ownedJobs_.end()) {
     return;
   }
-  batch::ItemPace& pace = paces_[route->name_];
-  pace.RecordRun(aRun.NewEvents(), base::MonotonicNow() - aRun.StartedAt());
-  if (aEnd == batch::ItemAttemptOutcome::Completed) {
-    pace.RecordCompleted(own->second.schedule_.TokensOf(aRun.Item()),
-                         aRun.Progress().lastEvent_);
+  batch::ItemDurationEstimator& estimator = durationEstimators_[route->name_];
+  estimator.RecordAttempt(aAttempt.NewEvents(),
+                          base::MonotonicNow() - aAttempt.StartedAt());
+  if (aOutcome == batch::ItemAttemptOutcome::Completed) {
+    estimator.RecordCompleted(owned->second.schedule_.TokensOf(aAttempt.Item()),
+                              aAttempt.Progress().lastEvent_);
   }
 }
 
 void
-BatchWorker::RemoveRun(const ItemAttempt& aRun)
+BatchWorker::RemoveAttempt(const ItemAttempt& aAttempt)
 {
-  const auto found =
-    std::find_if(runs_.begin(), runs_.end(), [&aRun](const auto& aOther) {
-      return aOther.get() == &aRun;
+  const auto found = std::find_if(
+    attempts_.begin(), attempts_.end(), [&aAttempt](const auto& aOther) {
+      return aOther.get() == &aAttempt;
     });
-  if (found == runs_.end()) {
+  if (found == attempts_.end()) {
     return;
   }
-  // The run may be in the middle of a callback: it is freed afterwards.
-  boost::asio::post(context_, [run = std::move(*found)] {});
-  runs_.erase(found);
+  // The attempt may be inside one of its callbacks, so it is destroyed later.
+  boost::asio::post(context_, [attempt = std::move(*found)] {});
+  attempts_.erase(found);
 }
 
 void
 BatchWorker::HandOver(std::function<void()> aDone)
 {
-  leaving_ = true;
-  for (const auto& run : std::vector(runs_)) {
-    run->Cancel();
-    OnRunEnd(*run, batch::ItemAttemptOutcome::Preempted);
-  }
-  auto left = std::make_shared<std::size_t>(1);
-  const auto finishOne = [left, done = std::move(aDone)] {
-    if (--*left == 0) {
+  isDraining_ = true;
+  for (const auto& attempt : std::vector(attempts_)) {
+    attempt->Cancel();
+    OnAttemptEnd(*attempt, batch::ItemAttemptOutcome::Preempted);
+  }
+  auto pending = std::make_shared<std::size_t>(1);
+  const auto finishOne = [pending, done = std::move(aDone)] {
+    if (--*pending == 0) {
       done();
     }
   };
-  for (const auto& [id, own] : own_) {
+  for (const auto& [id, owned] : ownedJobs_) {
     const batch::BatchJob* job = jobs_.Find(id);
     if (job == nullptr) {
       continue;
@@ -577,7 +585,7 @@
     batch::BatchJobState state = job->state_;
     state.owner_.clear();
     metadata::Transaction results;
-    state.isFinished_ = results_.AddTo(results, *job);
+    state.isFinished_ = results_.AddUnstored(results, *job);
     metadata::Transaction transaction =
       MakeStateChange(jobs_.Keys(), *job, state);
     std::move(results.expectations_.begin(),
@@ -588,9 +596,9 @@
               std::back_inserter(transaction.writes_));
     transaction.writes_.push_back(
       { jobs_.Keys().MakeKey({ id, batch::KeyPart::Progress, 0 }),
-        batch::EncodeProgress(own.schedule_.Progress()),
+        batch::EncodeProgress(owned.schedule_.Progress()),
         0 });
-    ++*left;
+    ++*pending;
     base::Log(kBatchJobReleased, { { "lot", id }, { "reason", "leaving" } });
     store_.Commit(
       transaction,
--- a/Libraries/LibGateway/BatchWorker.h
+++ b/Libraries/LibGateway/BatchWorker.h
@@ -2,7 +2,7 @@
 
 #include "LibBatch/BatchJobTable.h"
 #include "LibBatch/HostSet.h"
-#include "LibBatch/ItemPace.h"
+#include "LibBatch/ItemDurationEstimator.h"
 #include "LibBatch/ItemSchedule.h"
 #include "LibBatch/StartOrder.h"
 #include "LibGateway/BatchJobLoader.h"
@@ -25,10 +25,9 @@
 
 namespace pumiceturn::gateway {
 
-/// Runs the items of the jobs that this host owns: starts them where places
-/// are idle, the most urgent job first, stores their results, takes over jobs
-/// whose owner is gone, and hands its jobs over when the host leaves. Belongs
-/// to the event thread.
+/// Runs the items of the jobs that this host owns. Starts items in idle slots
+/// by urgency, stores their results, takes over jobs of lost owners and hands
+/// its jobs over on shutdown. Must be used on the event thread.
 class BatchWorker
 {
 public:
@@ -40,72 +39,76 @@
               const batch::HostSet& aHosts,
               std::string aOwnName);
 
-  /// Called with each job that got results.
+  /// Sets a callback for jobs with newly stored results.
   void SetOnResults(std::function<void(const std::string&)> aCallback)
   {
     onResults_ = std::move(aCallback);
   }
 
-  /// A job's keys have changed in the store.
+  /// Loads, updates or releases a job after its keys have changed.
   void OnJobChanged(const std::string& aJob);
 
-  /// Does what is due; called several times a second.
+  /// Claims jobs, starts and preempts attempts, and stores results. Called
+  /// several times per second.
   void Tick(base::Instant aNow);
 
-  /// @return what the jobs that this host runs have waiting on capped routes,
-  ///         and those that it left since the last call, with nothing.
+  /// @return the waiting tokens of this host's jobs on capped routes, and zero
+  ///   for those closed since the last call.
   [[nodiscard]] std::vector<WaitingBatchJob> CollectWaitingJobs();
 
-  /// Cancels one batch run at an endpoint, for online work.
+  /// Cancels one attempt at an endpoint in favour of online work.
   void Preempt(const std::string& aEndpoint);
 
-  /// Hands over all jobs, with what their runs have so far.
-  /// @param aDone Called when each job is handed over or the store refused.
+  /// Cancels all attempts and hands over all jobs with their progress.
+  /// @param aDone Called when every handover was committed or has failed.
   void HandOver(std::function<void()> aDone);
 
-  [[nodiscard]] std::size_t RunCount() const { return runs_.size(); }
+  [[nodiscard]] std::size_t AttemptCount() const { return attempts_.size(); }
 
 private:
-  /// A job that this host runs.
-  struct OwnBatchJob
+  /// A job that this host owns.
+  struct OwnedJob
   {
     batch::ItemSchedule schedule_;
-    base::Instant acceptedAt_{}; ///< By the accepting host's clock of day.
+    /// Estimated from the accepting host's wall clock.
+    base::Instant acceptedAt_{};
     std::optional<base::Instant> routeMissingSince_{};
   };
 
   void Claim(const std::string& aJob);
   void Load(const std::string& aJob);
-  void Take(const batch::BatchJob& aJob);
-  void Leave(const std::string& aJob, std::string_view aReason);
+  void Acquire(const batch::BatchJob& aJob);
+  void Release(const std::string& aJob, std::string_view aReason);
   [[nodiscard]] bool IsOwn(const batch::BatchJob& aJob) const;
 
-  /// @return nullptr where no route leads to the job's items now.
+  /// @return the route of the job's items, or nullptr if there is none.
   [[nodiscard]] const fleet::Route* RouteOf(const batch::BatchJob& aJob) const;
 
-  /// @return the route of a job, if it bounds the tokens that may wait.
+  /// @return the route of a job, or nullptr if it has no cap on waiting tokens.
   [[nodiscard]] const fleet::Route* CappedRouteOf(
     const std::string& aJob) const;
   void UpdateLimits(const batch::BatchJob& aJob,
-                    OwnBatchJob& aOwn,
+                    OwnedJob& aOwned,
                     base::Instant aNow);
-  void StartRuns(base::Instant aNow);
+  void StartAttempts(base::Instant aNow);
   [[nodiscard]] std::vector<batch::StartCandidate> CollectCandidates(
     base::Instant aNow);
   [[nodiscard]] batch::ItemUrgency UrgencyOf(const batch::BatchJob& aJob,
-                                             const OwnBatchJob& aOwn,
+                                             const OwnedJob& aOwned,
                                              std::size_t aItem,
                                              std::uint64_t aLastEvent) const;
-  [[nodiscard]] batch::ItemUrgency UrgencyOf(const ItemAttempt& aRun) const;
+  [[nodiscard]] batch::ItemUrgency UrgencyOf(const ItemAttempt& aAttempt) const;
 
-  /// @return whether there was a place for the item.
-  bool StartOne(const batch::StartCandidate& aCandidate, base::Instant aNow);
-  /// @return who sent a job, as endpoints are told.
+  /// @return false if there was no free slot for the item.
+  bool StartAttempt(const batch::StartCandidate& aCandidate,
+                    base::Instant aNow);
+  /// @return the submitter of a job, as sent to endpoints.
   [[nodiscard]] CallerName CallerOf(const batch::BatchJob& aJob) const;
-  void NotePace(const ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd);
+  void RecordDuration(const ItemAttempt& aAttempt,
+                      batch::ItemAttemptOutcome aOutcome);
   void PreemptForOnline(base::Instant aNow);
-  void OnRunEnd(ItemAttempt& aRun, batch::ItemAttemptOutcome aEnd);
-  void RemoveRun(const ItemAttempt& aRun);
+  void OnAttemptEnd(ItemAttempt& aAttempt, batch::ItemAttemptOutcome aOutcome);
+  void RemoveAttempt(const ItemAttempt& aAttempt);
   [[nodiscard]] std::vector<BatchJobProgress> CollectProgress() const;
 
   boost::asio::io_context& context_;
@@ -115,18 +118,21 @@
   BatchJobLoader& loader_;
   const batch::HostSet& hosts_;
   std::string ownName_;
-  std::map<std::string, OwnBatchJob> own_;
-  std::unordered_map<std::string, base::Instant> claims_; ///< Under way.
-  std::unordered_set<std::string> loading_;               ///< Under way.
-  std::vector<WaitingBatchJob>
-    closedJobs_; ///< On capped routes, to be told of.
+  std::map<std::string, OwnedJob> ownedJobs_;
+  std::unordered_map<std::string, base::Instant> claims_; ///< Pending, by job.
+  std::unordered_set<std::string> loading_; ///< Jobs being loaded.
+  /// On capped routes, not yet collected.
+  std::vector<WaitingBatchJob> closedJobs_;
   std::function<void(const std::string&)> onResults_;
-  std::unordered_map<std::string, batch::ItemPace> paces_; ///< By route.
-  double usualRuns_ = 0.0; ///< Runs at a time while items wait.
-  std::vector<std::shared_ptr<ItemAttempt>> runs_;
+  /// Keyed by route name.
+  std::unordered_map<std::string, batch::ItemDurationEstimator>
+    durationEstimators_;
+  /// Moving average of concurrent attempts while items wait.
+  double averageAttempts_ = 0.0;
+  std::vector<std::shared_ptr<ItemAttempt>> attempts_;
   ResultWriter results_;
   ProgressWriter progressWriter_;
-  bool leaving_ = false;
+  bool isDraining_ = false;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -195,7 +195,7 @@
   shared_.metrics_.AddGauge("pumiceturn_batch_runs",
                             "Items that this host runs now.",
                             {},
-                            [this] { return worker_.RunCount(); });
+                            [this] { return worker_.AttemptCount(); });
   shared_.metrics_.AddGauge(
     "pumiceturn_suspect_runs",
     "Runs known here that broke off before their first event.",
@@ -409,7 +409,7 @@
   if (spool_) {
     spool_->SetDraining();
   }
-  base::Log(kGatewayRetiring, { { "runs", worker_.RunCount() } });
+  base::Log(kGatewayRetiring, { { "runs", worker_.AttemptCount() } });
   worker_.HandOver([this] { lease_.End([this] { ReportRetired(); }); });
 }
 
@@ -460,7 +460,7 @@
 Gateway::Tick()
 {
   const base::Instant now = base::MonotonicNow();
-  accessControl_.Tick(hosts_.PeersBut(OwnName()), now);
+  accessControl_.Tick(hosts_.PeersExcept(OwnName()), now);
   NoteReadiness();
   mirrors_.Tick(!stopping_ && !retiring_ && !storeTransport_.IsDirectPathLost(),
                 now);
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -240,7 +240,7 @@
 void
 Gateway::OnHostsChanged()
 {
-  std::vector<batch::PeerAddress> others = hosts_.PeersBut(OwnName());
+  std::vector<batch::PeerAddress> others = hosts_.PeersExcept(OwnName());
   peerClients_.Keep(others);
   storeTransport_.SetPeers(std::move(others));
   const bool mayRunJobs = hosts_.IsPreferred(settings_.batchPreference_);
--- a/Libraries/LibGateway/HostRecord.cpp
+++ b/Libraries/LibGateway/HostRecord.cpp
@@ -27,7 +27,7 @@
                        value.at("peer").get<std::string>(),
                        value.at("calls").get<std::string>(),
                        isWorker ? batch::BatchPreference::Worker
-                                : batch::BatchPreference::IfNoOther };
+                                : batch::BatchPreference::Fallback };
   } catch (const json::exception&) {
     return std::nullopt;
   }
--- a/Libraries/LibGateway/HostRecord.h
+++ b/Libraries/LibGateway/HostRecord.h
@@ -14,7 +14,7 @@
   std::string owner_;       ///< Host and incarnation.
   std::string peerAddress_; ///< IP:PORT for datagrams.
   std::string callAddress_; ///< IP:PORT for calls of other hosts.
-  batch::BatchPreference preference_ = batch::BatchPreference::IfNoOther;
+  batch::BatchPreference preference_ = batch::BatchPreference::Fallback;
 
   bool operator==(const HostRecord&) const = default;
 };
--- a/Libraries/LibGateway/ItemAttempt.cpp
+++ b/Libraries/LibGateway/ItemAttempt.cpp
@@ -8,8 +8,7 @@
 
 namespace {
 
-/// Longest wait for the first byte of an item, and between its bytes: an
-/// engine with a free place answers within tens of ms.
+/// Time limits for the first byte of a response and between its bytes.
 constexpr std::chrono::milliseconds kFirstByteTimeout{ 2000 };
 constexpr std::chrono::milliseconds kGapTimeout{ 1500 };
 
@@ -25,7 +24,7 @@
   , job_(std::move(aJob))
   , item_(aItem)
   , progress_(std::move(aProgress))
-  , firstEvent_(progress_.lastEvent_)
+  , resumedAfter_(progress_.lastEvent_)
 {
 }
 
@@ -49,24 +48,24 @@
   call.echoValue_ = aItem.id_;
   call.firstByteTimeout_ = kFirstByteTimeout;
   call.gapTimeout_ = kGapTimeout;
-  run_ = std::make_shared<EndpointAttempt>(
+  attempt_ = std::make_shared<EndpointAttempt>(
     shared_, aEndpoint, fleet::WorkClass::Batch);
-  run_->Start(std::move(call), *this);
+  attempt_->Start(std::move(call), *this);
 }
 
 void
 ItemAttempt::Cancel()
 {
-  if (run_) {
-    run_->Cancel();
+  if (attempt_) {
+    attempt_->Cancel();
   }
 }
 
 void
-ItemAttempt::ReadOn()
+ItemAttempt::ResumeReading()
 {
-  if (run_) {
-    run_->SetPaused(false);
+  if (attempt_) {
+    attempt_->SetPaused(false);
   }
 }
 
@@ -94,16 +93,16 @@
     progress_.output_.append(event->data_);
     progress_.lastEvent_ = event->id_;
   }
-  run_->SetPaused(true);
+  attempt_->SetPaused(true);
 }
 
 batch::ItemAttemptOutcome
-ItemAttempt::Check(httpstream::CallOutcome aEnd) const
+ItemAttempt::Classify(httpstream::CallOutcome aOutcome) const
 {
-  if (aEnd == httpstream::CallOutcome::NotConnected) {
+  if (aOutcome == httpstream::CallOutcome::NotConnected) {
     return batch::ItemAttemptOutcome::NotRun;
   }
-  if (aEnd != httpstream::CallOutcome::Complete) {
+  if (aOutcome != httpstream::CallOutcome::Complete) {
     return batch::ItemAttemptOutcome::Broken;
   }
   if (responseInfo_.isCertainlyNotRun_) {
@@ -120,9 +119,9 @@
 }
 
 void
-ItemAttempt::OnEnd(httpstream::CallOutcome aEnd)
+ItemAttempt::OnEnd(httpstream::CallOutcome aOutcome)
 {
-  onEnd_(*this, Check(aEnd));
+  onEnd_(*this, Classify(aOutcome));
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/ItemAttempt.h
+++ b/Libraries/LibGateway/ItemAttempt.h
@@ -10,11 +10,12 @@
 
 namespace pumiceturn::gateway {
 
-/// One run of a job's item at an endpoint. Belongs to the event thread.
+/// One attempt to run a job's item at an endpoint. Must be used on the event
+/// thread.
 class ItemAttempt : public httpstream::CallObserver
 {
 public:
-  /// Called once, unless the run is cancelled.
+  /// Called once when the attempt ends, unless it is cancelled.
   using EndHandler =
     std::function<void(ItemAttempt&, batch::ItemAttemptOutcome)>;
 
@@ -24,10 +25,10 @@
               std::size_t aItem,
               batch::PartialOutput aProgress);
 
-  /// Whose item it is, as endpoints are told.
+  /// The submitter of the job, as sent to endpoints.
   struct Sender
   {
-    std::string hostName_; ///< Of the request that submitted the job.
+    std::string hostName_; ///< Host header of the submitting request.
     CallerName caller_;
   };
 
@@ -37,9 +38,9 @@
              base::Duration aClientTimeout);
   void Cancel();
 
-  /// Lets the next bytes be read. Batch output is read in bulk: nobody waits
-  /// for single events, and each reading costs processor time.
-  void ReadOn();
+  /// Resumes reading the response. Batch output is read in bulk to save CPU
+  /// time, so reading pauses after each chunk.
+  void ResumeReading();
 
   [[nodiscard]] const std::string& EndpointId() const { return endpoint_; }
   [[nodiscard]] const std::string& JobId() const { return job_; }
@@ -49,24 +50,24 @@
     return progress_;
   }
 
-  /// @return how many events this run has made so far.
+  /// @return the number of events that this attempt has produced.
   [[nodiscard]] std::uint64_t NewEvents() const
   {
-    return progress_.lastEvent_ - firstEvent_;
+    return progress_.lastEvent_ - resumedAfter_;
   }
   [[nodiscard]] base::Instant StartedAt() const { return startedAt_; }
-  [[nodiscard]] batch::PartialOutput TakeProgress()
+  [[nodiscard]] batch::PartialOutput ReleaseProgress()
   {
     return std::move(progress_);
   }
 
   void OnHead(const httpstream::ResponseHead& aHead) override;
   void OnBody(std::string_view aBytes) override;
-  void OnEnd(httpstream::CallOutcome aEnd) override;
+  void OnEnd(httpstream::CallOutcome aOutcome) override;
 
 private:
-  [[nodiscard]] batch::ItemAttemptOutcome Check(
-    httpstream::CallOutcome aEnd) const;
+  [[nodiscard]] batch::ItemAttemptOutcome Classify(
+    httpstream::CallOutcome aOutcome) const;
 
   SharedState& shared_;
   EndHandler onEnd_;
@@ -74,10 +75,10 @@
   std::size_t item_;
   std::string endpoint_;
   batch::PartialOutput progress_;
-  std::uint64_t firstEvent_; ///< After which the run goes on.
+  std::uint64_t resumedAfter_; ///< Last event before this attempt.
   base::Instant startedAt_{};
   fleet::EventSplitter splitter_;
-  std::shared_ptr<EndpointAttempt> run_;
+  std::shared_ptr<EndpointAttempt> attempt_;
   ResponseInfo responseInfo_;
   unsigned status_ = 0;
 };
--- a/Libraries/LibGateway/LedgerChange.cpp
+++ b/Libraries/LibGateway/LedgerChange.cpp
@@ -12,14 +12,14 @@
                    const std::string& aLedger,
                    const metadata::TransactionResponse& aResponse)
 {
-  const std::string key = aKeys.LedgerOf(aLedger);
+  const std::string key = aKeys.LedgerKey(aLedger);
   for (const metadata::StoreItem& item : aResponse.current_) {
     if (item.key_ != key || item.revision_ == 0) {
       continue;
     }
     const batch::LedgerUpdateOutcome outcome = aShared.ledgers_.Update(
       aLedger, item.value_, item.revision_, base::MonotonicNow());
-    if (outcome == batch::LedgerUpdateOutcome::Unreadable) {
+    if (outcome == batch::LedgerUpdateOutcome::Malformed) {
       base::Log(kLedgerUnreadable,
                 { { "ledger", aLedger }, { "revision", item.revision_ } });
     }
@@ -46,10 +46,10 @@
                const std::string& aJob,
                std::uint64_t aTokens)
 {
-  const batch::LedgerView& view = aShared.ledgers_.Of(aLedger);
+  const batch::LedgerView& view = aShared.ledgers_.Get(aLedger);
   batch::TokenLedger ledger = view.ledger_;
   ledger.Set(aJob, aTokens);
-  const std::string key = aKeys.LedgerOf(aLedger);
+  const std::string key = aKeys.LedgerKey(aLedger);
   aCreation.expectations_.push_back({ key, view.revision_ });
   aCreation.writes_.push_back({ key, batch::EncodeLedger(ledger), 0 });
 }
--- a/Libraries/LibGateway/LedgerChange.h
+++ b/Libraries/LibGateway/LedgerChange.h
@@ -9,21 +9,21 @@
 
 namespace pumiceturn::gateway {
 
-/// Takes over the ledger that a refused transaction brought.
+/// Updates the cached ledger from the response to a conflicting transaction.
 void
 UpdateCachedLedger(SharedState& aShared,
                    const batch::BatchJobKeySpace& aKeys,
                    const std::string& aLedger,
                    const metadata::TransactionResponse& aResponse);
 
-/// @return whether the response to a refused transaction shows that a key
-/// exists.
+/// @return whether the response to a conflicting transaction shows that a key
+///   exists.
 bool
 ContainsKey(const metadata::TransactionResponse& aResponse,
             const std::string& aKey);
 
-/// Adds a job's row to its ledger, in the transaction that creates the
-/// job, under the condition that the ledger is as known here.
+/// Adds a job's row to its ledger in the transaction that creates the job, and
+/// expects the cached revision of the ledger.
 void
 AddLedgerEntry(metadata::Transaction& aCreation,
                const SharedState& aShared,
--- a/Libraries/LibGateway/LedgerWriter.h
+++ b/Libraries/LibGateway/LedgerWriter.h
@@ -12,20 +12,20 @@
 
 namespace pumiceturn::gateway {
 
-/// What one job of this host has waiting.
+/// The waiting tokens of one job of this host.
 struct WaitingBatchJob
 {
   std::string job_;
   std::string ledger_;
-  std::uint64_t cap_ = 0;    ///< Of the ledger.
-  std::uint64_t tokens_ = 0; ///< 0: nothing is left of it.
+  std::uint64_t cap_ = 0;    ///< Token cap of the ledger.
+  std::uint64_t tokens_ = 0; ///< 0: the job is closed.
 };
 
-/// Keeps this host's rows in the ledgers of capped routes true: lowers those of
-/// the jobs that it runs, and removes those of closed ones. A row that is too
-/// high makes an entry host refuse a job that fits, so rows follow quickly
-/// where a ledger is near its cap, and seldom elsewhere, as each change is a
-/// call that is charged. Belongs to the event thread.
+/// Updates this host's rows in the ledgers of capped routes: decreases the rows
+/// of its open jobs and removes those of closed ones. A row that is too high
+/// causes hosts to reject jobs that would fit, so ledgers near their cap are
+/// updated often, and others seldom to save store calls. Must be used on the
+/// event thread.
 class LedgerWriter
 {
 public:
@@ -35,7 +35,8 @@
                const batch::HostSet& aHosts,
                std::string aOwnName);
 
-  /// @param aOwn Jobs that this host runs, with what waits of each.
+  /// Updates the ledgers that are due.
+  /// @param aOwn Waiting tokens of the jobs that this host owns.
   void Tick(const std::vector<WaitingBatchJob>& aOwn, base::Instant aNow);
 
 private:
@@ -44,12 +45,13 @@
     std::uint64_t cap_ = 0;
     base::Instant nextAt_{};
     base::Instant committedAt_{};
-    base::Instant usedAt_{};      ///< By jobs of this host.
-    std::uint64_t mostSince_ = 0; ///< Own tokens at their most since then.
-    bool isUnderWay_ = false;
-    std::set<std::string> running_; ///< Own jobs at the last look.
-    /// Jobs of this host with nothing left, until a ledger without their rows
-    /// is stored. The view alone doesn't tell: it may be older than a row.
+    base::Instant usedAt_{}; ///< Last time this host had open jobs on it.
+    std::uint64_t maxOwnTokens_ =
+      0; ///< Maximum own tokens since the last commit.
+    bool isCommitting_ = false;
+    std::set<std::string> running_; ///< Own open jobs at the last tick.
+    /// Closed jobs, until a ledger without their rows is stored. The cached
+    /// ledger isn't sufficient, as it may be older than a row.
     std::set<std::string> closed_;
   };
 
@@ -57,13 +59,13 @@
               const std::vector<WaitingBatchJob>& aOwn,
               base::Instant aNow);
   static void RecordOwn(LedgerUpdate& aUpdate,
-                      const std::string& aLedger,
-                      const std::vector<WaitingBatchJob>& aOwn);
-  [[nodiscard]] batch::TokenLedger Corrected(
+                        const std::string& aLedger,
+                        const std::vector<WaitingBatchJob>& aOwn);
+  [[nodiscard]] batch::TokenLedger MakeCorrected(
     const std::string& aLedger,
     const std::vector<WaitingBatchJob>& aOwn,
     base::Instant aNow);
-  [[nodiscard]] bool IsToBeRemoved(const std::string& aJob, base::Instant aNow);
+  [[nodiscard]] bool ShouldRemove(const std::string& aJob, base::Instant aNow);
   void Commit(const std::string& aLedger, const batch::TokenLedger& aContent);
   [[nodiscard]] base::Duration PauseFor(const std::string& aLedger,
                                         const LedgerUpdate& aUpdate) const;
@@ -73,9 +75,9 @@
   const batch::BatchJobTable& jobs_;
   const batch::HostSet& hosts_;
   std::string ownName_;
-  /// By ledger. One that has been quiet for long is forgotten.
+  /// Keyed by ledger name. Idle entries are removed.
   std::unordered_map<std::string, LedgerUpdate> updates_;
-  /// Jobs with a row that are not known here, since when.
+  /// When each job with a row but no known state was first seen.
   std::unordered_map<std::string, base::Instant> unknownSince_;
 };
 
--- a/Libraries/LibGateway/ProgressWriter.cpp
+++ b/Libraries/LibGateway/ProgressWriter.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-/// Shortest time between two calls of a host: what a failure costs an item.
+/// Minimum interval between two calls of a host.
 constexpr std::chrono::milliseconds kInterval{ 1000 };
 
-/// Each host's share of the calls; all hosts together make 20 a second, a
-/// twentieth of what the platform allows.
-constexpr std::chrono::milliseconds kIntervalOfEachHost{ 50 };
+/// Interval per live host; all hosts together make at most 20 calls per second.
+constexpr std::chrono::milliseconds kIntervalPerHost{ 50 };
 
-/// Jobs in one call: an expectation and a write each, of the platform's 32.
+/// Maximum number of jobs in one call. Each takes one expectation and one
+/// write, and the store allows 32 entries.
 constexpr std::size_t kMaxJobs = 15;
 
-/// Output in one call. The store takes values up to 1 MB in base64.
-constexpr std::size_t kMostBytes = 400000;
+/// Maximum total output in one call. The store limits values to 1 MB in base64.
+constexpr std::size_t kMaxBytes = 400000;
 
 std::size_t
 SizeOf(const BatchJobProgress& aJob)
 {
   std::size_t bytes = 0;
-  for (const auto& [item, run] : aJob.runs_) {
-    bytes += item.size() + run.output_.size();
+  for (const auto& [item, partial] : aJob.outputs_) {
+    bytes += item.size() + partial.output_.size();
   }
   return bytes;
 }
@@ -45,8 +45,8 @@
 ProgressWriter::IsDue(std::size_t aHosts, base::Instant aNow) const
 {
   const base::Duration interval =
-    std::max<base::Duration>(kInterval, kIntervalOfEachHost * aHosts);
-  return !isUnderWay_ && aNow - last_ >= interval;
+    std::max<base::Duration>(kInterval, kIntervalPerHost * aHosts);
+  return !isStoring_ && aNow - lastStoreAt_ >= interval;
 }
 
 bool
@@ -54,13 +54,13 @@
 {
   const auto stored = stored_.find(aJob.job_);
   return std::any_of(
-    aJob.runs_.begin(), aJob.runs_.end(), [&](const auto& aRun) {
+    aJob.outputs_.begin(), aJob.outputs_.end(), [&](const auto& aEntry) {
       if (stored == stored_.end()) {
         return true;
       }
-      const auto event = stored->second.events_.find(aRun.first);
+      const auto event = stored->second.events_.find(aEntry.first);
       return event == stored->second.events_.end() ||
-             event->second < aRun.second.lastEvent_;
+             event->second < aEntry.second.lastEvent_;
     });
 }
 
@@ -87,48 +87,48 @@
   std::size_t bytes = 0;
   for (BatchJobProgress& job : aJobs) {
     const std::size_t size = SizeOf(job);
-    if (sent.size() == kMaxJobs || bytes + size > kMostBytes) {
+    if (sent.size() == kMaxJobs || bytes + size > kMaxBytes) {
       continue;
     }
     bytes += size;
-    // A job that was closed or taken over gets no more progress: its keys may
-    // be removed already.
+    // Expect the job's state to be unchanged: after it was closed or taken
+    // over, its keys may already be removed.
     transaction.expectations_.push_back(
-      { keys_.StateOf(job.job_), job.stateRevision_ });
+      { keys_.StateKey(job.job_), job.stateRevision_ });
     transaction.writes_.push_back(
       { keys_.MakeKey({ job.job_, batch::KeyPart::Progress, 0 }),
-        batch::EncodeProgress(job.runs_),
+        batch::EncodeProgress(job.outputs_),
         0 });
     sent.push_back(std::move(job));
   }
   if (sent.empty()) {
     return;
   }
-  last_ = aNow;
-  isUnderWay_ = true;
+  lastStoreAt_ = aNow;
+  isStoring_ = true;
   store_.Commit(transaction,
                 [this, sent = std::move(sent), aNow](
                   const metadata::TransactionResponse& aResponse) {
-                  isUnderWay_ = false;
-                  // After a failure the next call has newer progress; after a
-                  // conflict the mirror tells which job is another's now.
+                  isStoring_ = false;
+                  // After a failure, the next call stores newer progress. After
+                  // a conflict, the mirror reports the new owner.
                   if (aResponse.status_ != metadata::StoreStatus::Ok) {
                     return;
                   }
                   for (const BatchJobProgress& job : sent) {
-                    NoteStored(job, aNow);
+                    RecordStored(job, aNow);
                   }
                 });
 }
 
 void
-ProgressWriter::NoteStored(const BatchJobProgress& aJob, base::Instant aNow)
+ProgressWriter::RecordStored(const BatchJobProgress& aJob, base::Instant aNow)
 {
   Stored& stored = stored_[aJob.job_];
   stored.at_ = aNow;
   stored.events_.clear();
-  for (const auto& [item, run] : aJob.runs_) {
-    stored.events_[item] = run.lastEvent_;
+  for (const auto& [item, partial] : aJob.outputs_) {
+    stored.events_[item] = partial.lastEvent_;
   }
 }
 
--- a/Libraries/LibGateway/ResultWriter.cpp
+++ b/Libraries/LibGateway/ResultWriter.cpp
@@ -10,28 +10,29 @@
 
 namespace {
 
-/// How long results wait for others. Readers look about twice a second.
-constexpr std::chrono::milliseconds kGather{ 500 };
+/// Maximum time for which results are batched.
+constexpr std::chrono::milliseconds kMaxBatchDelay{ 500 };
 
-/// A result that is due sooner than this is stored at once.
+/// Results due within this time are stored immediately.
 constexpr std::chrono::seconds kDueSoon{ 2 };
 
-/// Largest size of one stored page of results, before encoding. The store
-/// takes values up to 1 MB in base64.
+/// Maximum size of a page of results before encoding. The store limits values
+/// to 1 MB in base64.
 constexpr std::size_t kMaxPageBytes = 500000;
 
-/// Jobs in one call: two expectations and two writes each, of the 32 entries
-/// that a call may have.
+/// Maximum number of jobs in one call. Each takes up to two expectations and
+/// two writes, and the store allows 32 entries.
 constexpr std::size_t kMaxJobs = 8;
 
-/// Pause before a failed call is made again; after a conflict, until the mirror
-/// says who owns the job.
+/// Delay before a failed write is retried.
 constexpr std::chrono::milliseconds kRetryPause{ 300 };
+
+/// Delay after a conflict, so that the mirror can report the job's owner.
 constexpr std::chrono::seconds kConflictPause{ 3 };
 
-/// Moves as many results as fit one page.
+/// Removes and returns as many results as fit into one page.
 std::vector<batch::ItemResult>
-TakePage(std::vector<batch::ItemResult>& aResults)
+PopPage(std::vector<batch::ItemResult>& aResults)
 {
   std::size_t bytes = 0;
   std::size_t count = 0;
@@ -66,7 +67,7 @@
 {
   Entry& entry = entries_[aJob];
   const bool isDueSoon = aDueAt - aNow < kDueSoon;
-  const base::Instant storeAt = isDueSoon ? aNow : aNow + kGather;
+  const base::Instant storeAt = isDueSoon ? aNow : aNow + kMaxBatchDelay;
   entry.storeAt_ =
     entry.unstored_.empty() ? storeAt : std::min(entry.storeAt_, storeAt);
   entry.unstored_.push_back(std::move(aResult));
@@ -80,10 +81,10 @@
 }
 
 bool
-ResultWriter::MayStore(const Entry& aEntry, base::Instant aNow) const
+ResultWriter::CanStore(const Entry& aEntry, base::Instant aNow) const
 {
   const bool hasAny = !aEntry.unstored_.empty() || !aEntry.storing_.empty();
-  return hasAny && !aEntry.callUnderWay_ && aEntry.retryAt_ <= aNow;
+  return hasAny && !aEntry.isCallPending_ && aEntry.retryAt_ <= aNow;
 }
 
 void
@@ -91,30 +92,31 @@
 {
   const bool isAnyDue =
     std::any_of(entries_.begin(), entries_.end(), [&](const auto& aEntry) {
-      return MayStore(aEntry.second, aNow) && aEntry.second.storeAt_ <= aNow;
+      return CanStore(aEntry.second, aNow) && aEntry.second.storeAt_ <= aNow;
     });
   if (!isAnyDue) {
     return;
   }
   for (auto& [job, entry] : entries_) {
-    // What may be stored already goes alone, so that the response tells of it.
-    if (MayStore(entry, aNow) && !entry.storing_.empty()) {
-      StoreAlone(job, entry);
+    // A page that may already be stored is written alone, so that the response
+    // shows whether it is.
+    if (CanStore(entry, aNow) && !entry.storing_.empty()) {
+      StoreOne(job, entry);
     }
   }
-  while (StoreTogether(aNow) > 0) {
+  while (StoreBatch(aNow) > 0) {
   }
 }
 
 std::size_t
-ResultWriter::StoreTogether(base::Instant aNow)
+ResultWriter::StoreBatch(base::Instant aNow)
 {
   metadata::Transaction transaction;
   std::vector<PageWrite> writes;
   std::size_t bytes = 0;
   for (auto& [id, entry] : entries_) {
     const batch::BatchJob* job = jobs_.Find(id);
-    if (job == nullptr || !MayStore(entry, aNow) || writes.size() == kMaxJobs ||
+    if (job == nullptr || !CanStore(entry, aNow) || writes.size() == kMaxJobs ||
         bytes >= kMaxPageBytes) {
       continue;
     }
@@ -127,14 +129,14 @@
     store_.Commit(
       transaction,
       [this, writes](const metadata::TransactionResponse& aResponse) {
-        OnResponseTogether(writes, aResponse);
+        OnBatchResponse(writes, aResponse);
       });
   }
   return writes.size();
 }
 
 void
-ResultWriter::StoreAlone(const std::string& aJob, Entry& aEntry)
+ResultWriter::StoreOne(const std::string& aJob, Entry& aEntry)
 {
   const batch::BatchJob* job = jobs_.Find(aJob);
   if (job == nullptr) {
@@ -153,18 +155,18 @@
                       const batch::BatchJob& aJob,
                       Entry& aEntry)
 {
-  // A call without an answer may take effect seconds later. The same page goes
-  // to the same position until the store has said what became of it, so that
-  // a late effect changes nothing.
+  // A write without a response may take effect seconds later. The same page is
+  // written to the same position until its outcome is known, so that a late
+  // effect changes nothing.
   if (aEntry.storing_.empty()) {
-    aEntry.storing_ = TakePage(aEntry.unstored_);
+    aEntry.storing_ = PopPage(aEntry.unstored_);
   }
-  aEntry.callUnderWay_ = true;
+  aEntry.isCallPending_ = true;
   PageWrite write;
   write.job_ = aJob.id_;
   write.pageKey_ = jobs_.Keys().MakeKey(
     { aJob.id_, batch::KeyPart::Results, aEntry.nextPosition_ });
-  write.stateKey_ = jobs_.Keys().StateOf(aJob.id_);
+  write.stateKey_ = jobs_.Keys().StateKey(aJob.id_);
   write.state_ = aJob.state_;
   write.finishes_ =
     aEntry.nextPosition_ + aEntry.storing_.size() >= aJob.state_.itemCount_;
@@ -182,8 +184,8 @@
 }
 
 void
-ResultWriter::OnResponseTogether(const std::vector<PageWrite>& aWrites,
-                                 const metadata::TransactionResponse& aResponse)
+ResultWriter::OnBatchResponse(const std::vector<PageWrite>& aWrites,
+                              const metadata::TransactionResponse& aResponse)
 {
   const bool isConflict =
     aResponse.status_ == metadata::StoreStatus::Conflict && aWrites.size() > 1;
@@ -192,11 +194,12 @@
       OnResponse(write, aResponse);
       continue;
     }
-    // One job's conflict kept all from being stored: each goes alone now.
+    // A conflict of one job failed the whole transaction, so each job is
+    // written separately.
     const auto entry = entries_.find(write.job_);
     if (entry != entries_.end()) {
-      entry->second.callUnderWay_ = false;
-      StoreAlone(write.job_, entry->second);
+      entry->second.isCallPending_ = false;
+      StoreOne(write.job_, entry->second);
     }
   }
 }
@@ -211,32 +214,33 @@
     return;
   }
   Entry& entry = found->second;
-  entry.callUnderWay_ = false;
+  entry.isCallPending_ = false;
   if (aResponse.status_ == StoreStatus::Ok) {
-    NoteStored(entry, aWrite, aResponse.revision_);
+    RecordStored(entry, aWrite, aResponse.revision_);
     return;
   }
-  // After a conflict the page may be there by an earlier try of this call,
-  // whose answer was lost.
+  // After a conflict, the page may have been stored by an earlier attempt
+  // without a response.
   std::uint64_t stateRevision = 0;
-  bool isThere = false;
+  bool isStored = false;
   for (const metadata::StoreItem& item : aResponse.current_) {
-    isThere = isThere || (item.key_ == aWrite.pageKey_ &&
-                          item.value_ == batch::EncodeResults(entry.storing_));
+    isStored =
+      isStored || (item.key_ == aWrite.pageKey_ &&
+                   item.value_ == batch::EncodeResults(entry.storing_));
     if (item.key_ == aWrite.stateKey_) {
       stateRevision = item.revision_;
     }
   }
-  if (aResponse.status_ == StoreStatus::Conflict && isThere) {
-    NoteStored(entry, aWrite, stateRevision);
+  if (aResponse.status_ == StoreStatus::Conflict && isStored) {
+    RecordStored(entry, aWrite, stateRevision);
     return;
   }
   base::Log(kResultsNotStored,
             { { "lot", aWrite.job_ },
               { "position", entry.nextPosition_ },
               { "status", static_cast<int>(aResponse.status_) } });
-  // After a conflict another host owns the job, or its sender has ended it: the
-  // mirror will say which. Until then nothing more is stored.
+  // After a conflict, another host owns the job or its submitter has ended it.
+  // The mirror will report which.
   const bool isConflict = aResponse.status_ == StoreStatus::Conflict;
   entry.retryAt_ =
     base::MonotonicNow() +
@@ -244,9 +248,9 @@
 }
 
 void
-ResultWriter::NoteStored(Entry& aEntry,
-                         const PageWrite& aWrite,
-                         std::uint64_t aStateRevision)
+ResultWriter::RecordStored(Entry& aEntry,
+                           const PageWrite& aWrite,
+                           std::uint64_t aStateRevision)
 {
   base::Log(kResultsStored,
             { { "lot", aWrite.job_ },
@@ -264,8 +268,8 @@
 }
 
 bool
-ResultWriter::AddTo(metadata::Transaction& aTransaction,
-                    const batch::BatchJob& aJob)
+ResultWriter::AddUnstored(metadata::Transaction& aTransaction,
+                          const batch::BatchJob& aJob)
 {
   const auto found = entries_.find(aJob.id_);
   if (found == entries_.end() || found->second.unstored_.empty() ||
@@ -275,7 +279,7 @@
   Entry& entry = found->second;
   const std::string key = jobs_.Keys().MakeKey(
     { aJob.id_, batch::KeyPart::Results, entry.nextPosition_ });
-  const std::vector<batch::ItemResult> page = TakePage(entry.unstored_);
+  const std::vector<batch::ItemResult> page = PopPage(entry.unstored_);
   aTransaction.expectations_.push_back({ key, 0 });
   aTransaction.writes_.push_back({ key, batch::EncodeResults(page), 0 });
   return entry.nextPosition_ + page.size() >= aJob.state_.itemCount_;
--- a/Libraries/LibGateway/SpoolClient.cpp
+++ b/Libraries/LibGateway/SpoolClient.cpp
@@ -11,24 +11,23 @@
 
 namespace {
 
-/// Longest wait for a worker's disk: a sync takes 2 to 5 ms, and a caller that
-/// has its answer later than half a second counts it as late.
+/// Timeout of a worker's response.
 constexpr std::chrono::milliseconds kTimeout{ 600 };
 
-/// Answers of the workers so far.
+/// The workers' responses so far.
 struct Tally
 {
   std::size_t spooled_ = 0;
-  std::size_t open_ = 0;
+  std::size_t pending_ = 0;
   bool mayBeSpooled_ = false;
-  SpoolClient::Done done_; ///< Empty once it was called.
+  SpoolClient::Done done_; ///< Empty after it was called.
 };
 
 void
-Finish(Tally& aTally, bool aIsHeld)
+Finish(Tally& aTally, bool aIsSpooled)
 {
   if (const auto done = std::exchange(aTally.done_, {})) {
-    done({ aIsHeld, aTally.mayBeSpooled_ });
+    done({ aIsSpooled, aTally.mayBeSpooled_ });
   }
 }
 
@@ -41,9 +40,9 @@
 {
   std::vector<httpstream::HttpClient*> workers;
   for (const batch::PeerAddress& peer : aPeers) {
-    if (auto* caller =
+    if (auto* client =
           peer.isWorker_ ? clients_.Find(peer.address_) : nullptr) {
-      workers.push_back(caller);
+      workers.push_back(client);
     }
   }
   auto tally = std::make_shared<Tally>();
@@ -58,13 +57,13 @@
   request.version(11);
   request.body() = batch::EncodeSpooledJob(aJob);
   request.prepare_payload();
-  tally->open_ = workers.size();
-  for (httpstream::HttpClient* caller : workers) {
-    caller->Call(
+  tally->pending_ = workers.size();
+  for (httpstream::HttpClient* client : workers) {
+    client->Call(
       request,
       kTimeout,
       [tally, copies = copies_](const httpstream::CallResult& aResult) {
-        --tally->open_;
+        --tally->pending_;
         const bool isAnswered =
           aResult.end_ == httpstream::CallOutcome::Complete;
         if (isAnswered && aResult.status_ == httpstream::kStatusOk) {
@@ -76,7 +75,7 @@
         tally->mayBeSpooled_ = tally->mayBeSpooled_ || !isCertainlyNot;
         if (tally->spooled_ >= copies) {
           Finish(*tally, true);
-        } else if (tally->open_ == 0) {
+        } else if (tally->pending_ == 0) {
           tally->mayBeSpooled_ = tally->mayBeSpooled_ || tally->spooled_ > 0;
           Finish(*tally, false);
         }
--- a/Libraries/LibGateway/SpoolClient.h
+++ b/Libraries/LibGateway/SpoolClient.h
@@ -10,29 +10,31 @@
 
 namespace pumiceturn::gateway {
 
-/// What became of a job that was to be kept on other hosts' disks.
+/// The outcome of spooling a job on other hosts.
 struct SpoolOutcome
 {
-  bool isSpooled_ = false;    ///< By as many as must not all be lost.
-  bool mayBeSpooled_ = false; ///< Some host may have it, and will store it.
+  /// Whether enough hosts have it.
+  bool isSpooled_ = false;
+  /// Whether any host may have it and store it later.
+  bool mayBeSpooled_ = false;
 };
 
-/// Has a job kept on the disks of several workers, for the time until the store
-/// takes it. Belongs to the event thread.
+/// Spools a job on the disks of several workers while the store is unavailable.
+/// Must be used on the event thread.
 class SpoolClient
 {
 public:
   using Done = std::function<void(SpoolOutcome)>;
 
-  /// @param aCopies How many hosts must keep a job.
+  /// @param aCopies Number of hosts that must spool a job.
   SpoolClient(PeerClients& aClients, std::size_t aCopies)
     : clients_(aClients)
     , copies_(aCopies)
   {
   }
 
-  /// Sends the job to all workers among the peers. Calls back once: as soon as
-  /// enough have it, or when all have answered or timed out.
+  /// Sends the job to all workers among the peers. Calls back once: when enough
+  /// of them have spooled it, or when all have responded or timed out.
   void Spool(const batch::SpooledJob& aJob,
              std::span<const batch::PeerAddress> aPeers,
              Done aDone);
--- a/Tests/LibBatch/BatchJobTableTest.cpp
+++ b/Tests/LibBatch/BatchJobTableTest.cpp
@@ -37,7 +37,7 @@
 };
 
 TEST_CASE_METHOD(BatchJobTableFixture,
-                 "BatchJobTable_KeysInAnyOrder_JoinTheContent")
+                 "BatchJobTable_KeysInAnyOrder_ContentIsJoined")
 {
   ApplyAll();
   const BatchJob* job = table_.Find("lot");
@@ -54,8 +54,7 @@
   CHECK(table_.Find("lot") == nullptr);
 }
 
-// A society reads a result at another position than before: pages of results
-// came out of order, and the later one was listed first.
+// Guards against results changing position when pages arrive out of order.
 TEST_CASE_METHOD(BatchJobTableFixture,
                  "BatchJobTable_PagesOutOfOrder_KeepPositions")
 {
@@ -147,7 +146,7 @@
 TEST_CASE_METHOD(HostSetFixture, "HostSet_WorkersLive_JobsGoToWorkers")
 {
   hosts_.Put(
-    "entry", "entry/1", BatchPreference::IfNoOther, "127.0.0.1:1", now_);
+    "entry", "entry/1", BatchPreference::Fallback, "127.0.0.1:1", now_);
   hosts_.Put(
     "worker", "worker/1", BatchPreference::Worker, "127.0.0.1:1", now_);
   for (const char* job : { "a", "b", "c", "d", "e" }) {
@@ -164,30 +163,32 @@
   CHECK_FALSE(hosts_.AddressOf("worker/1"));
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_HostGone_OwnerIsGoneAfterGrace")
+TEST_CASE_METHOD(HostSetFixture,
+                 "HostSet_HostRemoved_OwnerCanBeTakenOverAfterDelay")
 {
   hosts_.Put(
     "worker", "worker/1", BatchPreference::Worker, "127.0.0.1:1", now_);
   hosts_.Remove("worker", now_);
-  CHECK_FALSE(hosts_.IsGone("worker/1", now_ + 1s));
-  CHECK(hosts_.IsGone("worker/1", now_ + 2s));
+  CHECK_FALSE(hosts_.CanTakeOverFrom("worker/1", now_ + 1s));
+  CHECK(hosts_.CanTakeOverFrom("worker/1", now_ + 2s));
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_HostStartedAnew_OldOwnerIsGoneAtOnce")
+TEST_CASE_METHOD(HostSetFixture,
+                 "HostSet_HostRestarts_OldOwnerCanBeTakenOverAtOnce")
 {
   hosts_.Put(
     "worker", "worker/1", BatchPreference::Worker, "127.0.0.1:1", now_);
   hosts_.Put(
     "worker", "worker/2", BatchPreference::Worker, "127.0.0.1:1", now_);
-  CHECK(hosts_.IsGone("worker/1", now_));
-  CHECK_FALSE(hosts_.IsGone("worker/2", now_ + 1h));
+  CHECK(hosts_.CanTakeOverFrom("worker/1", now_));
+  CHECK_FALSE(hosts_.CanTakeOverFrom("worker/2", now_ + 1h));
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_OwnerNeverSeen_CountsFromFirstAsked")
+TEST_CASE_METHOD(HostSetFixture, "HostSet_UnknownOwner_DelayStartsAtFirstQuery")
 {
-  CHECK_FALSE(hosts_.IsGone("worker/0", now_));
-  CHECK(hosts_.IsGone("worker/0", now_ + 2s));
-  CHECK(hosts_.IsGone("", now_));
+  CHECK_FALSE(hosts_.CanTakeOverFrom("worker/0", now_));
+  CHECK(hosts_.CanTakeOverFrom("worker/0", now_ + 2s));
+  CHECK(hosts_.CanTakeOverFrom("", now_));
 }
 
 } // namespace pumiceturn::batch
--- a/Tests/LibBatch/HostSetTest.cpp
+++ b/Tests/LibBatch/HostSetTest.cpp
@@ -10,7 +10,7 @@
   void PutEntry(const std::string& aHost)
   {
     hosts_.Put(
-      aHost, aHost + "/1", BatchPreference::IfNoOther, aHost + ":1", now_);
+      aHost, aHost + "/1", BatchPreference::Fallback, aHost + ":1", now_);
   }
   void PutWorker(const std::string& aHost)
   {
@@ -25,7 +25,7 @@
 TEST_CASE_METHOD(HostSetFixture, "HostSet_Empty_HasNoOwner")
 {
   CHECK(hosts_.OwnerFor("lot").empty());
-  CHECK(hosts_.IsPreferred(BatchPreference::IfNoOther));
+  CHECK(hosts_.IsPreferred(BatchPreference::Fallback));
 }
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_WithWorkers_EntryHostsGetNoJobs")
@@ -34,15 +34,14 @@
   CHECK(hosts_.OwnerFor("lot") == "e1/1");
   PutWorker("w1");
   CHECK(hosts_.OwnerFor("lot") == "w1/1");
-  CHECK_FALSE(hosts_.IsPreferred(BatchPreference::IfNoOther));
+  CHECK_FALSE(hosts_.IsPreferred(BatchPreference::Fallback));
   CHECK(hosts_.IsPreferred(BatchPreference::Worker));
   hosts_.Remove("w1", now_);
   CHECK(hosts_.OwnerFor("lot") == "e1/1");
-  CHECK(hosts_.IsPreferred(BatchPreference::IfNoOther));
+  CHECK(hosts_.IsPreferred(BatchPreference::Fallback));
 }
 
-// All jobs of a fleet move when one host comes or goes, and each loses its
-// runs.
+// Guards against reassigning the jobs of other hosts when one host leaves.
 TEST_CASE_METHOD(HostSetFixture, "HostSet_HostLeaves_OtherJobsStay")
 {
   for (const char* host : { "w1", "w2", "w3" }) {
@@ -61,31 +60,33 @@
   }
 }
 
-// A job runs at two hosts: the store was away for a moment, the registration of
-// the host that runs it lapsed, and another took over at once.
-TEST_CASE_METHOD(HostSetFixture, "HostSet_RegistrationLapses_OwnerIsGoneLater")
+// Guards against running a job on two hosts when the owner's registration
+// expires briefly.
+TEST_CASE_METHOD(HostSetFixture,
+                 "HostSet_RegistrationExpires_OwnerIsTakenOverAfterDelay")
 {
   PutWorker("w1");
   hosts_.Remove("w1", now_);
-  CHECK_FALSE(hosts_.IsGone("w1/1", now_));
-  CHECK(hosts_.IsGone("w1/1", now_ + HostSet::kGrace));
+  CHECK_FALSE(hosts_.CanTakeOverFrom("w1/1", now_));
+  CHECK(hosts_.CanTakeOverFrom("w1/1", now_ + HostSet::kTakeoverDelay));
   PutWorker("w1");
-  CHECK_FALSE(hosts_.IsGone("w1/1", now_ + HostSet::kGrace));
+  CHECK_FALSE(hosts_.CanTakeOverFrom("w1/1", now_ + HostSet::kTakeoverDelay));
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_StartedAnew_FormerOwnerIsGoneAtOnce")
+TEST_CASE_METHOD(HostSetFixture,
+                 "HostSet_NewIncarnation_FormerOwnerCanBeTakenOverAtOnce")
 {
   PutWorker("w1");
   hosts_.Put("w1", "w1/2", BatchPreference::Worker, "w1:1", now_);
-  CHECK(hosts_.IsGone("w1/1", now_));
-  CHECK_FALSE(hosts_.IsGone("w1/2", now_));
+  CHECK(hosts_.CanTakeOverFrom("w1/1", now_));
+  CHECK_FALSE(hosts_.CanTakeOverFrom("w1/2", now_));
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_Peers_AreAllButTheOneThatAsks")
+TEST_CASE_METHOD(HostSetFixture, "HostSet_Peers_ExcludeTheGivenOwner")
 {
   PutEntry("e1");
   PutWorker("w1");
-  CHECK(hosts_.PeersBut("w1/1") ==
+  CHECK(hosts_.PeersExcept("w1/1") ==
         std::vector<PeerAddress>{ { "e1", "e1:1", false } });
   CHECK(hosts_.Count() == 2);
 }
--- a/Tests/LibBatch/ItemScheduleTest.cpp
+++ b/Tests/LibBatch/ItemScheduleTest.cpp
@@ -19,58 +19,59 @@
     limits_.giveUpAt_ = now_ + 1min;
   }
 
-  ItemSchedule Make() const { return { job_, limits_ }; }
+  ItemSchedule MakeSchedule() const { return { job_, limits_ }; }
 
-  std::optional<std::size_t> Next(ItemSchedule& aSchedule)
+  std::optional<std::size_t> NextItem(ItemSchedule& aSchedule)
   {
     const auto items = aSchedule.StartableItems(
-      now_, [this](const std::string&, base::Instant) { return livedOn_; });
+      now_, [this](const std::string&, base::Instant) { return hasSurvived_; });
     return items.empty() ? std::nullopt : std::optional(items.front());
   }
 
-  std::optional<ItemResult> Run(ItemSchedule& aSchedule,
-                                ItemAttemptOutcome aEnd,
-                                const PartialOutput& aProgress = {})
+  std::optional<ItemResult> RunNextItem(ItemSchedule& aSchedule,
+                                        ItemAttemptOutcome aOutcome,
+                                        const PartialOutput& aProgress = {})
   {
     now_ += 1s;
-    const auto item = Next(aSchedule);
+    const auto item = NextItem(aSchedule);
     REQUIRE(item);
     aSchedule.Start(*item, "endpoint");
-    return aSchedule.End(*item, aEnd, aProgress, now_);
+    return aSchedule.End(*item, aOutcome, aProgress, now_);
   }
 
   BatchJob job_;
   ItemLimits limits_;
   base::Instant now_{ base::Duration{ 1h } };
-  bool livedOn_ = false;
+  bool hasSurvived_ = false;
 };
 
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_CompletedRun_GivesTheWholeOutput")
+                 "ItemSchedule_CompletedAttempt_ReturnsWholeOutput")
 {
-  ItemSchedule schedule = Make();
+  ItemSchedule schedule = MakeSchedule();
   const auto result =
-    Run(schedule, ItemAttemptOutcome::Completed, { 2, "a\nb" });
+    RunNextItem(schedule, ItemAttemptOutcome::Completed, { 2, "a\nb" });
   REQUIRE(result);
   CHECK(*result == ItemResult{ "first", ItemState::Completed, "a\nb" });
-  CHECK(Next(schedule) == 1);
+  CHECK(NextItem(schedule) == 1);
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_PreemptedRun_GoesOnAfterItsLastEvent")
+                 "ItemSchedule_PreemptedAttempt_ResumesAfterLastEvent")
 {
-  ItemSchedule schedule = Make();
-  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Preempted, { 3, "a\nb\nc" }));
-  CHECK(Next(schedule) == 0);
+  ItemSchedule schedule = MakeSchedule();
+  CHECK_FALSE(
+    RunNextItem(schedule, ItemAttemptOutcome::Preempted, { 3, "a\nb\nc" }));
+  CHECK(NextItem(schedule) == 0);
   CHECK(schedule.ProgressOf(0) == PartialOutput{ 3, "a\nb\nc" });
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
                  "ItemSchedule_FailuresReachTheLimit_GivesUpTheItem")
 {
-  ItemSchedule schedule = Make();
-  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Failed));
-  const auto result = Run(schedule, ItemAttemptOutcome::Failed);
+  ItemSchedule schedule = MakeSchedule();
+  CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Failed));
+  const auto result = RunNextItem(schedule, ItemAttemptOutcome::Failed);
   REQUIRE(result);
   CHECK(result->state_ == ItemState::Errored);
   CHECK(result->item_ == "first");
@@ -79,64 +80,63 @@
 TEST_CASE_METHOD(ItemScheduleFixture,
                  "ItemSchedule_ImpossibleItem_IsGivenUpAtOnce")
 {
-  ItemSchedule schedule = Make();
-  const auto result = Run(schedule, ItemAttemptOutcome::Impossible);
+  ItemSchedule schedule = MakeSchedule();
+  const auto result = RunNextItem(schedule, ItemAttemptOutcome::Impossible);
   REQUIRE(result);
   CHECK(result->state_ == ItemState::Errored);
 }
 
-// The whole fleet goes down in turn: one item crashes each endpoint that runs
-// it, and is sent to the next one after each crash.
+// Guards against one item crashing every endpoint of the fleet in turn.
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_ItemThatEndsEndpoints_IsHeldUntilGivenUp")
+                 "ItemSchedule_ItemCrashesEndpoints_IsNotRetried")
 {
-  ItemSchedule schedule = Make();
+  ItemSchedule schedule = MakeSchedule();
   for (std::size_t crash = 0; crash < ItemSchedule::kMaxCrashes; ++crash) {
-    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken));
+    CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Broken));
   }
   now_ += 1min;
-  CHECK(Next(schedule) == 1);
+  CHECK(NextItem(schedule) == 1);
   CHECK(schedule.GiveUp(limits_.giveUpAt_ - 1ms).empty());
   CHECK(schedule.GiveUp(limits_.giveUpAt_).size() == 2);
 }
 
-// A report goes out with a blank branch. Endpoints reset connections without
-// ending; an item met three resets, was taken for one that crashes endpoints
-// and never ran again.
+// Guards against abandoning an item because endpoints reset its connections
+// without crashing.
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_EndpointsLivedOnAfterResets_ItemRunsAgain")
+                 "ItemSchedule_EndpointsSurviveResets_ItemIsRetried")
 {
-  ItemSchedule schedule = Make();
+  ItemSchedule schedule = MakeSchedule();
   for (std::size_t reset = 0; reset < ItemSchedule::kMaxCrashes; ++reset) {
-    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken));
+    CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Broken));
   }
   now_ += 1s;
-  livedOn_ = true;
-  CHECK(Next(schedule) == 0);
+  hasSurvived_ = true;
+  CHECK(NextItem(schedule) == 0);
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_BreakAfterNewEvents_IsNoCrash")
+                 "ItemSchedule_InterruptedAfterNewEvents_IsNotCountedAsCrash")
 {
-  ItemSchedule schedule = Make();
+  ItemSchedule schedule = MakeSchedule();
   for (std::uint64_t event = 1; event <= 6; ++event) {
-    CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Broken, { event, "x" }));
+    CHECK_FALSE(
+      RunNextItem(schedule, ItemAttemptOutcome::Broken, { event, "x" }));
   }
   now_ += 1s;
-  CHECK(Next(schedule) == 0);
+  CHECK(NextItem(schedule) == 0);
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture, "ItemSchedule_ItemsEnd_WaitingTokensFall")
 {
   (*job_.items_)[0].tokens_ = 300;
   (*job_.items_)[1].tokens_ = 20;
-  ItemSchedule schedule = Make();
+  ItemSchedule schedule = MakeSchedule();
   CHECK(schedule.WaitingTokens() == 320);
-  CHECK_FALSE(Run(schedule, ItemAttemptOutcome::Preempted, { 3, "x" }));
+  CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Preempted, { 3, "x" }));
   CHECK(schedule.WaitingTokens() == 320);
-  CHECK(Run(schedule, ItemAttemptOutcome::Completed, { 4, "x" }));
+  CHECK(RunNextItem(schedule, ItemAttemptOutcome::Completed, { 4, "x" }));
   CHECK(schedule.WaitingTokens() == 20);
-  CHECK(Run(schedule, ItemAttemptOutcome::Impossible));
+  CHECK(RunNextItem(schedule, ItemAttemptOutcome::Impossible));
   CHECK(schedule.WaitingTokens() == 0);
 }
 
@@ -145,8 +145,8 @@
 {
   job_.results_.push_back({ "first", ItemState::Completed, "a" });
   job_.progress_["second"] = { 4, "w\nx\ny\nz" };
-  ItemSchedule schedule = Make();
-  CHECK(Next(schedule) == 1);
+  ItemSchedule schedule = MakeSchedule();
+  CHECK(NextItem(schedule) == 1);
   CHECK(schedule.ProgressOf(1).lastEvent_ == 4);
   CHECK(schedule.Progress().size() == 1);
 }
--- a/Tests/LibBatch/SpoolFilesTest.cpp
+++ b/Tests/LibBatch/SpoolFilesTest.cpp
@@ -12,7 +12,7 @@
 class SpoolFilesFixture
 {
 protected:
-  static SpooledJob BatchJob(const std::string& aId)
+  static SpooledJob MakeJob(const std::string& aId)
   {
     SpooledJob job;
     job.id_ = aId;
@@ -35,30 +35,29 @@
                                  "lots" };
 };
 
-TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_Written_IsThereAfterRestart")
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_JobWritten_IsReadAfterRestart")
 {
-  CHECK_FALSE(SpoolFiles(folder_).Write(BatchJob("../a lot")).error_);
+  CHECK_FALSE(SpoolFiles(folder_).Write(MakeJob("../a lot")).error_);
   const auto jobs = SpoolFiles(folder_).ReadAll();
   REQUIRE(jobs.size() == 1);
-  CHECK(jobs.front() == BatchJob("../a lot"));
+  CHECK(jobs.front() == MakeJob("../a lot"));
 }
 
-TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_Removed_IsGone")
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_JobRemoved_IsNotRead")
 {
   SpoolFiles files(folder_);
-  CHECK_FALSE(files.Write(BatchJob("a")).error_);
-  CHECK_FALSE(files.Write(BatchJob("b")).error_);
+  CHECK_FALSE(files.Write(MakeJob("a")).error_);
+  CHECK_FALSE(files.Write(MakeJob("b")).error_);
   files.Remove("a");
   const auto jobs = files.ReadAll();
   REQUIRE(jobs.size() == 1);
   CHECK(jobs.front().id_ == "b");
 }
 
-// Half a job runs: the host lost power while it wrote the file, and took what
-// was there for the whole.
-TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_TornFile_IsNoJob")
+// Guards against running a partially written job after a power failure.
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_IncompleteFile_IsRemoved")
 {
-  CHECK_FALSE(SpoolFiles(folder_).Write(BatchJob("a")).error_);
+  CHECK_FALSE(SpoolFiles(folder_).Write(MakeJob("a")).error_);
   const auto path = OnlyFile();
   std::ifstream whole(path, std::ios::binary);
   const std::string text(std::istreambuf_iterator<char>(whole), {});
@@ -68,34 +67,33 @@
       .write(text.data(), static_cast<std::streamsize>(bytes));
     CHECK(SpoolFiles(folder_).ReadAll().empty());
   }
-  std::string spoilt = text;
-  spoilt[text.size() - 3] ^= 1;
-  std::ofstream(path, std::ios::binary) << spoilt;
+  std::string corrupt = text;
+  corrupt[text.size() - 3] ^= 1;
+  std::ofstream(path, std::ios::binary) << corrupt;
   CHECK(SpoolFiles(folder_).ReadAll().empty());
   CHECK_FALSE(std::filesystem::exists(path));
 }
 
-// A disk that refuses writes: the job must not count as kept.
-TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_NoFolder_WriteSaysWhy")
+// Guards against acknowledging a job that could not be written.
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_NoFolder_WriteFails")
 {
   std::ofstream(folder_) << "a file where the folder should be";
-  const WriteOutcome outcome = SpoolFiles(folder_).Write(BatchJob("a"));
+  const WriteOutcome outcome = SpoolFiles(folder_).Write(MakeJob("a"));
   CHECK(outcome.error_);
-  CHECK_FALSE(outcome.mayBeThere_);
+  CHECK_FALSE(outcome.mayExist_);
 }
 
-// A partner is told that its job was refused, and it runs after a restart: the
-// file had its name when the disk began to refuse writes.
-TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_RenameFails_MayBeThere")
+// Guards against reporting a job as refused that may run after a restart.
+TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_RenameFails_FileMayExist")
 {
   SpoolFiles files(folder_);
-  CHECK_FALSE(files.Write(BatchJob("a")).error_);
+  CHECK_FALSE(files.Write(MakeJob("a")).error_);
   const auto path = OnlyFile();
   std::filesystem::remove(path);
   std::filesystem::create_directories(path / "in the way");
-  const WriteOutcome outcome = files.Write(BatchJob("a"));
+  const WriteOutcome outcome = files.Write(MakeJob("a"));
   CHECK(outcome.error_);
-  CHECK(outcome.mayBeThere_);
+  CHECK(outcome.mayExist_);
 }
 
 } // namespace pumiceturn::batch
--- a/Tests/LibBatch/StartOrderTest.cpp
+++ b/Tests/LibBatch/StartOrderTest.cpp
@@ -1,5 +1,5 @@
 #include "LibBatch/StartOrder.h"
-#include "LibBatch/ItemPace.h"
+#include "LibBatch/ItemDurationEstimator.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,15 +11,15 @@
 
 using namespace std::chrono_literals;
 
-/// One host's items on virtual time: they arrive, run at the places that online
-/// work leaves, are interrupted when it takes them back, and go on later.
+/// Simulates the items of one host on virtual time: items arrive, run in the
+/// slots that online work leaves free, and are preempted and resumed.
 class StartOrderFixture
 {
 protected:
   struct Item
   {
     base::Instant arrivesAt_;
-    base::Duration left_;
+    base::Duration remaining_;
     bool isRunning_ = false;
     bool hasStarted_ = false;
     bool isDone_ = false;
@@ -32,16 +32,16 @@
   enum class Order : std::uint8_t
   {
     Planned,
-    ByDueTime, ///< As a baseline: late ones last, else the oldest first.
+    ByDueTime, ///< Baseline: overdue items last, otherwise by due time.
   };
 
   static constexpr base::Duration kTick{ 100ms };
   static constexpr base::Duration kDueAfter{ 18s };
 
-  /// Adds items at a rate.
-  void Arrive(double aPerSecond, base::Duration aFrom, base::Duration aTo)
+  /// Adds items at a constant rate.
+  void AddItems(double aPerSecond, base::Duration aFrom, base::Duration aTo)
   {
-    // 268 events of some 20 ms at the mean; single items differ by up to half.
+    // Run times in seconds, with a mean of 3.65.
     std::uniform_real_distribution<double> seconds(1.8, 5.5);
     const auto gap = std::chrono::duration_cast<base::Duration>(
       std::chrono::duration<double>(1.0 / aPerSecond));
@@ -52,9 +52,9 @@
     }
   }
 
-  /// Online work alternates between little and much every 3.3 s, and leaves 24
-  /// or 8 places to the host.
-  static std::size_t PlacesAt(base::Duration aTime)
+  /// Online work alternates every 3.3 s and leaves 24 or 8 slots to batch
+  /// items.
+  static std::size_t SlotsAt(base::Duration aTime)
   {
     constexpr std::size_t kMany = 24;
     constexpr std::size_t kFew = 8;
@@ -63,12 +63,12 @@
 
   ItemUrgency UrgencyOf(const Item& aItem) const
   {
-    // What a host knows of an item's length is the mean of all.
+    // The host estimates each item with the mean run time.
     constexpr base::Duration kMean{ 3650ms };
-    return { aItem.arrivesAt_ + kDueAfter, std::min(kMean, aItem.left_) };
+    return { aItem.arrivesAt_ + kDueAfter, std::min(kMean, aItem.remaining_) };
   }
 
-  std::vector<StartCandidate> Startable(base::Instant aNow) const
+  std::vector<StartCandidate> StartableItems(base::Instant aNow) const
   {
     std::vector<StartCandidate> candidates;
     for (std::size_t index = 0; index < items_.size(); ++index) {
@@ -99,9 +99,9 @@
     return aCandidates;
   }
 
-  void Interrupt(std::size_t aPlaces, base::Instant aNow)
+  void PreemptDownTo(std::size_t aSlots, base::Instant aNow)
   {
-    while (RunningCount() > aPlaces) {
+    while (RunningCount() > aSlots) {
       Item* chosen = nullptr;
       for (Item& item : items_) {
         if (item.isRunning_ &&
@@ -125,39 +125,40 @@
       }));
   }
 
-  Outcome Play(Order aOrder)
+  Outcome Simulate(Order aOrder)
   {
     Outcome outcome;
-    double usual = 0.0;
+    double averageRunning = 0.0;
     for (base::Duration time{ 0 }; time < 80s; time += kTick) {
       const base::Instant now = start_ + time;
       for (Item& item : items_) {
         if (!item.isRunning_) {
           continue;
         }
-        item.left_ -= kTick;
-        if (item.left_ <= base::Duration::zero()) {
+        item.remaining_ -= kTick;
+        if (item.remaining_ <= base::Duration::zero()) {
           item.isRunning_ = false;
           item.isDone_ = true;
           ++(now <= item.arrivesAt_ + kDueAfter ? outcome.onTime_
                                                 : outcome.late_);
         }
       }
-      const std::size_t places = PlacesAt(time);
-      Interrupt(places, now);
-      auto candidates = Startable(now);
+      const std::size_t slots = SlotsAt(time);
+      PreemptDownTo(slots, now);
+      auto candidates = StartableItems(now);
       StartConditions conditions{ now };
       if (!candidates.empty()) {
-        usual += (static_cast<double>(RunningCount()) - usual) * 0.02;
+        averageRunning +=
+          (static_cast<double>(RunningCount()) - averageRunning) * 0.02;
       }
-      conditions.slots_ = usual;
+      conditions.slots_ = averageRunning;
       for (const Item& item : items_) {
         conditions.runningWork_ +=
           item.isRunning_ ? UrgencyOf(item).remaining_ : base::Duration::zero();
       }
       for (const StartCandidate& candidate :
            Sorted(std::move(candidates), aOrder, conditions)) {
-        if (RunningCount() >= places) {
+        if (RunningCount() >= slots) {
           break;
         }
         items_[candidate.item_].isRunning_ = true;
@@ -172,39 +173,37 @@
   std::mt19937_64 random_{ 4 };
 };
 
-// A partner sends six times its jobs for a quarter of a minute: what the fleet
-// can finish in time must be in time, although most items can't be. By due time
-// alone each place goes to an item whose time is just over. 16 places on
-// average finish 4.4 items a second; from the flood's begin until the last due
-// time, 33 s, that makes 145.
-TEST_CASE_METHOD(StartOrderFixture, "StartOrder_Flood_PlacesGoToWhatIsInTime")
+// Guards against finishing items just late under overload. 16 slots on average
+// finish 4.4 items per second; in the 33 s from the start of the flood until
+// the last due time, that is 145 items.
+TEST_CASE_METHOD(StartOrderFixture, "StartOrder_Overload_SlotsGoToItemsInTime")
 {
-  Arrive(14.0, 0s, 15s);
+  AddItems(14.0, 0s, 15s);
   const auto before = items_;
-  const Outcome planned = Play(Order::Planned);
+  const Outcome planned = Simulate(Order::Planned);
   items_ = before;
-  const Outcome byDueTime = Play(Order::ByDueTime);
+  const Outcome byDueTime = Simulate(Order::ByDueTime);
   constexpr int kPossible = 145;
   CHECK(planned.onTime_ >= kPossible * 85 / 100);
   CHECK(planned.onTime_ > byDueTime.onTime_);
   CHECK(planned.onTime_ + planned.late_ == static_cast<int>(before.size()));
 }
 
-// Within what the places can do, nothing is left out and nothing is late.
-TEST_CASE_METHOD(StartOrderFixture, "StartOrder_EnoughPlaces_AllAreInTime")
+// Guards against deferring items when there is enough capacity.
+TEST_CASE_METHOD(StartOrderFixture, "StartOrder_EnoughSlots_AllItemsAreInTime")
 {
-  Arrive(3.5, 0s, 30s);
-  const Outcome planned = Play(Order::Planned);
+  AddItems(3.5, 0s, 30s);
+  const Outcome planned = Simulate(Order::Planned);
   CHECK(planned.late_ == 0);
   CHECK(planned.onTime_ == static_cast<int>(items_.size()));
 }
 
-// A burst that the places can work off before it is due: the oldest must not be
-// given up for the newest.
+// Guards against deferring the oldest items in a burst that can be finished in
+// time.
 TEST_CASE_METHOD(StartOrderFixture, "StartOrder_ShortBurst_OldestComeFirst")
 {
-  Arrive(14.0, 0s, 3s);
-  const Outcome planned = Play(Order::Planned);
+  AddItems(14.0, 0s, 3s);
+  const Outcome planned = Simulate(Order::Planned);
   CHECK(planned.late_ == 0);
 }
 
@@ -225,7 +224,7 @@
   CHECK(jobs == std::vector<std::string>{ "begun", "old", "fresh", "late" });
 }
 
-TEST_CASE("StartOrder_RunsOutOfReach_GiveWayFirst")
+TEST_CASE("StartOrder_ItemsThatCannotFinishInTime_ArePreemptedFirst")
 {
   const base::Instant now{ base::Duration{ 1h } };
   const ItemUrgency late{ now + 1s, 4s };
@@ -236,18 +235,18 @@
   CHECK_FALSE(IsPreemptedBefore(tight, late, now));
 }
 
-TEST_CASE("ItemPace_RunsSeen_RemainingTimeFollows")
+TEST_CASE("ItemDurationEstimator_AttemptsRecorded_EstimateFollows")
 {
-  ItemPace pace;
-  CHECK(pace.Remaining(1000, 0) == base::Duration::zero());
-  pace.RecordRun(200, 4s);
-  pace.RecordCompleted(1000, 250);
-  // A run of a few events tells more of the wait for a place.
-  pace.RecordRun(2, 4s);
-  CHECK(base::ToMs(pace.Remaining(1000, 0)) == 5000);
-  CHECK(base::ToMs(pace.Remaining(1000, 200)) == 1000);
-  // Longer than expected: it may end with each event.
-  CHECK(base::ToMs(pace.Remaining(1000, 300)) == 20);
+  ItemDurationEstimator estimator;
+  CHECK(estimator.EstimateRemaining(1000, 0) == base::Duration::zero());
+  estimator.RecordAttempt(200, 4s);
+  estimator.RecordCompleted(1000, 250);
+  // Short attempts are ignored: the wait for a slot dominates their duration.
+  estimator.RecordAttempt(2, 4s);
+  CHECK(base::ToMs(estimator.EstimateRemaining(1000, 0)) == 5000);
+  CHECK(base::ToMs(estimator.EstimateRemaining(1000, 200)) == 1000);
+  // The item has exceeded its estimate: one event remains.
+  CHECK(base::ToMs(estimator.EstimateRemaining(1000, 300)) == 20);
 }
 
 } // namespace pumiceturn::batch
--- a/Tests/LibBatch/TokenLedgerTest.cpp
+++ b/Tests/LibBatch/TokenLedgerTest.cpp
@@ -16,9 +16,9 @@
     return cache_.Update("route", EncodeLedger(aLedger), aRevision, now_);
   }
 
-  [[nodiscard]] base::Duration RoomAfter(std::uint64_t aTokens) const
+  [[nodiscard]] base::Duration RetryDelay(std::uint64_t aTokens) const
   {
-    return cache_.RoomExpectedAfter("route", aTokens, kCap, now_, 0.0);
+    return cache_.EstimateRetryDelay("route", aTokens, kCap, now_, 0.0);
   }
 
   static constexpr std::uint64_t kCap = 1000;
@@ -38,13 +38,13 @@
   ledger_.Set("a", 100);
   ledger_.Set("b", 0);
   CHECK(ledger_.Total() == 100);
-  CHECK_FALSE(ledger_.Of("b"));
+  CHECK_FALSE(ledger_.Find("b"));
   CHECK_FALSE(ledger_.Fits(kCap + 1, kCap));
   CHECK(DecodeLedger(EncodeLedger(ledger_)) == ledger_);
 }
 
-// Someone else wrote the key: what can't be a ledger is none, and no sum wraps.
-TEST_CASE_METHOD(LedgerFixture, "TokenLedger_SpoiledText_IsNoLedger")
+// Guards against accepting malformed ledgers and overflowing totals.
+TEST_CASE_METHOD(LedgerFixture, "TokenLedger_MalformedText_IsRejected")
 {
   for (const char* text : { "",
                             "[]",
@@ -59,35 +59,34 @@
   ledger_.Set("a", 400);
   Update(ledger_, 5);
   CHECK(cache_.Update("route", "{{", 6, now_) ==
-        LedgerUpdateOutcome::Unreadable);
-  CHECK(cache_.Of("route").revision_ == 6);
-  CHECK(cache_.Of("route").ledger_.Total() == 0);
+        LedgerUpdateOutcome::Malformed);
+  CHECK(cache_.Get("route").revision_ == 6);
+  CHECK(cache_.Get("route").ledger_.Total() == 0);
 }
 
 TEST_CASE_METHOD(LedgerFixture, "LedgerCache_OlderRevision_IsIgnored")
 {
   ledger_.Set("a", 400);
-  CHECK(Update(ledger_, 5) == LedgerUpdateOutcome::Newer);
-  CHECK(Update({}, 4) == LedgerUpdateOutcome::Old);
-  CHECK(Update({}, 5) == LedgerUpdateOutcome::Old);
-  CHECK(cache_.Of("route").ledger_.Total() == 400);
+  CHECK(Update(ledger_, 5) == LedgerUpdateOutcome::Applied);
+  CHECK(Update({}, 4) == LedgerUpdateOutcome::Stale);
+  CHECK(Update({}, 5) == LedgerUpdateOutcome::Stale);
+  CHECK(cache_.Get("route").ledger_.Total() == 400);
 }
 
-// A sender is told to come back at once, again and again, although the fleet
-// needs seconds to finish what waits.
-TEST_CASE_METHOD(LedgerFixture, "LedgerCache_FullRoute_TellsWhenThereIsRoom")
+// Guards against asking submitters to retry long before there is room.
+TEST_CASE_METHOD(LedgerFixture, "LedgerCache_FullRoute_EstimatesRetryDelay")
 {
-  CHECK(RoomAfter(100) >= 300ms);
+  CHECK(RetryDelay(100) >= 300ms);
   ledger_.Set("a", 1000);
   Update(ledger_, 5);
-  CHECK(RoomAfter(100) == 2s); // Nothing was freed yet: not known.
+  CHECK(RetryDelay(100) == 2s); // No tokens were released yet.
   ledger_.Set("a", 900);
   now_ += 1s;
   Update(ledger_, 6);
-  // 100 tokens were freed in the window of 5 s.
-  CHECK(RoomAfter(140) == 2s);
-  CHECK(RoomAfter(1000) == 10s);
-  CHECK(RoomAfter(100) == 300ms);
+  // 100 tokens were released within the rate window of 5 s.
+  CHECK(RetryDelay(140) == 2s);
+  CHECK(RetryDelay(1000) == 10s);
+  CHECK(RetryDelay(100) == 300ms);
 }
 
 } // namespace pumiceturn::batch
--- a/Tests/Platform/BatchJobSpoolTest.cpp
+++ b/Tests/Platform/BatchJobSpoolTest.cpp
@@ -22,7 +22,7 @@
     return folder_.Path() + "/" + aName;
   }
 
-  /// Waits until the entry host knows as many peers.
+  /// Waits until the entry host knows the given number of peers.
   void AwaitPeers(int aCount)
   {
     RunUntil([&] {
@@ -39,10 +39,9 @@
   TemporaryFolder folder_;
 };
 
-// A partner's job is refused for as long as the store is down, and comes again
-// too late: nobody but the store could keep it.
+// Guards against refusing jobs while the store is unavailable.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "BatchJobSpool_StoreAway_JobIsKeptAndRunAfterwards")
+                 "BatchJobSpool_StoreUnavailable_JobIsSpooledAndRunLater")
 {
   StartWorkerWithDisk("worker-1");
   StartWorkerWithDisk("worker-2");
@@ -51,7 +50,7 @@
   CHECK(Submit(*entry_, 5) == 202);
   CHECK(FileCount("worker-1") + FileCount("worker-2") == 2);
   CHECK(store_.Get("pumiceturn/lot/lot1").empty());
-  // Sent again, it is the same job.
+  // Submitting it again is idempotent.
   CHECK(Submit(*entry_, 5) == 202);
   store_.SetBehaviour(StoreBehaviour::Serving);
   WaitForAll(*entry_, 5);
@@ -60,15 +59,16 @@
     [this] { return FileCount("worker-1") + FileCount("worker-2") == 0; });
 }
 
-// A job is lost: it was acknowledged with a single copy on a disk, and that
-// host was lost next.
-TEST_CASE_METHOD(BatchJobSpoolFixture, "BatchJobSpool_OneDiskAlone_IsNotEnough")
+// Guards against acknowledging a job with a copy on only one disk.
+TEST_CASE_METHOD(BatchJobSpoolFixture,
+                 "BatchJobSpool_SingleCopy_JobIsNotAccepted")
 {
   StartWorkerWithDisk("worker-1");
   StartWorker("worker-2");
   AwaitPeers(2);
   store_.SetBehaviour(StoreBehaviour::Refusing);
-  // One worker may have it, and would run it: "not run" would be a lie.
+  // One worker may have spooled the job and run it later, so the response must
+  // not be "not run".
   CHECK(Submit(*entry_, 2) == 504);
   store_.SetBehaviour(StoreBehaviour::Serving);
   WaitForAll(*entry_, 2);
@@ -88,10 +88,9 @@
   CHECK(RequestCount() == 2);
 }
 
-// Power fails while the store is down: the jobs that were accepted meanwhile
-// are on the disk of a host that starts anew.
+// Guards against losing spooled jobs when the host restarts.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "BatchJobSpool_HostStartsAnew_StoresWhatItsDiskHas")
+                 "BatchJobSpool_HostRestarts_StoresSpooledJobs")
 {
   batch::SpooledJob job;
   job.id_ = "lot1";
@@ -107,10 +106,9 @@
   RunUntil([this] { return FileCount("worker-1") == 0; });
 }
 
-// An organisation is told that its job is accepted, under an id that another's
-// job has.
+// Guards against spooling a job whose ID belongs to another organisation.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "BatchJobSpool_IdOfAnothersJob_IsNotTaken")
+                 "BatchJobSpool_IdOfAnotherOrganisation_IsRejected")
 {
   StartWorkerWithDisk("worker-1");
   batch::SpooledJob job;
@@ -139,8 +137,8 @@
   CHECK(same->status_ == 200);
 }
 
-// A job runs a second time: a host that was off for long still had it on its
-// disk, and the store had forgotten that it was finished.
+// Guards against running a finished job again from the spool of a host that was
+// down for long.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
                  "BatchJobSpool_OlderThanRetention_IsDropped")
 {
@@ -159,10 +157,9 @@
   CHECK(RequestCount() == 0);
 }
 
-// Jobs pile up on the workers' disks while the store is away, and exceed their
-// route's cap together once it is back: the ledger could not be asked.
+// Guards against spooled jobs exceeding their route's cap.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "BatchJobSpool_RouteIsCapped_DisksTakeTheirPart")
+                 "BatchJobSpool_CappedRoute_SpoolIsLimited")
 {
   capOverage_ = 0.1;
   StartWorkerWithDisk("worker-1");
@@ -180,22 +177,22 @@
     RunUntil([&] { return Ask(*host, "GET", "/capped/1")->status_ != 404; });
   }
   store_.SetBehaviour(StoreBehaviour::Refusing);
-  // 99 of 100 tokens beyond the cap, on both disks.
+  // 99 tokens of the 100 allowed beyond the cap, on both disks.
   CHECK(Submit(*entry_, 11) == 202);
   CHECK(
     Ask(
       *entry_, "POST", "/lots/1", "Attempt-Id: lot2\r\n", JobBody(1, "second-"))
       ->status_ == 503);
-  // Sent again, the first is still accepted.
+  // Submitting the first job again is still accepted.
   CHECK(Submit(*entry_, 11) == 202);
   store_.SetBehaviour(StoreBehaviour::Serving);
   WaitForAll(*entry_, 11);
 }
 
-// A sender brings its job to two entry hosts at once, and both to the same
-// worker: one of the two is never told that the job is on the disk.
+// Guards against leaving one of two concurrent requests for the same job
+// unanswered.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "BatchJobSpool_BroughtTwiceAtOnce_BothAreAnswered")
+                 "BatchJobSpool_SentTwiceConcurrently_BothAreAnswered")
 {
   TestHost& worker = StartWorkerWithDisk("worker-1");
   store_.SetBehaviour(StoreBehaviour::Refusing);
@@ -204,11 +201,11 @@
   job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
   job.content_ = JobBody(1);
   const std::string body = batch::EncodeSpooledJob(job);
-  const auto bring = [&] {
+  const auto send = [&] {
     return SendTo(Loopback(worker.forwardPort_), "PUT", "/held/lot1", {}, body);
   };
-  const auto first = bring();
-  const auto second = bring();
+  const auto first = send();
+  const auto second = send();
   RunUntil([&] { return first->IsOver() && second->IsOver(); });
   CHECK(first->status_ == 200);
   CHECK(second->status_ == 200);
--- a/Tests/Platform/BatchJobsFixture.h
+++ b/Tests/Platform/BatchJobsFixture.h
@@ -8,7 +8,7 @@
 
 namespace pumiceturn::adapter {
 
-/// An entry host, two servers, and the calls that send and read a job.
+/// An entry host and two servers, with helpers that submit and read a job.
 class BatchJobsFixture : protected GatewayFixture
 {
 protected:
@@ -17,7 +17,7 @@
     WriteConfiguration(1);
     AddServer("i-1");
     AddServer("i-2");
-    entry_ = &StartHost("entry", batch::BatchPreference::IfNoOther);
+    entry_ = &StartHost("entry", batch::BatchPreference::Fallback);
   }
 
   TestHost& StartWorker(const std::string& aName)
