--- a/Tests/Platform/BatchJobsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -8,10 +8,10 @@
 using nlohmann::json;
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_CalmJob_IsAnsweredOnceAtEveryHost")
+                 "BatchJobs_NoFailures_EveryHostReturnsAllResults")
 {
   StartWorker("worker");
-  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   CHECK(Submit(*entry_, 5) == 202);
   const json page = WaitForAll(*entry_, 5);
   CHECK(page["total"] == 5);
@@ -27,7 +27,7 @@
 
 TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_SentAgain_IsAcceptedOnce")
 {
-  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   CHECK(Submit(*entry_, 3) == 202);
   CHECK(Submit(other, 3) == 202);
   CHECK(Submit(*entry_, 3) == 202);
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_ItemStreamBreaks_GoesOnWithoutGapOrDouble")
+                 "BatchJobs_ItemStreamInterrupted_ResumesWithoutGapOrDuplicate")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Break, 2, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Break, 4, 0 });
@@ -61,9 +61,9 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_ItemFailsAtEachRun_IsErroredAfterTheLimit")
+                 "BatchJobs_EveryAttemptFails_ItemIsErroredAfterTheLimit")
 {
-  for (int run = 0; run < 2; ++run) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     servers_[0]->Enqueue({ ServerScript::Kind::Status, 0, 500 });
     servers_[1]->Enqueue({ ServerScript::Kind::Status, 0, 500 });
   }
@@ -73,10 +73,9 @@
   CHECK(RequestCount() == 2);
 }
 
-// A society sends its job again and both reports are billed. The store had
-// carried out the first write, and its answer was lost.
+// Guards against running a job twice when the response to its creation is lost.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_AnswerOfTheStoreLost_JobIsKeptOnce")
+                 "BatchJobs_StoreResponseLost_JobIsStoredOnce")
 {
   store_.SetBehaviour(StoreBehaviour::LosingWrites);
   const auto call = Send(
@@ -105,10 +104,9 @@
   CHECK(RequestCount() == 0);
 }
 
-TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_ReadAtAHostThatHasNotHeard_IsFound")
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_ReadAtHostWithoutState_IsFound")
 {
-  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   CHECK(Submit(*entry_, 1) == 202);
   CHECK(Ask(other, "GET", "/api/lots/lot1?after=0")->status_ == 200);
   const auto body = Ask(other, "GET", "/api/items/lot1?id=item-0");
@@ -118,11 +116,9 @@
   CHECK(Ask(other, "GET", "/api/lots/none?after=0")->status_ == 404);
 }
 
-// Reports come back as given up although they had minutes left: the clock of
-// the host that runs them had jumped ahead of that of the host that accepted
-// them.
+// Guards against abandoning items early when the wall clocks of hosts differ.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_ClocksOfDayDiffer_NothingIsGivenUpSooner")
+                 "BatchJobs_WallClocksDiffer_NoItemIsAbandonedEarly")
 {
   constexpr std::chrono::seconds kGiveUpAfter{ 120 };
   constexpr std::chrono::seconds kJump{ 5 };
@@ -143,13 +139,13 @@
   }
 }
 
-// A society sees two results at one host and none at another a second later:
-// the other host's own copy of the results had fallen behind.
+// Guards against a host returning fewer results than another has already
+// returned.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_ReadElsewhere_ShowsWhatWasReadBefore")
+                 "BatchJobs_ReadAtAnotherHost_ReturnsSameResults")
 {
   StartWorker("worker");
-  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   CHECK(Submit(*entry_, 4) == 202);
   const json page = WaitForAll(*entry_, 4);
   CHECK(Results(other) == page);
@@ -161,17 +157,16 @@
   StartWorker("worker");
   CHECK(Submit(*entry_, 2) == 202);
   const json page = WaitForAll(*entry_, 2);
-  // The host is gone, while its registration stands for a while.
+  // The host is down, but its registration has not expired yet.
   hosts_.back()->gateway_.reset();
   CHECK(Results(*entry_) == page);
   CHECK(Ask(*entry_, "GET", "/api/items/lot1?id=item-1")->body_ == "prompt");
 }
 
-// The last line of a script never comes, at any host. The store's watch tells
-// that the job is finished before the answer to the write of its last result
-// arrives, and the host that ran it forgets the write.
+// Guards against losing the last result when the watch reports the finished job
+// before the response to the write arrives.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_WatchOvertakesTheAnswer_LastResultIsShown")
+                 "BatchJobs_WatchPrecedesWriteResponse_LastResultIsReturned")
 {
   StartWorker("worker");
   store_.SetBehaviour(StoreBehaviour::AnsweringLate);
@@ -180,14 +175,13 @@
   CHECK(page["results"][0]["output"] == WholeOutput());
 }
 
-// The same end: the store carries out the write of the last result and its
-// answer is lost. The watch tells of the finished job while the host waits to
-// try again.
+// Guards against losing the last result when the response to its write is lost
+// and the watch reports the finished job before the retry.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_AnswerToTheLastWriteLost_ResultIsShown")
+                 "BatchJobs_LastWriteResponseLost_ResultIsReturned")
 {
   StartWorker("worker");
-  // The run that falls silent gives the host's watch time to be waiting again.
+  // The blocked attempt gives the host's watch time to wait again.
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   CHECK(Submit(*entry_, 1) == 202);
@@ -221,14 +215,13 @@
   CHECK(page["results"].size() == page["next"]);
 }
 
-// Each request is refused for the rest of a host's grace: it has nothing left
-// to finish, but readers of jobs come and wait there all the time, as the
-// balancer knows no other host, and so it never ends and starts anew.
+// Guards against a host that never stops because readers keep arriving while it
+// shuts down.
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_ReadersKeepComing_LeavingHostEnds")
+                 "BatchJobs_ReadersKeepArriving_DrainingHostStops")
 {
   StartWorker("worker");
-  for (int run = 0; run < 40; ++run) {
+  for (int attempt = 0; attempt < 40; ++attempt) {
     servers_[0]->Enqueue({ ServerScript::Kind::Hold, 0, 0 });
     servers_[1]->Enqueue({ ServerScript::Kind::Hold, 0, 0 });
   }
@@ -248,11 +241,12 @@
     }
     return isStopped;
   });
-  // The balancer's notice of 2.6 s and a reader's second; the grace is 8 s.
+  // Drain delay for the balancer of 2.6 s plus a reader's wait of 1 s; the
+  // host's grace period is 8 s.
   CHECK(base::MonotonicNow() - begin < std::chrono::seconds(6));
 }
 
-TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_Ended_RunsNoMore")
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_JobEnded_AttemptsAreCancelled")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
@@ -266,19 +260,18 @@
   CHECK(Results(*entry_)["results"].empty());
 }
 
-// A job stays half done. The host that ran it leaves; another goes on where its
-// runs were, and lists each item once.
-TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_OwnerLeaves_AnotherGoesOnWhereItWas")
+// Guards against losing progress or duplicating results when the owner shuts
+// down.
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_OwnerShutsDown_AnotherResumes")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
   CHECK(Submit(*entry_, 2) == 202);
   RunUntil([this] { return RequestCount() == 2; });
-  // The runs' first events are read at the worker's next look.
-  std::size_t looks = 0;
-  RunUntil([&] { return ++looks > 30; });
+  // The worker reads the first events at its next tick.
+  std::size_t ticks = 0;
+  RunUntil([&] { return ++ticks > 30; });
   bool isStopped = false;
   hosts_.back()->gateway_->Stop([&isStopped] { isStopped = true; });
   const json page = WaitForAll(*entry_, 2);
@@ -287,12 +280,12 @@
   RunUntil([&isStopped] { return isStopped; });
 }
 
-// A job never ends: the host that ran it lost its power, and its registration
-// went with it.
-TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_OwnerVanishes_AnotherTakesOver")
+// Guards against an unfinished job when its owner fails and its registration is
+// removed.
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_OwnerFails_AnotherTakesOver")
 {
   StartWorker("worker");
-  for (int run = 0; run < 2; ++run) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
     servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   }
@@ -304,10 +297,8 @@
   CHECK(page["results"].size() == 2);
 }
 
-// A job is late: the host that ran it lost its power, and items of several
-// seconds run from their beginning, once more for each host that fails.
-TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_OwnerVanishes_ItsRunsGoOnWhereTheyWere")
+// Guards against restarting items from the beginning when their owner fails.
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_OwnerFails_ItemsResume")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
@@ -332,7 +323,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_HostIsToBeEmptied_ReportsWhenItsJobsAreGone")
+                 "BatchJobs_HostRetired_ReportsWhenJobsAreHandedOver")
 {
   StartWorker("worker");
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
@@ -346,14 +337,12 @@
   WaitForAll(*entry_, 2);
 }
 
-// A whole job comes back as failed, without one run. The host that is to run it
-// has an older configuration than the host that accepted it, or none yet after
-// its start, and took the missing route for one that operators had removed.
+// Guards against abandoning a job whose route hasn't reached this host yet.
 TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_RouteNotKnownYet_ItemsWaitForIt")
 {
   CHECK(Submit(*entry_, 2) == 202);
   WaitForAll(*entry_, 2);
-  // A job on a route that comes with the next configuration.
+  // A job on a route of the next configuration.
   std::string state = store_.Get("pumiceturn/lot/lot1");
   state.replace(state.find("/lots/1"), 7, "/v7/1xx");
   state.replace(state.find("\"finished\":true"), 15, "\"finished\":false");
@@ -362,7 +351,7 @@
   const auto read = [this] {
     return Ask(*entry_, "GET", "/api/lots/lot2?after=0");
   };
-  // Well past the looks in which such a job was given up.
+  // Wait for more ticks than it would take to abandon the job.
   const std::size_t before = store_.CallCount();
   RunUntil([&] { return store_.CallCount() > before + 12; });
   CHECK(json::parse(read()->body_)["results"].empty());
@@ -371,9 +360,8 @@
   CHECK(json::parse(read()->body_)["results"][0]["state"] == "completed");
 }
 
-// The store fills up over weeks, and one day refuses every new job.
-TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_RetentionOver_NothingIsLeftInTheStore")
+// Guards against jobs accumulating in the store.
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_RetentionOver_JobIsRemoved")
 {
   CHECK(Submit(*entry_, 3) == 202);
   WaitForAll(*entry_, 3);
--- a/Tests/Platform/CallersTest.cpp
+++ b/Tests/Platform/CallersTest.cpp
@@ -19,7 +19,7 @@
     Declare(
       { { "archive", { "key-a1", "key-a2" } }, { "portal", { "key-p" } } });
     AddServer("i-1");
-    host_ = &StartHost("entry", batch::BatchPreference::IfNoOther);
+    host_ = &StartHost("entry", batch::BatchPreference::Fallback);
     RunUntil([this] { return IsReady(); });
   }
 
@@ -288,7 +288,7 @@
 // Two hosts let twice the limit run.
 TEST_CASE_METHOD(CallersFixture, "Callers_BeyondTheLimit_AtTwoHosts_CountOnce")
 {
-  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   StartHost("worker", batch::BatchPreference::Worker);
   Declare({ { "archive", { "key-a1" }, 0.1, 10 } });
   RunUntil([this] { return StatusFor(Bearer("key-p")) == 401; });
--- a/Tests/Platform/FollowingTest.cpp
+++ b/Tests/Platform/FollowingTest.cpp
@@ -18,7 +18,7 @@
     WriteConfiguration(3);
     AddServer("i-1");
     for (const char* name : { "a", "b", "c" }) {
-      StartHost(name, batch::BatchPreference::IfNoOther);
+      StartHost(name, batch::BatchPreference::Fallback);
     }
     // Followers change while the hosts begin to hear each other.
     constexpr int kLooks = 20;
--- a/Tests/Platform/OnlineTest.cpp
+++ b/Tests/Platform/OnlineTest.cpp
@@ -12,7 +12,7 @@
     WriteConfiguration(3);
     AddServer("i-1");
     AddServer("i-2");
-    host_ = &StartHost("entry", batch::BatchPreference::IfNoOther);
+    host_ = &StartHost("entry", batch::BatchPreference::Fallback);
     // Changes are told at once to a host that waits for them.
     RunUntil([this] {
       return Metrics(*host_).find("pumiceturn_store_prefixes_followed 4") !=
@@ -293,7 +293,7 @@
 // run it, and its caller sends it again, to any host.
 TEST_CASE_METHOD(OnlineFixture, "Online_CrashesEachServer_IsRefusedEverywhere")
 {
-  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   AddServer("i-3");
   RunUntil([this] {
     (void)Stream("/once/1");
--- a/Tests/Platform/PlatformSettingsTest.cpp
+++ b/Tests/Platform/PlatformSettingsTest.cpp
@@ -45,7 +45,7 @@
   CHECK(settings->gateway_.jobRetention_ == std::chrono::seconds(180));
   CHECK(settings->gateway_.grace_ == std::chrono::seconds(8));
   CHECK(settings->gateway_.batchPreference_ ==
-        batch::BatchPreference::IfNoOther);
+        batch::BatchPreference::Fallback);
 }
 
 TEST_CASE_METHOD(PlatformSettingsFixture,
--- a/Tests/Platform/ResultWriterTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -8,8 +8,8 @@
 using namespace std::chrono_literals;
 using metadata::StoreStatus;
 
-/// Jobs of two items each that this host runs, and a store whose answers the
-/// test gives.
+/// Jobs with two items each, and a fake store whose responses the test
+/// provides.
 class ResultWriterFixture
 {
 protected:
@@ -17,7 +17,7 @@
   {
     batch::BatchJobState state;
     state.itemCount_ = 2;
-    jobs_.Apply(keys_.StateOf(aJob), batch::EncodeState(state), 5);
+    jobs_.Apply(keys_.StateKey(aJob), batch::EncodeState(state), 5);
     writer_.Begin(*jobs_.Find(aJob));
   }
 
@@ -32,7 +32,7 @@
       now_);
   }
 
-  void Pass(base::Duration aTime)
+  void Advance(base::Duration aTime)
   {
     now_ += aTime;
     writer_.Tick(now_);
@@ -56,45 +56,45 @@
                                  std::vector<batch::BatchItem>{});
                              } };
   metadata::FakeStore store_;
-  std::vector<std::string> told_;
+  std::vector<std::string> notified_;
   ResultWriter writer_{ store_, jobs_, [this](const std::string& aJob) {
-                         told_.push_back(aJob);
+                         notified_.push_back(aJob);
                        } };
 };
 
-// Load: results of several jobs within a short while. Each was a call, most of
-// all calls to the store.
-TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_SeveralJobs_AreOneCall")
+// Guards against one store call per job for results that arrive close together.
+TEST_CASE_METHOD(ResultWriterFixture,
+                 "ResultWriter_SeveralJobs_AreStoredInOneCall")
 {
   Begin("a");
   Begin("b");
   Finish("a", 0);
-  Pass(200ms);
+  Advance(200ms);
   Finish("b", 0);
   Finish("b", 1);
   CHECK(store_.commits_.empty());
-  Pass(300ms);
+  Advance(300ms);
   REQUIRE(store_.commits_.size() == 1);
-  // A page each, and the state of the job that is finished by it.
+  // One page per job, and the state of the finished job.
   CHECK(store_.commits_.front().first.writes_.size() == 3);
   CHECK(store_.commits_.front().first.expectations_.size() == 4);
   Respond({ StoreStatus::Ok, 9, {} });
   CHECK(StoredCount("a") == 1);
   CHECK(StoredCount("b") == 2);
   CHECK(jobs_.Find("b")->state_.isFinished_);
-  CHECK(told_ == std::vector<std::string>{ "a", "b" });
+  CHECK(notified_ == std::vector<std::string>{ "a", "b" });
 }
 
-// A report was late, as its last line had waited for others.
-TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_DueSoon_DoesNotWait")
+// Guards against delaying results that are due soon.
+TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_DueSoon_IsStoredAtOnce")
 {
   Begin("a");
   Finish("a", 0, 1s);
-  Pass(0ms);
+  Advance(0ms);
   CHECK(store_.commits_.size() == 1);
 }
 
-// One job's sender had ended it, and the others' results were not stored.
+// Guards against losing other jobs' results when one job conflicts.
 TEST_CASE_METHOD(ResultWriterFixture,
                  "ResultWriter_OneJobConflicts_OthersAreStoredAlone")
 {
@@ -102,7 +102,7 @@
   Begin("b");
   Finish("a", 0);
   Finish("b", 0);
-  Pass(500ms);
+  Advance(500ms);
   metadata::TransactionResponse conflict;
   conflict.status_ = StoreStatus::Conflict;
   Respond(conflict);
@@ -113,45 +113,46 @@
   CHECK(StoredCount("b") == 1);
 }
 
-// A call without an answer was carried out; made again with more results, it
-// gave one position two contents.
+// Guards against writing different results to one position after a lost
+// response.
 TEST_CASE_METHOD(ResultWriterFixture,
-                 "ResultWriter_AnswerIsLost_SamePageGoesAgain")
+                 "ResultWriter_ResponseLost_SamePageIsRetried")
 {
   Begin("a");
   Finish("a", 0);
-  Pass(500ms);
+  Advance(500ms);
   const metadata::Transaction first = store_.commits_.front().first;
   Respond({ StoreStatus::Unknown, 0, {} });
   CHECK(writer_.IsStoring("a"));
   Finish("a", 1);
   now_ = base::MonotonicNow() + 1s;
-  Pass(0ms);
+  Advance(0ms);
   REQUIRE(store_.commits_.size() == 1);
   const metadata::Transaction& again = store_.commits_.front().first;
   CHECK(again.writes_.front().key_ == first.writes_.front().key_);
   CHECK(again.writes_.front().value_ == first.writes_.front().value_);
-  metadata::TransactionResponse isThere;
-  isThere.status_ = StoreStatus::Conflict;
-  isThere.current_.push_back(
+  metadata::TransactionResponse isStored;
+  isStored.status_ = StoreStatus::Conflict;
+  isStored.current_.push_back(
     { first.writes_.front().key_, first.writes_.front().value_, 7 });
-  Respond(isThere);
+  Respond(isStored);
   CHECK(StoredCount("a") == 1);
   CHECK_FALSE(writer_.IsStoring("a"));
 }
 
-// A host that leaves hands over what it has gathered, and doesn't lose it.
-TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_HandedOver_IsInThatCall")
+// Guards against losing queued results during handover.
+TEST_CASE_METHOD(ResultWriterFixture,
+                 "ResultWriter_HandedOver_ResultsAreInTheTransaction")
 {
   Begin("a");
   Finish("a", 0);
   metadata::Transaction transaction;
-  CHECK_FALSE(writer_.AddTo(transaction, *jobs_.Find("a")));
+  CHECK_FALSE(writer_.AddUnstored(transaction, *jobs_.Find("a")));
   CHECK(transaction.writes_.size() == 1);
   Begin("b");
   Finish("b", 0);
   Finish("b", 1);
-  CHECK(writer_.AddTo(transaction, *jobs_.Find("b")));
+  CHECK(writer_.AddUnstored(transaction, *jobs_.Find("b")));
 }
 
 } // namespace pumiceturn::gateway
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -7,8 +7,8 @@
 
 using nlohmann::json;
 
-/// Jobs of items with 9 tokens each, on a route that lets 100 wait, and servers
-/// that hold what they are sent until they are told to go on.
+/// Jobs of items with 9 tokens each on a route with a cap of 100 waiting
+/// tokens, and servers that fail all items until LetServersAnswer() is called.
 class TokenCapFixture : protected BatchJobsFixture
 {
 protected:
@@ -16,7 +16,7 @@
   {
     SetCap(100);
     for (const auto& server : servers_) {
-      for (int run = 0; run < kHeldRuns; ++run) {
+      for (int attempt = 0; attempt < kFailedAttempts; ++attempt) {
         server->Enqueue({ ServerScript::Kind::Status, 0, 500 });
       }
     }
@@ -29,24 +29,25 @@
     route["maxAttempts"] = 1000;
     const json configuration = {
       { "version", ++version_ },
-      { "routes", { std::move(route), MakeTestRoute(Mark(), "safe") } },
+      { "routes", { std::move(route), MakeTestRoute(MarkerRoute(), "safe") } },
       { "services", { { { "name", "service" }, { "maxConns", 100 } } } }
     };
     store_.Put("op/config", configuration.dump());
     for (const auto& host : hosts_) {
-      RunUntil(
-        [&] { return Ask(*host, "GET", "/" + Mark() + "/1")->status_ != 404; });
+      RunUntil([&] {
+        return Ask(*host, "GET", "/" + MarkerRoute() + "/1")->status_ != 404;
+      });
     }
   }
 
   unsigned SubmitAs(TestHost& aHost, const std::string& aJob, int aItems)
   {
-    return AskFor(aHost, aJob, aItems)->status_;
+    return SendJob(aHost, aJob, aItems)->status_;
   }
 
-  std::unique_ptr<CallerCall> AskFor(TestHost& aHost,
-                                     const std::string& aJob,
-                                     int aItems)
+  std::unique_ptr<CallerCall> SendJob(TestHost& aHost,
+                                      const std::string& aJob,
+                                      int aItems)
   {
     return Ask(
       aHost, "POST", "/lots/1", Fields(aJob), JobBody(aItems, aJob + "-"));
@@ -57,7 +58,7 @@
     return "Attempt-Id: " + aJob + "\r\n";
   }
 
-  /// Lets the servers answer from now on.
+  /// Makes the servers answer successfully.
   void LetServersAnswer()
   {
     for (const auto& server : servers_) {
@@ -65,7 +66,7 @@
     }
   }
 
-  [[nodiscard]] std::uint64_t Waiting() const
+  [[nodiscard]] std::uint64_t WaitingTokens() const
   {
     std::uint64_t tokens = 0;
     const std::string text = store_.Get("pumiceturn/tokens/lots");
@@ -76,10 +77,10 @@
     return tokens;
   }
 
-  static constexpr int kHeldRuns = 400;
+  static constexpr int kFailedAttempts = 400;
 
 private:
-  [[nodiscard]] std::string Mark() const
+  [[nodiscard]] std::string MarkerRoute() const
   {
     return fmt::format("mark{}", version_);
   }
@@ -87,26 +88,25 @@
   std::uint64_t version_ = 1;
 };
 
-// The foreman's overnight reports fill the fleet for minutes, although the
-// operators bound what may wait: 176 jobs came in ten seconds, all were
-// accepted, and two of three were late.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_JobDoesNotFit_IsRefusedWithATime")
+// Guards against accepting jobs beyond the cap.
+TEST_CASE_METHOD(TokenCapFixture,
+                 "TokenCap_JobDoesNotFit_IsRejectedWithRetryAfter")
 {
   CHECK(SubmitAs(*entry_, "a", 6) == 202);
   CHECK(SubmitAs(*entry_, "b", 5) == 202);
-  const auto refused = AskFor(*entry_, "c", 1);
+  const auto refused = SendJob(*entry_, "c", 1);
   CHECK(refused->status_ == 429);
   CHECK_FALSE(refused->retryAfter_.empty());
   CHECK(store_.Get("pumiceturn/lot/c").empty());
-  CHECK(Waiting() == 99);
+  CHECK(WaitingTokens() == 99);
 }
 
-// Hosts that accept at the same moment must not exceed the cap together, and
-// none may refuse a job that fits because its own view is old.
+// Guards against concurrent hosts exceeding the cap together, and against
+// rejecting a job because of a stale ledger.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ManyHostsAtOnce_FillItExactly")
 {
-  TestHost& second = StartHost("second", batch::BatchPreference::IfNoOther);
-  TestHost& third = StartHost("third", batch::BatchPreference::IfNoOther);
+  TestHost& second = StartHost("second", batch::BatchPreference::Fallback);
+  TestHost& third = StartHost("third", batch::BatchPreference::Fallback);
   SetCap(100);
   std::vector<std::unique_ptr<CallerCall>> calls;
   for (int job = 0; job < 6; ++job) {
@@ -126,21 +126,22 @@
     CHECK((call->status_ == 202 || call->status_ == 429));
   }
   CHECK(accepted == 11);
-  CHECK(Waiting() == 99);
+  CHECK(WaitingTokens() == 99);
 }
 
-// A job that was accepted is accepted whenever it comes again, full or not.
+// Guards against rejecting an accepted job that is submitted again to a full
+// route.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_SentAgainToAFullRoute_IsAccepted")
 {
-  TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
+  TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   SetCap(100);
   CHECK(SubmitAs(*entry_, "a", 11) == 202);
   CHECK(SubmitAs(other, "a", 11) == 202);
   CHECK(SubmitAs(other, "b", 1) == 429);
-  CHECK(Waiting() == 99);
+  CHECK(WaitingTokens() == 99);
 }
 
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ItemsFinish_ThereIsRoomAgain")
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ItemsFinish_NewJobIsAccepted")
 {
   StartWorker("worker");
   SetCap(100);
@@ -148,11 +149,11 @@
   CHECK(SubmitAs(*entry_, "b", 2) == 429);
   LetServersAnswer();
   RunUntil([this] { return SubmitAs(*entry_, "b", 2) == 202; });
-  RunUntil([this] { return Waiting() == 0; });
+  RunUntil([this] { return WaitingTokens() == 0; });
 }
 
-// A sender ends its job: what it had waiting is free again.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_JobIsEnded_ThereIsRoomAgain")
+// Guards against counting the tokens of an ended job.
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_JobIsEnded_NewJobIsAccepted")
 {
   StartWorker("worker");
   SetCap(100);
@@ -161,9 +162,9 @@
   RunUntil([this] { return SubmitAs(*entry_, "b", 11) == 202; });
 }
 
-// The operators lower the cap far below what waits: nothing that was accepted
-// is dropped, and new jobs hear at once that they don't fit.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_Lowered_KeepsWhatWasAccepted")
+// Guards against dropping accepted jobs when the cap is lowered below the
+// waiting tokens.
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_CapLowered_KeepsAcceptedJobs")
 {
   CHECK(SubmitAs(*entry_, "a", 11) == 202);
   SetCap(20);
@@ -176,20 +177,19 @@
   RunUntil([this] { return SubmitAs(*entry_, "b", 1) == 202; });
 }
 
-// Jobs that came while the route had no cap count as soon as it has one.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_SetLater_CountsWhatWaits")
+// Guards against ignoring jobs that were accepted before the route had a cap.
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_CapSetLater_CountsWaitingJobs")
 {
   SetCap(0);
   CHECK(SubmitAs(*entry_, "a", 11) == 202);
   CHECK(store_.Get("pumiceturn/tokens/lots").empty());
   SetCap(100);
-  RunUntil([this] { return Waiting() == 99; });
+  RunUntil([this] { return WaitingTokens() == 99; });
   CHECK(SubmitAs(*entry_, "b", 1) == 429);
 }
 
-// The answer to the transaction is lost: the sender comes again and must be
-// neither refused nor counted twice.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_AnswerLost_JobCountsOnce")
+// Guards against rejecting or counting a job twice after a lost response.
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ResponseLost_JobCountsOnce")
 {
   store_.SetBehaviour(StoreBehaviour::LosingWrites);
   const auto call =
@@ -198,18 +198,18 @@
   store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([&call] { return call->IsOver(); });
   CHECK(call->status_ == 202);
-  CHECK(Waiting() == 54);
+  CHECK(WaitingTokens() == 54);
   CHECK(SubmitAs(*entry_, "b", 5) == 202);
 }
 
-// Someone wrote the ledger's key: the jobs that run are counted anew.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LedgerSpoiled_IsBuiltAnew")
+// Guards against a permanently corrupt ledger: its rows must be restored.
+TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LedgerCorrupt_IsRebuilt")
 {
   CHECK(SubmitAs(*entry_, "a", 10) == 202);
   store_.Put("pumiceturn/tokens/lots", "[[[");
   RunUntil([this] {
     const std::string text = store_.Get("pumiceturn/tokens/lots");
-    return text != "[[[" && Waiting() == 90;
+    return text != "[[[" && WaitingTokens() == 90;
   });
   CHECK(SubmitAs(*entry_, "b", 2) == 429);
 }
