--- a/Benchmarks/Routing/Main.cpp
+++ b/Benchmarks/Routing/Main.cpp
@@ -60,7 +60,7 @@
     asked.prefix_ = request % 2 == 0 ? 0 : 1 + (random() % kPrefixes);
     const auto choice = chooser.Choose(asked, now, random);
     chooser.OnStarted(choice->endpoint_, asked.prefix_, false);
-    chooser.OnEnded(choice->endpoint_, false, RunEnd::Answered, now);
+    chooser.OnEnded(choice->endpoint_, false, RunOutcome::Answered, now);
     ++request;
   }
 }
@@ -68,7 +68,7 @@
 void
 LeastOfTwoDecision(benchmark::State& aState)
 {
-  DecideOnce(aState, LeastOfTwo{});
+  DecideOnce(aState, PowerOfTwoChoices{});
 }
 
 void
@@ -88,7 +88,7 @@
 {
   base::Instant now{ std::chrono::seconds{ 1000 } };
   auto chooser = MakeLinkedChooser(
-    LeastOfTwo{}, static_cast<std::size_t>(aState.range(0)), now);
+    PowerOfTwoChoices{}, static_cast<std::size_t>(aState.range(0)), now);
   wire::Heartbeat report;
   report.running_ = 3;
   report.capacity_ = kCapacity;
--- a/Benchmarks/RoutingModel/Main.cpp
+++ b/Benchmarks/RoutingModel/Main.cpp
@@ -19,7 +19,7 @@
 };
 
 const std::array kPolicies{
-  NamedPolicy{ "least of two", LeastOfTwo{} },
+  NamedPolicy{ "least of two", PowerOfTwoChoices{} },
   NamedPolicy{ "round robin", RoundRobin{} },
   NamedPolicy{ "random", RandomChoice{} },
 };
--- a/Benchmarks/RoutingModel/Model.cpp
+++ b/Benchmarks/RoutingModel/Model.cpp
@@ -123,7 +123,7 @@
     entry.budget_.RecordAttempt();
   }
   const bool mayGo = request.tried_.size() < kMaxEndpointsTried &&
-                     (!aIsRetry || entry.budget_.TryTake());
+                     (!aIsRetry || entry.budget_.TryConsume());
   ChoiceRequest asked;
   asked.excluded_ = request.tried_;
   const auto choice =
@@ -194,8 +194,10 @@
   EndpointChooser& chooser = entries_[request.entry_].chooser_;
   const std::string& endpoint = endpoints_[request.endpoint_].name_;
   const bool isCounted = aHasFailed && options_.countsFailures_;
-  chooser.OnEnded(
-    endpoint, false, isCounted ? RunEnd::Broken : RunEnd::GivenUp, now_);
+  chooser.OnEnded(endpoint,
+                  false,
+                  isCounted ? RunOutcome::Failed : RunOutcome::Abandoned,
+                  now_);
 }
 
 void
--- a/Benchmarks/RoutingModel/Model.h
+++ b/Benchmarks/RoutingModel/Model.h
@@ -15,7 +15,7 @@
 /// What one run of the model varies.
 struct ModelOptions
 {
-  Policy policy_ = LeastOfTwo{};
+  Policy policy_ = PowerOfTwoChoices{};
   std::size_t endpoints_ = 18;
   std::size_t entries_ = 4;
   std::uint32_t capacity_ = 8; ///< Requests an endpoint runs at once.
--- a/Libraries/LibEntry/CallerService.cpp
+++ b/Libraries/LibEntry/CallerService.cpp
@@ -1,6 +1,6 @@
 #include "LibEntry/CallerService.h"
 
-#include "LibEntry/LotReceiver.h"
+#include "LibEntry/JobReceiver.h"
 #include "LibEntry/MessageStream.h"
 #include "LibEntry/Replies.h"
 #include "LibEntry/RequestChecks.h"
@@ -20,8 +20,8 @@
 
 namespace {
 
-/// When to come back after a refusal by a host that leaves or is full: the
-/// balancer sends the caller to another one.
+/// Retry delay after this host refused a request because it is draining or
+/// full; the load balancer then chooses another host.
 constexpr std::uint32_t kRetryElsewhereMs = 100;
 
 std::string_view
@@ -53,13 +53,14 @@
 }
 
 base::Result<void>
-CheckTakesWork(const EntryCore& aCore)
+CheckAcceptsWork(const EntryCore& aCore)
 {
   if (aCore.draining_) {
-    return base::Fail(ResultCode::Draining, "this entry is leaving");
+    return base::Fail(ResultCode::Draining, "this entry is draining");
   }
   if (aCore.openCalls_ > EntryCore::kMaxOpenCalls) {
-    return base::Fail(ResultCode::Overloaded, "too many calls are open here");
+    return base::Fail(ResultCode::Overloaded,
+                      "too many open calls on this entry");
   }
   return {};
 }
@@ -67,92 +68,94 @@
 grpc::Status
 MakeEntryRefusal(const Failure& aFailure)
 {
-  const bool isPassing = aFailure.code_ == ResultCode::Draining ||
-                         aFailure.code_ == ResultCode::Overloaded;
-  return MakeRefusal(aFailure, isPassing ? kRetryElsewhereMs : 0);
+  const bool isTransient = aFailure.code_ == ResultCode::Draining ||
+                           aFailure.code_ == ResultCode::Overloaded;
+  return MakeRefusal(aFailure, isTransient ? kRetryElsewhereMs : 0);
 }
 
-/// A partner and the job that it asks about.
-struct JobQuestion
+/// A partner and the ID of the job that it queries.
+struct JobQuery
 {
   std::string partner_;
   wire::JobId job_;
 };
 
-base::Result<JobQuestion>
-CheckJobQuestion(const EntryCore& aCore,
-                 const grpc::CallbackServerContext& aContext,
-                 const std::string& aKey)
+base::Result<JobQuery>
+CheckJobQuery(const EntryCore& aCore,
+              const grpc::CallbackServerContext& aContext,
+              const std::string& aKey)
 {
   const auto configuration = aCore.context_.configuration_.Current();
   BOOST_LEAF_AUTO(partner,
                   Authenticate(*configuration, AuthorizationOf(aContext)));
   BOOST_LEAF_AUTO(key, CheckKey(aKey));
-  return JobQuestion{ partner->name(), base::MakeJobId(partner->name(), key) };
+  return JobQuery{ partner->name(), base::MakeJobId(partner->name(), key) };
 }
 
-/// The status of a question that could not be answered; nothing is said about
-/// whether the job's items ran.
+/// Builds the status of a failed query. It doesn't state whether the job's
+/// items ran.
 grpc::Status
-MakeUnanswered(ResultCode aCode, const std::string& aDetail)
+MakeQueryFailure(ResultCode aCode, const std::string& aDetail)
 {
   return MakeStatus(MakeOutcome(aCode, Ran::Unspecified, 0, aDetail));
 }
 
-/// Asks an owner and ends a unary RPC with what it says.
-template<typename Answer, typename Question, typename Fill>
+/// Sends a request to the owner of the job's partition and finishes the unary
+/// RPC with its reply.
+template<typename Answer, typename Request, typename Fill>
 void
-AskForUnary(EntryCore& aCore,
-            grpc::ServerUnaryReactor* aReactor,
-            const JobQuestion& aJob,
-            Question aQuestion,
-            Fill aFill)
+ForwardToOwner(EntryCore& aCore,
+               grpc::ServerUnaryReactor* aReactor,
+               const JobQuery& aJob,
+               Request aRequest,
+               Fill aFill)
 {
-  aQuestion.job_ = aJob.job_;
-  aQuestion.partner_ = aJob.partner_;
-  aCore.owners_->Ask(
+  aRequest.job_ = aJob.job_;
+  aRequest.partner_ = aJob.partner_;
+  aCore.owners_->Call(
     aJob.job_,
-    std::move(aQuestion),
-    CallerService::kOwnerPatience,
+    std::move(aRequest),
+    CallerService::kOwnerTimeout,
     [aReactor, aFill](OwnerCalls::Reply aReply) {
       if (const auto* failure = std::get_if<Failure>(&aReply)) {
-        aReactor->Finish(MakeUnanswered(failure->code_, failure->detail_));
+        aReactor->Finish(MakeQueryFailure(failure->code_, failure->detail_));
         return;
       }
       const auto& answer = std::get<Answer>(std::get<wire::Message>(aReply));
       if (answer.code_ != ResultCode::Ok) {
-        aReactor->Finish(MakeUnanswered(answer.code_, {}));
+        aReactor->Finish(MakeQueryFailure(answer.code_, {}));
         return;
       }
       aReactor->Finish(aFill(answer));
     });
 }
 
-/// Checks a job question, then asks; or ends the RPC.
-template<typename Answer, typename Question, typename Fill>
+/// Authenticates the partner and checks the key, then forwards the request to
+/// the owner; finishes the RPC if a check fails.
+template<typename Answer, typename Request, typename Fill>
 grpc::ServerUnaryReactor*
-AnswerJobQuestion(EntryCore& aCore,
-                  grpc::CallbackServerContext* aContext,
-                  const std::string& aKey,
-                  Question aQuestion,
-                  Fill aFill)
+HandleJobQuery(EntryCore& aCore,
+               grpc::CallbackServerContext* aContext,
+               const std::string& aKey,
+               Request aRequest,
+               Fill aFill)
 {
   auto* reactor = aContext->DefaultReactor();
   auto checked =
-    base::Capture([&] { return CheckJobQuestion(aCore, *aContext, aKey); });
+    base::Capture([&] { return CheckJobQuery(aCore, *aContext, aKey); });
   if (const auto* failure = std::get_if<Failure>(&checked)) {
-    reactor->Finish(MakeUnanswered(failure->code_, failure->detail_));
+    reactor->Finish(MakeQueryFailure(failure->code_, failure->detail_));
     return reactor;
   }
-  AskForUnary<Answer>(aCore,
-                      reactor,
-                      std::get<JobQuestion>(checked),
-                      std::move(aQuestion),
-                      std::move(aFill));
+  ForwardToOwner<Answer>(aCore,
+                         reactor,
+                         std::get<JobQuery>(checked),
+                         std::move(aRequest),
+                         std::move(aFill));
   return reactor;
 }
 
-/// Turns what a call emits into the caller's events.
+/// Converts the Emit... actions of a call to the caller's events.
 class CallSink
 {
 public:
@@ -205,7 +208,7 @@
   auto* reactor = stream.get();
   auto open = std::make_shared<OpenCall>(core_);
   auto described = base::Capture([&]() -> base::Result<OnlineDescription> {
-    BOOST_LEAF_CHECK(CheckTakesWork(*core_));
+    BOOST_LEAF_CHECK(CheckAcceptsWork(*core_));
     const auto configuration = core_->context_.configuration_.Current();
     BOOST_LEAF_AUTO(partner,
                     Authenticate(*configuration, AuthorizationOf(*aContext)));
@@ -220,8 +223,8 @@
   const std::string key = description.record_.key_;
   const std::uint64_t call = core_->online_->Start(
     std::move(description), CallSink(stream, key, std::move(open)));
-  // Called on a gRPC thread that may hold none of the table's locks, but might
-  // be inside a write of another call: the table is entered from the pool.
+  // OnCancel() may run on a gRPC thread during a write of another call, so the
+  // lock of OnlineCalls is only taken on a pool thread.
   stream->SetHandlers({ [core = core_, call] {
                          core->context_.pool_.Post(
                            [core, call] { core->online_->Cancel(call); });
@@ -238,7 +241,7 @@
   auto call = ServiceCall::Make(core_, aReply);
   auto* reactor = call.get();
   auto described = base::Capture([&]() -> base::Result<OnlineDescription> {
-    BOOST_LEAF_CHECK(CheckTakesWork(*core_));
+    BOOST_LEAF_CHECK(CheckAcceptsWork(*core_));
     const auto configuration = core_->context_.configuration_.Current();
     BOOST_LEAF_AUTO(partner,
                     Authenticate(*configuration, AuthorizationOf(*aContext)));
@@ -246,7 +249,7 @@
       *configuration, *partner, *aRequest, MakeArrival(*aContext));
   });
   if (const auto* failure = std::get_if<Failure>(&described)) {
-    call->RefuseAtOnce(MakeEntryRefusal(*failure));
+    call->RefuseImmediately(MakeEntryRefusal(*failure));
     return reactor;
   }
   call->Begin(std::get<OnlineDescription>(std::move(described)));
@@ -258,19 +261,19 @@
                          caller::SubmitJobReply* aReply)
 {
   auto partner = base::Capture([&]() -> base::Result<declarations::Partner> {
-    BOOST_LEAF_CHECK(CheckTakesWork(*core_));
+    BOOST_LEAF_CHECK(CheckAcceptsWork(*core_));
     const auto configuration = core_->context_.configuration_.Current();
     BOOST_LEAF_AUTO(found,
                     Authenticate(*configuration, AuthorizationOf(*aContext)));
     return *found;
   });
   if (const auto* failure = std::get_if<Failure>(&partner)) {
-    auto refused = LotReceiver::Make(core_, {}, aReply);
+    auto refused = JobReceiver::Make(core_, {}, aReply);
     auto* reactor = refused.get();
-    refused->RefuseAtOnce(MakeEntryRefusal(*failure));
+    refused->RefuseImmediately(MakeEntryRefusal(*failure));
     return reactor;
   }
-  auto receiver = LotReceiver::Make(
+  auto receiver = JobReceiver::Make(
     core_, std::get<declarations::Partner>(std::move(partner)), aReply);
   auto* reactor = receiver.get();
   receiver->Begin();
@@ -282,7 +285,7 @@
                       const caller::GetJobRequest* aRequest,
                       caller::JobStatus* aReply)
 {
-  return AnswerJobQuestion<wire::JobStatusReply>(
+  return HandleJobQuery<wire::JobStatusReply>(
     *core_,
     aContext,
     aRequest->job_key(),
@@ -300,13 +303,13 @@
   auto stream = ResultsReader::Stream::Make();
   auto* reactor = stream.get();
   auto checked = base::Capture(
-    [&] { return CheckJobQuestion(*core_, *aContext, aRequest->job_key()); });
+    [&] { return CheckJobQuery(*core_, *aContext, aRequest->job_key()); });
   if (const auto* failure = std::get_if<Failure>(&checked)) {
-    stream->Close(MakeUnanswered(failure->code_, failure->detail_));
+    stream->Close(MakeQueryFailure(failure->code_, failure->detail_));
     return reactor;
   }
   auto reader = std::make_shared<ResultsReader>(
-    core_, stream, std::get<JobQuestion>(checked).partner_, *aRequest);
+    core_, stream, std::get<JobQuery>(checked).partner_, *aRequest);
   stream->SetHandlers({ {}, [reader] { reader->OnDrained(); } });
   reader->Fetch();
   return reactor;
@@ -317,7 +320,7 @@
                          const caller::CancelJobRequest* aRequest,
                          caller::CancelJobReply* aReply)
 {
-  return AnswerJobQuestion<wire::JobStatusReply>(
+  return HandleJobQuery<wire::JobStatusReply>(
     *core_,
     aContext,
     aRequest->job_key(),
@@ -333,16 +336,16 @@
                          const caller::GetResultRequest* aRequest,
                          caller::ItemResult* aReply)
 {
-  wire::ReadResults question;
-  question.limit_ = 1;
-  return AnswerJobQuestion<wire::ResultsPage>(
+  wire::ReadResults request;
+  request.limit_ = 1;
+  return HandleJobQuery<wire::ResultsPage>(
     *core_,
     aContext,
     aRequest->request_key(),
-    std::move(question),
+    std::move(request),
     [aReply](const wire::ResultsPage& aPage) {
       if (aPage.items_.empty()) {
-        return MakeUnanswered(
+        return MakeQueryFailure(
           aPage.ended_ ? ResultCode::NotFound : ResultCode::StillRunning, {});
       }
       *aReply = MakeItemResult(aPage.items_.front());
--- a/Libraries/LibEntry/CallerService.h
+++ b/Libraries/LibEntry/CallerService.h
@@ -8,13 +8,14 @@
 
 namespace pumiceturn::entry {
 
-/// The callers' RPCs: checks them and hands them on. No thread waits in any of
-/// them.
+/// Implements the callers' RPCs: checks requests and passes them on. No RPC
+/// blocks a thread.
 class CallerService final : public caller::Caller::CallbackService
 {
 public:
-  /// For one question to an owner; a takeover of the partition takes less.
-  static constexpr base::Duration kOwnerPatience{ std::chrono::seconds{ 10 } };
+  /// Timeout of one request to an owner; longer than a takeover of the
+  /// partition.
+  static constexpr base::Duration kOwnerTimeout{ std::chrono::seconds{ 10 } };
 
   explicit CallerService(std::shared_ptr<EntryCore> aCore);
 
--- a/Libraries/LibEntry/EndpointRouter.cpp
+++ b/Libraries/LibEntry/EndpointRouter.cpp
@@ -99,7 +99,7 @@
         routes.chooser_.SetLinked(aEndpoint, false);
         break;
       case wire::LinkState::Replaced:
-        routes.chooser_.OnReplaced(aEndpoint);
+        routes.chooser_.OnProcessReplaced(aEndpoint);
         routes.chooser_.SetLinked(aEndpoint, true);
         break;
     }
@@ -127,16 +127,16 @@
   if (!aRequest.isRetry_) {
     routes.budget_.RecordAttempt();
   }
-  const routing::ChoiceRequest asked{ aRequest.prefix_,
-                                      aRequest.suspect_,
-                                      aRequest.tried_ };
-  auto choice = routes.chooser_.Choose(asked, aNow, random_);
+  const routing::ChoiceRequest requested{ aRequest.prefix_,
+                                          aRequest.suspect_,
+                                          aRequest.tried_ };
+  auto choice = routes.chooser_.Choose(requested, aNow, random_);
   if (!choice.has_value()) {
     return DescribeNoRoute(routes);
   }
-  // Taken only when there is somewhere to go, so that a fleet without
-  // endpoints does not use up the budget.
-  if (aRequest.isRetry_ && !routes.budget_.TryTake()) {
+  // The budget is consumed only if an endpoint is available, so that a fleet
+  // without endpoints doesn't exhaust it.
+  if (aRequest.isRetry_ && !routes.budget_.TryConsume()) {
     return NoRoute{ base::ResultCode::RetryBudgetSpent,
                     DescribeNoRoute(routes).retryAfterMs_ };
   }
@@ -159,12 +159,12 @@
 EndpointRouter::OnEnded(std::string_view aService,
                         std::string_view aEndpoint,
                         bool aIsSuspect,
-                        routing::RunEnd aEnd,
+                        routing::RunOutcome aOutcome,
                         base::Instant aNow)
 {
   const auto found = services_.find(aService);
   if (found != services_.end()) {
-    found->second.chooser_.OnEnded(aEndpoint, aIsSuspect, aEnd, aNow);
+    found->second.chooser_.OnEnded(aEndpoint, aIsSuspect, aOutcome, aNow);
   }
 }
 
@@ -178,7 +178,7 @@
 NoRoute
 EndpointRouter::DescribeNoRoute(const ServiceRoutes& aRoutes) const
 {
-  const std::uint32_t wait = aRoutes.chooser_.ShortestWaitMs().value_or(0);
+  const std::uint32_t wait = aRoutes.chooser_.MinExpectedWaitMs().value_or(0);
   return NoRoute{ base::ResultCode::NoEndpoint,
                   wait > 0 ? wait : kDefaultRetryAfterMs };
 }
--- a/Libraries/LibEntry/EndpointRouter.h
+++ b/Libraries/LibEntry/EndpointRouter.h
@@ -20,7 +20,7 @@
 
 namespace pumiceturn::entry {
 
-/// What a request asks of routing.
+/// Routing input of one request.
 struct RouteRequest
 {
   std::string_view service_;
@@ -30,15 +30,15 @@
   std::span<const std::string> tried_;
 };
 
-/// Why no endpoint takes a request, and when to come back.
+/// Why no endpoint was chosen, and when the caller may retry.
 struct NoRoute
 {
   base::ResultCode code_ = base::ResultCode::NoEndpoint;
   std::uint32_t retryAfterMs_ = 0;
 };
 
-/// The endpoints of each service as this entry knows them: its subset, load,
-/// retry budget. Does no I/O. Not thread-safe.
+/// This entry's routing state for each service: subset, load and retry budget.
+/// Does no I/O. Not thread-safe.
 class EndpointRouter
 {
 public:
@@ -47,27 +47,27 @@
     std::string host_;
     std::string failureDomain_;
     std::size_t subsetSize_ = 20;
-    routing::Policy policy_ = routing::LeastOfTwo{};
+    routing::Policy policy_ = routing::PowerOfTwoChoices{};
     routing::RetryBudget::Limits retries_;
     std::uint64_t seed_ = 0;
   };
 
-  /// Whom a host should keep a link to.
+  /// An endpoint that the host must keep a link to.
   struct Link
   {
     std::string endpoint_;
     std::string address_;
   };
 
-  /// Advice to callers where nothing is known about the wait.
+  /// Retry delay sent to callers if no endpoint has reported its expected wait.
   static constexpr std::uint32_t kDefaultRetryAfterMs = 1000;
 
   explicit EndpointRouter(Options aOptions);
 
-  /// Takes a configuration's endpoints.
-  /// @param aIsLeaving Whether operators or the host list say that an endpoint
-  /// leaves.
-  /// @return the links of the subsets.
+  /// Applies the endpoints of a configuration.
+  /// @param aIsLeaving Returns whether an endpoint was drained by operators or
+  /// is leaving according to the host list.
+  /// @return the links to all endpoints in the subsets.
   std::vector<Link> SetConfiguration(
     const configuration::Snapshot& aConfiguration,
     const std::function<bool(const std::string&)>& aIsLeaving);
@@ -87,11 +87,11 @@
   void OnEnded(std::string_view aService,
                std::string_view aEndpoint,
                bool aIsSuspect,
-               routing::RunEnd aEnd,
+               routing::RunOutcome aOutcome,
                base::Instant aNow);
 
-  /// @return whether a service is known; with none of it linked, calls are
-  /// refused.
+  /// @return whether the service is declared and at least one of its endpoints
+  /// is linked and not draining.
   [[nodiscard]] bool HasEligible(std::string_view aService) const;
 
 private:
--- a/Libraries/LibEntry/EntryCore.h
+++ b/Libraries/LibEntry/EntryCore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "LibEntry/LotSpool.h"
+#include "LibEntry/JobSpool.h"
 #include "LibEntry/OnlineCalls.h"
 #include "LibEntry/OwnerCalls.h"
 #include "LibNode/Context.h"
@@ -10,10 +10,10 @@
 
 namespace pumiceturn::entry {
 
-/// What the gRPC services of one entry share.
+/// State shared by the gRPC services of one entry.
 struct EntryCore
 {
-  /// RPCs with work that may be open at once; each holds its prompt and its
+  /// Maximum number of open RPCs that carry work. Each keeps its prompt and its
   /// answer in memory.
   static constexpr int kMaxOpenCalls = 8192;
 
@@ -27,12 +27,12 @@
   std::shared_ptr<OwnerCalls> owners_;
   SpoolBudget spoolBudget_;
   std::atomic<bool> draining_{ false };
-  /// RPCs that a shutdown would cut off. Streams of results are not among
-  /// them: they resume at any entry from a position.
+  /// Open RPCs that a shutdown would interrupt. ReadResults isn't counted: it
+  /// can be resumed at any entry.
   std::atomic<int> openCalls_{ 0 };
 };
 
-/// Counts an RPC as open for as long as it lives.
+/// Counts an RPC as open during its lifetime.
 class OpenCall
 {
 public:
--- a/Libraries/LibEntry/EntryFunction.cpp
+++ b/Libraries/LibEntry/EntryFunction.cpp
@@ -21,15 +21,15 @@
 
 constexpr int kKeepaliveMs = 20000;
 constexpr int kKeepaliveTimeoutMs = 5000;
-constexpr int kShortestClientPingMs = 5000;
+constexpr int kMinClientPingIntervalMs = 5000;
 constexpr std::size_t kMaxGrpcBytes = std::size_t{ 64 } << 20U;
 constexpr int kMaxGrpcThreads = 32;
 constexpr int kMaxMessageBytes = 16 << 20;
 
-/// For RPCs that are still open when the server is told to stop.
-constexpr std::chrono::milliseconds kShutdownPatience{ 500 };
+/// Time for open RPCs to finish after the server was asked to shut down.
+constexpr std::chrono::milliseconds kShutdownTimeout{ 500 };
 
-constexpr std::uint32_t kDefaultSubset = 20;
+constexpr std::uint32_t kDefaultSubsetSize = 20;
 constexpr double kDefaultRetryShare = 0.1;
 constexpr std::uint32_t kDefaultRetryBurst = 10;
 
@@ -42,7 +42,7 @@
     case settings::ROUTING_POLICY_RANDOM:
       return routing::RandomChoice{};
     default:
-      return routing::LeastOfTwo{};
+      return routing::PowerOfTwoChoices{};
   }
 }
 
@@ -54,7 +54,7 @@
   options.host_ = aSettings.host();
   options.failureDomain_ = aSettings.failure_domain();
   options.subsetSize_ =
-    entry.subset_size() == 0 ? kDefaultSubset : entry.subset_size();
+    entry.subset_size() == 0 ? kDefaultSubsetSize : entry.subset_size();
   options.policy_ = ToPolicy(entry.routing());
   options.retries_.share_ =
     entry.retry_share() == 0.0 ? kDefaultRetryShare : entry.retry_share();
@@ -84,9 +84,9 @@
 
 namespace {
 
-/// Follows the configuration and the host list for as long as the entry lives.
+/// Subscribes the entry to changes of the configuration and the host list.
 void
-Follow(const std::shared_ptr<EntryCore>& aCore)
+SubscribeToUpdates(const std::shared_ptr<EntryCore>& aCore)
 {
   const std::weak_ptr<EntryCore> weak = aCore;
   aCore->context_.configuration_.Subscribe(
@@ -113,7 +113,7 @@
   const std::weak_ptr<EntryCore> weak = aCore;
   aCore->context_.metrics_.AddGauge(
     "pumiceturn_open_calls",
-    "Calls and lots that a shutdown would cut off.",
+    "Open calls and job submissions that a shutdown would interrupt.",
     {},
     [weak] {
       const auto core = weak.lock();
@@ -129,15 +129,15 @@
   quota.SetMaxThreads(kMaxGrpcThreads);
   aBuilder.SetResourceQuota(quota);
   aBuilder.SetMaxReceiveMessageSize(kMaxMessageBytes);
-  // A caller whose connection has gone silent is noticed, and its runs are
-  // cancelled, within a few pings.
+  // Detects dead connections of callers, so that their runs are cancelled.
   aBuilder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, kKeepaliveMs);
   aBuilder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS,
                               kKeepaliveTimeoutMs);
   aBuilder.AddChannelArgument(
     GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS,
-    kShortestClientPingMs);
-  // Two processes on one port would share its callers without knowing.
+    kMinClientPingIntervalMs);
+  // Without this, two processes could listen on the same port and split the
+  // callers.
   aBuilder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
 }
 
@@ -152,7 +152,7 @@
     std::make_shared<OnlineCalls>(aContext, MakeRouting(aContext.settings_));
   core.owners_ = std::make_shared<OwnerCalls>(aContext);
   core.owners_->Start();
-  Follow(state->core_);
+  SubscribeToUpdates(state->core_);
   AddGauges(state->core_);
 
   const std::string& address = aContext.settings_.entry().grpc_address();
@@ -254,10 +254,10 @@
 EntryFunction::Stop()
 {
   if (state_->server_ != nullptr) {
-    // gRPC waits for every RPC, also for those that wait for an owner.
+    // gRPC waits for all RPCs, including those that wait for an owner.
     state_->core_->owners_->Stop();
     state_->server_->Shutdown(std::chrono::system_clock::now() +
-                              kShutdownPatience);
+                              kShutdownTimeout);
     state_->server_->Wait();
     state_->server_.reset();
   }
--- a/Libraries/LibEntry/EntryFunction.h
+++ b/Libraries/LibEntry/EntryFunction.h
@@ -9,7 +9,7 @@
 
 namespace pumiceturn::entry {
 
-/// The entry function: callers' and operators' gRPC, routing of online
+/// The entry role: serves callers and operators over gRPC and routes online
 /// requests. Thread-safe.
 class EntryFunction
 {
@@ -20,27 +20,27 @@
   EntryFunction(const EntryFunction&) = delete;
   EntryFunction& operator=(const EntryFunction&) = delete;
 
-  /// Takes the messages meant for this function; runs on a pool thread, in
-  /// order for one peer.
+  /// Handles a message from a peer. Runs on a pool thread, in order for each
+  /// peer.
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
   void OnLinkState(const std::string& aPeer, wire::LinkState aState);
 
-  /// @return whether the end of this run is for this entry; otherwise it is for
+  /// @return whether the run belongs to this entry; otherwise its end is for
   /// the keeper.
   [[nodiscard]] bool HasRun(const wire::RunId& aRun) const;
 
-  /// Adds this function's part to the next heartbeat to a peer.
+  /// Adds this role's fields to the next heartbeat to a peer.
   void FillHeartbeat(const std::string& aPeer,
                      wire::Heartbeat& aHeartbeat) const;
 
-  /// Refuses new work from now on; what runs is finished or handed over.
+  /// Refuses new requests from now on. Open requests are finished.
   void BeginDrain();
 
-  /// @return whether nothing is left that a shutdown would cut off.
+  /// @return whether a shutdown would interrupt nothing.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] node::Readiness GetReadiness() const;
 
-  /// @return the IP:port where callers and operators are served.
+  /// @return the IP:port on which callers and operators are served.
   [[nodiscard]] std::string ListenAddress() const;
   void Stop();
 
--- a/Libraries/LibEntry/LotReceiver.cpp
+++ b/Libraries/LibEntry/JobReceiver.cpp
@@ -1,4 +1,4 @@
-#include "LibEntry/LotReceiver.h"
+#include "LibEntry/JobReceiver.h"
 
 #include "LibEntry/Events.h"
 #include "LibEntry/Replies.h"
@@ -11,18 +11,18 @@
 using base::Ran;
 using base::ResultCode;
 
-std::shared_ptr<LotReceiver>
-LotReceiver::Make(std::shared_ptr<EntryCore> aCore,
+std::shared_ptr<JobReceiver>
+JobReceiver::Make(std::shared_ptr<EntryCore> aCore,
                   declarations::Partner aPartner,
                   caller::SubmitJobReply* aReply)
 {
-  auto receiver = std::shared_ptr<LotReceiver>(
-    new LotReceiver(std::move(aCore), std::move(aPartner), aReply));
+  auto receiver = std::shared_ptr<JobReceiver>(
+    new JobReceiver(std::move(aCore), std::move(aPartner), aReply));
   receiver->self_ = receiver;
   return receiver;
 }
 
-LotReceiver::LotReceiver(std::shared_ptr<EntryCore> aCore,
+JobReceiver::JobReceiver(std::shared_ptr<EntryCore> aCore,
                          declarations::Partner aPartner,
                          caller::SubmitJobReply* aReply)
   : core_(aCore)
@@ -33,90 +33,93 @@
 }
 
 void
-LotReceiver::RefuseAtOnce(const grpc::Status& aStatus)
+JobReceiver::RefuseImmediately(const grpc::Status& aStatus)
 {
   FinishOnce(aStatus);
 }
 
 void
-LotReceiver::Begin()
+JobReceiver::Begin()
 {
-  StartRead(&part_);
+  StartRead(&message_);
 }
 
 void
-LotReceiver::OnReadDone(bool aIsOk)
+JobReceiver::OnReadDone(bool aIsOk)
 {
   if (!aIsOk) {
-    EndOfItemsLater();
+    ScheduleEndOfItems();
     return;
   }
-  const auto outcome = base::Capture([this] { return TakePart(); });
+  const auto outcome = base::Capture([this] { return ProcessMessage(); });
   if (const auto* failure = std::get_if<base::Failure>(&outcome)) {
     Refuse(*failure, Ran::NotRun);
     return;
   }
-  StartRead(&part_);
+  StartRead(&message_);
 }
 
 void
-LotReceiver::OnCancel()
+JobReceiver::OnCancel()
 {
-  // A lot whose last frame is not durable is not accepted; the owner drops what
-  // it has of it.
+  // A job is accepted only when its last frame is durable; the owner discards a
+  // partial job.
   FinishOnce(grpc::Status::CANCELLED);
 }
 
 void
-LotReceiver::OnDone()
+JobReceiver::OnDone()
 {
   const auto self = std::move(self_);
 }
 
 base::Result<void>
-LotReceiver::TakePart()
+JobReceiver::ProcessMessage()
 {
-  if (part_.has_header()) {
+  if (message_.has_header()) {
     if (spool_.has_value()) {
-      return base::Fail(ResultCode::InvalidRequest, "a second header");
+      return base::Fail(ResultCode::InvalidRequest,
+                        "the job has more than one header");
     }
     const auto configuration = core_->context_.configuration_.Current();
     BOOST_LEAF_AUTO(
       terms,
-      DescribeLot(*configuration, partner_, part_.header(), base::WallNow()));
+      DescribeJob(
+        *configuration, partner_, message_.header(), base::WallNow()));
     spool_.emplace(std::move(terms), core_->spoolBudget_);
     return {};
   }
-  if (!part_.has_item()) {
-    return base::Fail(ResultCode::InvalidRequest, "neither header nor item");
+  if (!message_.has_item()) {
+    return base::Fail(ResultCode::InvalidRequest,
+                      "the message has neither a header nor an item");
   }
   if (!spool_.has_value()) {
-    return base::Fail(ResultCode::InvalidRequest, "an item before the header");
+    return base::Fail(ResultCode::InvalidRequest,
+                      "the first item precedes the header");
   }
-  return spool_->Add(part_.item().name(), part_.item().prompt());
+  return spool_->Add(message_.item().name(), message_.item().prompt());
 }
 
 void
-LotReceiver::EndOfItemsLater()
+JobReceiver::ScheduleEndOfItems()
 {
-  // A failed read means the end of the items or a broken connection; for the
-  // latter gRPC calls OnCancel() right after. A lot that was cut short must not
-  // be accepted, so the items are taken as whole only when no cancellation
-  // came.
+  // A failed read means either the end of the items or a broken connection. In
+  // the latter case gRPC calls OnCancel() right afterwards. Waiting for it
+  // prevents a truncated job from being accepted.
   core_->context_.pool_.PostAt(
-    base::MonotonicNow() + kCancelWait,
-    [self = shared_from_this()] { self->EndOfItems(); });
+    base::MonotonicNow() + kCancelGracePeriod,
+    [self = shared_from_this()] { self->OnEndOfItems(); });
 }
 
 void
-LotReceiver::EndOfItems()
+JobReceiver::OnEndOfItems()
 {
   if (IsFinished()) {
     return;
   }
   const auto outcome = base::Capture([this]() -> base::Result<void> {
     if (!spool_.has_value()) {
-      return base::Fail(ResultCode::InvalidRequest, "the lot has no header");
+      return base::Fail(ResultCode::InvalidRequest, "the job has no header");
     }
     return spool_->Seal();
   });
@@ -128,25 +131,25 @@
 }
 
 void
-LotReceiver::SendFrame()
+JobReceiver::SendFrame()
 {
   if (IsFinished()) {
     return;
   }
-  wire::SubmitFrame frame = spool_->FrameFrom(nextItem_);
+  wire::SubmitFrame frame = spool_->MakeFrame(nextItem_);
   const auto next = nextItem_ + static_cast<std::uint32_t>(frame.items_.size());
   const bool isLast = frame.last_;
-  core_->owners_->Ask(
+  core_->owners_->Call(
     spool_->Job().id_,
     std::move(frame),
-    kFramePatience,
+    kFrameTimeout,
     [self = shared_from_this(), next, isLast](OwnerCalls::Reply aReply) {
       self->OnFrameReply(next, isLast, std::move(aReply));
     });
 }
 
 void
-LotReceiver::OnFrameReply(std::uint32_t aNext,
+JobReceiver::OnFrameReply(std::uint32_t aNext,
                           bool aIsLast,
                           OwnerCalls::Reply aReply)
 {
@@ -156,24 +159,24 @@
   }
   const auto& reply =
     std::get<wire::SubmitReply>(std::get<wire::Message>(aReply));
-  // A new owner may lack frames that were not durable when the partition
-  // changed hands: the lot is sent again from its start, and what the owner has
-  // is answered without being written twice.
-  const bool lacksFrames =
+  // After a takeover the new owner may lack frames that were not yet durable.
+  // The job is sent again from the start; the owner doesn't write frames twice
+  // that it already has.
+  const bool isMissingFrames =
     reply.code_ == ResultCode::InvalidRequest && nextItem_ > 0;
-  if (lacksFrames && restarts_ < kMaxRestarts) {
+  if (isMissingFrames && restarts_ < kMaxRestarts) {
     ++restarts_;
     nextItem_ = 0;
     SendFrame();
     return;
   }
   if (reply.code_ != ResultCode::Ok) {
-    // When the last frame could not be made durable everywhere, a new owner may
-    // still find it in the log and take the lot as accepted.
-    const bool mayStand =
+    // If the last frame was not durable on all copies, a new owner may still
+    // find it in its log and accept the job.
+    const bool mayBeAccepted =
       aIsLast && ToStatusCode(reply.code_) == grpc::StatusCode::UNAVAILABLE;
     Refuse(base::Failure{ reply.code_, reply.detail_ },
-           mayStand ? Ran::Unknown : Ran::NotRun);
+           mayBeAccepted ? Ran::Unknown : Ran::NotRun);
     return;
   }
   if (aIsLast || reply.duplicate_) {
@@ -185,26 +188,26 @@
 }
 
 void
-LotReceiver::Refuse(const base::Failure& aFailure, Ran aRan)
+JobReceiver::Refuse(const base::Failure& aFailure, Ran aRan)
 {
-  constexpr std::uint32_t kComeBackMs = 1000;
-  const bool isPassing =
+  constexpr std::uint32_t kRetryAfterMs = 1000;
+  const bool isTransient =
     aFailure.code_ == ResultCode::Overloaded ||
     ToStatusCode(aFailure.code_) == grpc::StatusCode::UNAVAILABLE;
-  base::Log(kLotRefused,
+  base::Log(kJobRefused,
             { { "partner", partner_.name() },
               { "items", spool_.has_value() ? spool_->Job().itemCount_ : 0 },
               { "code", base::NameOf(aFailure.code_) },
               { "detail", aFailure.detail_ } });
   FinishOnce(MakeStatus(MakeOutcome(
-    aFailure.code_, aRan, isPassing ? kComeBackMs : 0, aFailure.detail_)));
+    aFailure.code_, aRan, isTransient ? kRetryAfterMs : 0, aFailure.detail_)));
 }
 
 void
-LotReceiver::Accept(const wire::SubmitReply& aReply)
+JobReceiver::Accept(const wire::SubmitReply& aReply)
 {
   const wire::JobDescription& job = spool_->Job();
-  base::Log(kLotSubmitted,
+  base::Log(kJobSubmitted,
             { { "job", base::ToString(job.id_) },
               { "partner", job.partner_ },
               { "items", job.itemCount_ },
@@ -212,7 +215,7 @@
   {
     const std::lock_guard lock(mutex_);
     if (finished_) {
-      return; // gRPC may have dropped the reply already.
+      return; // gRPC may have released the reply.
     }
     reply_->set_job_key(job.key_);
     reply_->set_items(job.itemCount_);
@@ -224,14 +227,14 @@
 }
 
 bool
-LotReceiver::IsFinished()
+JobReceiver::IsFinished()
 {
   const std::lock_guard lock(mutex_);
   return finished_;
 }
 
 void
-LotReceiver::FinishOnce(const grpc::Status& aStatus)
+JobReceiver::FinishOnce(const grpc::Status& aStatus)
 {
   {
     const std::lock_guard lock(mutex_);
--- a/Libraries/LibEntry/LotReceiver.h
+++ b/Libraries/LibEntry/JobReceiver.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "LibEntry/EntryCore.h"
-#include "LibEntry/LotSpool.h"
+#include "LibEntry/JobSpool.h"
 
 #include <Caller.pb.h>
 #include <grpcpp/support/server_callback.h>
@@ -13,30 +13,30 @@
 
 namespace pumiceturn::entry {
 
-/// One SubmitJob RPC: reads the items into a spool, then sends them to the
-/// owner in frames, one under way at a time. The RPC ends when the owner has
-/// all of them durable. Kept alive by itself until gRPC is done with it.
-class LotReceiver final
+/// Handles one SubmitJob RPC: reads the items into a spool, then sends them to
+/// the owner, one frame at a time. The RPC finishes when the owner has made all
+/// of them durable. Owns itself until gRPC calls OnDone().
+class JobReceiver final
   : public grpc::ServerReadReactor<caller::SubmitJobRequest>
-  , public std::enable_shared_from_this<LotReceiver>
+  , public std::enable_shared_from_this<JobReceiver>
 {
 public:
-  /// For one frame; a takeover of the partition takes less.
-  static constexpr base::Duration kFramePatience{ std::chrono::seconds{ 20 } };
+  /// Timeout of one frame; longer than a takeover of the partition.
+  static constexpr base::Duration kFrameTimeout{ std::chrono::seconds{ 20 } };
   static constexpr std::uint32_t kMaxRestarts = 3;
-  /// After the end of the items, how long a cancellation may still follow that
-  /// was in truth the cause.
-  static constexpr base::Duration kCancelWait{ std::chrono::milliseconds{
+  /// How long to wait for OnCancel() after a failed read, which may also mean a
+  /// broken connection.
+  static constexpr base::Duration kCancelGracePeriod{ std::chrono::milliseconds{
     20 } };
 
-  /// @param aPartner Who submits.
-  /// @param aReply Filled before the RPC ends.
-  static std::shared_ptr<LotReceiver> Make(std::shared_ptr<EntryCore> aCore,
+  /// @param aPartner The authenticated submitter.
+  /// @param aReply Filled before the RPC finishes.
+  static std::shared_ptr<JobReceiver> Make(std::shared_ptr<EntryCore> aCore,
                                            declarations::Partner aPartner,
                                            caller::SubmitJobReply* aReply);
 
-  /// Ends the RPC before anything is read.
-  void RefuseAtOnce(const grpc::Status& aStatus);
+  /// Finishes the RPC before reading any message.
+  void RefuseImmediately(const grpc::Status& aStatus);
   void Begin();
 
   void OnReadDone(bool aIsOk) override;
@@ -44,13 +44,13 @@
   void OnDone() override;
 
 private:
-  LotReceiver(std::shared_ptr<EntryCore> aCore,
+  JobReceiver(std::shared_ptr<EntryCore> aCore,
               declarations::Partner aPartner,
               caller::SubmitJobReply* aReply);
 
-  base::Result<void> TakePart();
-  void EndOfItems();
-  void EndOfItemsLater();
+  base::Result<void> ProcessMessage();
+  void OnEndOfItems();
+  void ScheduleEndOfItems();
   void SendFrame();
   void OnFrameReply(std::uint32_t aNext,
                     bool aIsLast,
@@ -64,13 +64,13 @@
   OpenCall open_;
   declarations::Partner partner_;
   caller::SubmitJobReply* reply_;
-  caller::SubmitJobRequest part_;
-  std::optional<LotSpool> spool_;
+  caller::SubmitJobRequest message_;
+  std::optional<JobSpool> spool_;
   std::uint32_t nextItem_ = 0;
   std::uint32_t restarts_ = 0;
   std::mutex mutex_;
   bool finished_ = false;
-  std::shared_ptr<LotReceiver> self_;
+  std::shared_ptr<JobReceiver> self_;
 };
 
 } // namespace pumiceturn::entry
--- a/Libraries/LibEntry/LotSpool.cpp
+++ b/Libraries/LibEntry/JobSpool.cpp
@@ -1,4 +1,4 @@
-#include "LibEntry/LotSpool.h"
+#include "LibEntry/JobSpool.h"
 
 #include <fmt/format.h>
 
@@ -14,10 +14,12 @@
 
 namespace {
 
-/// The budget is taken in steps, so that not each item touches it.
-constexpr std::size_t kBudgetStep = std::size_t{ 1 } << 20U;
+/// Memory is reserved in steps, so that not every item updates the shared
+/// budget.
+constexpr std::size_t kReservationStep = std::size_t{ 1 } << 20U;
 
-/// Seed of the second of two digests that together name a lot without a key.
+/// Seed of the second digest. Both digests together form the key of a job
+/// without one.
 constexpr std::uint64_t kSecondSeed = 0x6C6F74;
 
 std::uint64_t
@@ -30,22 +32,22 @@
 } // namespace
 
 bool
-SpoolBudget::TryTake(std::size_t aBytes)
+SpoolBudget::TryReserve(std::size_t aBytes)
 {
-  if (taken_.fetch_add(aBytes) + aBytes <= kMaxBytes) {
+  if (reserved_.fetch_add(aBytes) + aBytes <= kMaxBytes) {
     return true;
   }
-  taken_.fetch_sub(aBytes);
+  reserved_.fetch_sub(aBytes);
   return false;
 }
 
 void
-SpoolBudget::GiveBack(std::size_t aBytes)
+SpoolBudget::Release(std::size_t aBytes)
 {
-  taken_.fetch_sub(aBytes);
+  reserved_.fetch_sub(aBytes);
 }
 
-LotSpool::LotSpool(LotTerms aTerms, SpoolBudget& aBudget)
+JobSpool::JobSpool(JobTerms aTerms, SpoolBudget& aBudget)
   : terms_(std::move(aTerms))
   , budget_(aBudget)
   , digest_(HashTerms(terms_.job_, 0))
@@ -53,41 +55,42 @@
 {
 }
 
-LotSpool::~LotSpool()
+JobSpool::~JobSpool()
 {
-  budget_.GiveBack(taken_);
+  budget_.Release(reserved_);
 }
 
 base::Result<void>
-LotSpool::Add(std::string_view aName, std::string_view aPayload)
+JobSpool::Add(std::string_view aName, std::string_view aPayload)
 {
   const std::uint32_t item = terms_.job_.itemCount_;
   if (aPayload.size() > terms_.maxItemBytes_ || aName.size() > kMaxKeyBytes) {
     return Fail(ResultCode::ItemTooLarge,
-                fmt::format("item {}: {} bytes exceed {}",
+                fmt::format("item {}: {} bytes exceed the limit of {}",
                             item,
                             aPayload.size(),
                             terms_.maxItemBytes_));
   }
   if (item >= terms_.maxItems_) {
-    return Fail(ResultCode::TooManyItems,
-                fmt::format("more than {} items", terms_.maxItems_));
+    return Fail(
+      ResultCode::TooManyItems,
+      fmt::format("the job has more than {} items", terms_.maxItems_));
   }
   const std::size_t size = content_.size() + aName.size() + aPayload.size() +
                            (2 * sizeof(std::uint32_t));
-  if (size > kMaxLotBytes) {
+  if (size > kMaxJobBytes) {
     return Fail(ResultCode::TooManyItems,
-                fmt::format("the lot exceeds {} bytes", kMaxLotBytes));
+                fmt::format("the job exceeds {} bytes", kMaxJobBytes));
   }
-  // A growing string doubles and is held twice while it moves; reserving in
-  // steps of the budget keeps what is held near what is counted.
-  while (size > taken_) {
-    const std::size_t step = std::max(kBudgetStep, taken_ / 4);
-    if (!budget_.TryTake(step)) {
-      return Fail(ResultCode::Overloaded, "too many lots are on their way in");
+  // A string that grows on its own doubles its capacity. Reserving explicitly
+  // keeps the memory in use close to the reserved amount.
+  while (size > reserved_) {
+    const std::size_t step = std::max(kReservationStep, reserved_ / 4);
+    if (!budget_.TryReserve(step)) {
+      return Fail(ResultCode::Overloaded, "too many jobs are being submitted");
     }
-    taken_ += step;
-    content_.reserve(taken_);
+    reserved_ += step;
+    content_.reserve(reserved_);
   }
   Append(aName);
   Append(aPayload);
@@ -99,17 +102,17 @@
 }
 
 base::Result<void>
-LotSpool::Seal()
+JobSpool::Seal()
 {
   wire::JobDescription& job = terms_.job_;
   if (job.itemCount_ == 0) {
-    return Fail(ResultCode::InvalidRequest, "the lot has no items");
+    return Fail(ResultCode::InvalidRequest, "the job has no items");
   }
-  if (terms_.toldItems_ != 0 && terms_.toldItems_ != job.itemCount_) {
+  if (terms_.declaredItems_ != 0 && terms_.declaredItems_ != job.itemCount_) {
     return Fail(ResultCode::InvalidRequest,
-                fmt::format("{} items came of {} told",
+                fmt::format("received {} items, but the header declares {}",
                             job.itemCount_,
-                            terms_.toldItems_));
+                            terms_.declaredItems_));
   }
   job.digest_ = digest_;
   if (job.key_.empty()) {
@@ -120,7 +123,7 @@
 }
 
 wire::SubmitFrame
-LotSpool::FrameFrom(std::uint32_t aFirstItem)
+JobSpool::MakeFrame(std::uint32_t aFirstItem)
 {
   if (aFirstItem < next_.item_) {
     next_ = {};
@@ -134,8 +137,8 @@
   frame.job_ = terms_.job_;
   frame.firstItem_ = aFirstItem;
   std::size_t bytes = 0;
-  while (next_.offset_ < content_.size() && frame.items_.size() < kFrameItems &&
-         bytes < kFrameBytes) {
+  while (next_.offset_ < content_.size() &&
+         frame.items_.size() < kMaxFrameItems && bytes < kTargetFrameBytes) {
     const std::string_view name = ReadPart(next_.offset_);
     const std::string_view payload = ReadPart(next_.offset_);
     bytes += name.size() + payload.size();
@@ -147,7 +150,7 @@
 }
 
 void
-LotSpool::Append(std::string_view aPart)
+JobSpool::Append(std::string_view aPart)
 {
   const auto length = static_cast<std::uint32_t>(aPart.size());
   std::array<char, sizeof(length)> prefix{};
@@ -157,7 +160,7 @@
 }
 
 std::string_view
-LotSpool::ReadPart(std::size_t& aOffset) const
+JobSpool::ReadPart(std::size_t& aOffset) const
 {
   std::uint32_t length = 0;
   assert(aOffset + sizeof(length) <= content_.size());
--- a/Libraries/LibEntry/MessageStream.h
+++ b/Libraries/LibEntry/MessageStream.h
@@ -14,18 +14,19 @@
 
 namespace pumiceturn::entry {
 
-/// A stream of messages to one caller over gRPC's callback interface: messages
-/// are queued and written one after the other, and no thread waits. Kept alive
-/// by itself until gRPC is done with it. Thread-safe; its lock is innermost and
-/// is not held while gRPC is called.
+/// Streams messages to one caller through gRPC's callback API. Messages are
+/// queued and written in order; no thread blocks. Owns itself until gRPC calls
+/// OnDone(). Thread-safe. No other lock is taken and gRPC isn't called while
+/// its lock is held.
 template<typename Message>
 class MessageStream final : public grpc::ServerWriteReactor<Message>
 {
 public:
   struct Handlers
   {
-    std::function<void()> cancelled_; ///< Caller gone; called once at most.
-    std::function<void()> drained_;   ///< All that was queued is written.
+    /// The caller cancelled; called at most once.
+    std::function<void()> cancelled_;
+    std::function<void()> drained_; ///< All queued messages were written.
   };
 
   static std::shared_ptr<MessageStream> Make()
@@ -35,7 +36,7 @@
     return stream;
   }
 
-  /// Before the reactor is handed to gRPC.
+  /// Must be called before the reactor is returned to gRPC.
   void SetHandlers(Handlers aHandlers) { handlers_ = std::move(aHandlers); }
 
   void Push(Message aMessage)
@@ -45,7 +46,7 @@
     PushAll(std::move(one));
   }
 
-  /// Queues messages as one: the stream is not drained before the last of them
+  /// Queues several messages at once; drained_ isn't called before the last one
   /// is written.
   void PushAll(std::vector<Message> aMessages)
   {
@@ -59,7 +60,7 @@
     WriteNext();
   }
 
-  /// Ends the RPC when all that was queued before is written.
+  /// Finishes the RPC after all queued messages were written.
   void Close(grpc::Status aStatus)
   {
     {
@@ -72,7 +73,7 @@
     WriteNext();
   }
 
-  /// @return whether the RPC ends or has ended.
+  /// @return whether Close() was called.
   [[nodiscard]] bool IsClosing()
   {
     const std::lock_guard lock(mutex_);
--- a/Libraries/LibEntry/OnlineAction.h
+++ b/Libraries/LibEntry/OnlineAction.h
@@ -10,23 +10,26 @@
 
 namespace pumiceturn::entry {
 
-/// An online request as checked and named by the entry.
+/// An online request after its checks, with its derived key, IDs and limits.
 struct OnlineDescription
+/// Sent to the owner; contains the payload.
 {
-  wire::RecordRequest record_; ///< As it goes to the owner; holds the payload.
+  wire::RecordRequest record_;
   base::Instant deadline_;
-  bool streamed_ = true;          ///< The caller wants chunks.
-  std::uint32_t maxAttempts_ = 2; ///< Runs that may have reached an endpoint.
+  bool streamed_ = true; ///< Whether the caller wants chunks.
+  /// Maximum number of runs that may have begun.
+  std::uint32_t maxAttempts_ = 2;
   base::Duration backoff_{ std::chrono::milliseconds{ 20 } };
   std::uint64_t fingerprint_ = 0;
   std::uint64_t prefix_ = 0;
   bool quarantined_ = false;
-  /// Random. Its upper bits number the attempts, so that two entries which run
-  /// the same request never use the same run id; the rest is jitter.
+  /// Random bits. The upper half is part of the run IDs, so that two entries
+  /// never use the same ID for runs of one request; all bits seed the jitter.
   std::uint64_t random_ = 0;
 };
 
-/// Send to the owner of the request's partition.
+/// Sends a message to the owner of the request's partition. Answered by
+/// OnOwnerSent() or OnOwnerUnreachable().
 struct SendToOwner
 {
   wire::Message message_;
@@ -38,24 +41,25 @@
   wire::Message message_;
 };
 
-/// Choose an endpoint; answered by OnEndpoint() or OnNoEndpoint().
+/// Requests an endpoint. Answered by OnEndpoint() or OnNoEndpoint().
 struct ChooseEndpoint
+/// Consumes one retry of the budget.
 {
-  bool isRetry_ = false; ///< Takes one from the retry budget.
+  bool isRetry_ = false;
 };
 
-/// A run no longer counts as in flight at its endpoint.
-struct RunLeft
+/// A run is no longer in flight at its endpoint.
+struct RunReleased
 {
   std::string endpoint_;
-  routing::RunEnd end_ = routing::RunEnd::GivenUp;
+  routing::RunOutcome outcome_ = routing::RunOutcome::Abandoned;
 };
 
-/// The content crashed endpoints often enough to be refused everywhere.
-struct BlameContent
+/// Quarantines the request's content, which has crashed several endpoints.
+struct QuarantineContent
 {};
 
-/// The record is durable and an endpoint has begun to answer.
+/// The record is durable and the first text has arrived.
 struct EmitAccepted
 {
   bool duplicate_ = false;
@@ -68,17 +72,17 @@
   std::uint32_t tokens_ = 0;
 };
 
-/// The durable result.
+/// The request finished with a durable result.
 struct EmitFinished
 {
   wire::ItemResult result_;
   bool duplicate_ = false;
-  bool streamedWhole_ = false; ///< The caller has the text already.
+  bool isTextStreamed_ = false; ///< The chunks sent contain the whole text.
   bool replacesChunks_ = false;
   std::string endpoint_;
 };
 
-/// The call ends without a durable result.
+/// The call failed without a durable result.
 struct EmitFailed
 {
   base::ResultCode code_ = base::ResultCode::Internal;
@@ -90,8 +94,8 @@
 using OnlineAction = std::variant<SendToOwner,
                                   SendToEndpoint,
                                   ChooseEndpoint,
-                                  RunLeft,
-                                  BlameContent,
+                                  RunReleased,
+                                  QuarantineContent,
                                   EmitAccepted,
                                   EmitChunk,
                                   EmitFinished,
--- a/Libraries/LibEntry/OnlineCalls.cpp
+++ b/Libraries/LibEntry/OnlineCalls.cpp
@@ -21,10 +21,11 @@
   return std::chrono::duration<double>(aDuration).count();
 }
 
-/// Call numbers of two processes with the same name must differ, or an owner
-/// could take a new call for one that it has answered.
+/// Two successive processes of a host must use different call numbers;
+/// otherwise an owner could confuse a new call with one that it has already
+/// answered.
 std::uint64_t
-MakeFirstCall()
+MakeFirstCallNumber()
 {
   std::random_device device;
   return (std::uint64_t{ device() } << 32U) | 1U;
@@ -36,21 +37,21 @@
                          EndpointRouter::Options aRouting)
   : context_(aContext)
   , router_(std::move(aRouting))
-  , nextCall_(MakeFirstCall())
+  , nextCall_(MakeFirstCallNumber())
   , started_(
       aContext.metrics_.GetCounter("pumiceturn_calls_total",
-                                   "Online calls that passed their checks."))
+                                   "Online calls accepted after their checks."))
   , retries_(aContext.metrics_.GetCounter("pumiceturn_call_retries_total",
-                                          "Runs of online calls beyond the "
-                                          "first."))
-  , refused_(aContext.metrics_.GetCounter("pumiceturn_calls_failed_total",
-                                          "Online calls that ended without a "
-                                          "durable result."))
-  , firstToken_(
-      aContext.metrics_.GetHistogram("pumiceturn_call_first_token_seconds",
-                                     "Time to the first streamed text."))
-  , duration_(aContext.metrics_.GetHistogram("pumiceturn_call_duration_seconds",
-                                             "Time to the last message."))
+                                          "Additional runs of online calls."))
+  , refused_(
+      aContext.metrics_.GetCounter("pumiceturn_calls_failed_total",
+                                   "Online calls without a durable result."))
+  , firstToken_(aContext.metrics_.GetHistogram(
+      "pumiceturn_call_first_token_seconds",
+      "Time from the call to its first streamed text."))
+  , duration_(
+      aContext.metrics_.GetHistogram("pumiceturn_call_duration_seconds",
+                                     "Time from the call to its result."))
 {
 }
 
@@ -69,14 +70,14 @@
     aDescription.backoff_ = std::chrono::milliseconds{ backoffMs };
   }
   const wire::JobId job = aDescription.record_.job_;
-  Active active{ OnlineRequest(std::move(aDescription)),
-                 std::move(aSink),
-                 {},
-                 suspicion == routing::Suspicion::Suspect,
-                 now,
-                 std::nullopt,
-                 false,
-                 {} };
+  ActiveCall active{ OnlineRequest(std::move(aDescription)),
+                     std::move(aSink),
+                     {},
+                     suspicion == routing::Suspicion::Suspect,
+                     now,
+                     std::nullopt,
+                     false,
+                     {} };
   calls_.emplace(call, std::move(active));
   callsByJob_.emplace(job, call);
   started_.Add();
@@ -99,13 +100,13 @@
   std::visit(
     [&](const auto& aContent) {
       using Content = std::decay_t<decltype(aContent)>;
-      constexpr bool kIsForUs =
+      constexpr bool kIsHandled =
         std::is_same_v<Content, wire::Heartbeat> ||
         std::is_same_v<Content, wire::Chunk> ||
         std::is_same_v<Content, wire::RunEnded> ||
         std::is_same_v<Content, wire::RecordReply> ||
         std::is_same_v<Content, wire::RecordResultReply>;
-      if constexpr (kIsForUs) {
+      if constexpr (kIsHandled) {
         Handle(aPeer, aContent);
       }
     },
@@ -119,13 +120,13 @@
   const base::Instant now = base::MonotonicNow();
   router_.OnLinkState(aPeer, aState);
   if (aState == wire::LinkState::Up) {
-    const auto orphans = orphans_.find(aPeer);
-    if (orphans != orphans_.end()) {
+    const auto orphans = orphanedRuns_.find(aPeer);
+    if (orphans != orphanedRuns_.end()) {
       for (const wire::RunId& run : orphans->second) {
         context_.links_.Send(aPeer, wire::CancelRun{ run });
       }
-      orphanCount_ -= orphans->second.size();
-      orphans_.erase(orphans);
+      orphanedRunCount_ -= orphans->second.size();
+      orphanedRuns_.erase(orphans);
     }
   }
   std::vector<std::uint64_t> numbers;
@@ -169,7 +170,8 @@
     }
   }
   for (const auto& [endpoint, address] : linked_) {
-    // One that is still declared may be linked by this process's keeper.
+    // An endpoint that is still declared may also be linked by the keeper in
+    // this process.
     const bool isGone = !wanted.contains(endpoint) &&
                         aConfiguration.FindEndpoint(endpoint) == nullptr;
     if (isGone) {
@@ -198,7 +200,7 @@
 OnlineCalls::HasJob(const wire::JobId& aJob) const
 {
   const std::lock_guard lock(mutex_);
-  return callsByJob_.contains(aJob) || concluded_.contains(aJob);
+  return callsByJob_.contains(aJob) || finishedJobs_.contains(aJob);
 }
 
 std::size_t
@@ -215,7 +217,7 @@
     return false;
   }
   const std::lock_guard lock(mutex_);
-  return callsByJob_.contains(aRun.job_) || concluded_.contains(aRun.job_);
+  return callsByJob_.contains(aRun.job_) || finishedJobs_.contains(aRun.job_);
 }
 
 std::map<std::string, wire::Heartbeat>
@@ -229,7 +231,7 @@
 OnlineCalls::Handle(const std::string& aPeer, const wire::Heartbeat& aMessage)
 {
   const base::Instant now = base::MonotonicNow();
-  // A link that came up while this function started was reported to nobody.
+  // A link that came up during startup was not reported to this object.
   if (context_.links_.IsUp(aPeer)) {
     router_.OnLinkState(aPeer, wire::LinkState::Up);
   }
@@ -250,12 +252,12 @@
 {
   const base::Instant now = base::MonotonicNow();
   const wire::JobId job = aMessage.run_.job_;
-  if (concluded_.contains(job)) {
+  if (finishedJobs_.contains(job)) {
     context_.links_.Send(aPeer, wire::RunRecorded{ aMessage.run_ });
     return;
   }
   for (const std::uint64_t call : CallsOf(job)) {
-    Active& active = calls_.at(call);
+    ActiveCall& active = calls_.at(call);
     if (active.request_.Endpoint() != aPeer) {
       active.staleRuns_.push_back(StaleRun{ aPeer, aMessage.run_ });
     }
@@ -314,7 +316,7 @@
     return;
   }
   aEvent(found->second.request_);
-  Carry(aCall, found->second);
+  ExecuteActions(aCall, found->second);
 }
 
 template<typename Event>
@@ -327,15 +329,15 @@
 }
 
 void
-OnlineCalls::Carry(std::uint64_t aCall, Active& aActive)
+OnlineCalls::ExecuteActions(std::uint64_t aCall, ActiveCall& aActive)
 {
   while (true) {
-    std::deque<OnlineAction> actions = aActive.request_.TakeActions();
+    std::deque<OnlineAction> actions = aActive.request_.DrainActions();
     if (actions.empty()) {
       break;
     }
     for (OnlineAction& action : actions) {
-      std::visit([&](auto& aAction) { Do(aActive, aAction); }, action);
+      std::visit([&](auto& aAction) { Execute(aActive, aAction); }, action);
     }
   }
   if (aActive.request_.IsDone()) {
@@ -346,17 +348,17 @@
 }
 
 void
-OnlineCalls::Remove(std::uint64_t aCall, Active& aActive)
+OnlineCalls::Remove(std::uint64_t aCall, ActiveCall& aActive)
 {
   const wire::JobId job = aActive.request_.Description().record_.job_;
-  if (aActive.request_.IsRecorded() && concluded_.insert(job).second) {
+  if (aActive.request_.IsRecorded() && finishedJobs_.insert(job).second) {
     for (const StaleRun& stale : aActive.staleRuns_) {
       context_.links_.Send(stale.endpoint_, wire::RunRecorded{ stale.run_ });
     }
-    concludedOrder_.push_back(job);
-    if (concludedOrder_.size() > kMaxConcluded) {
-      concluded_.erase(concludedOrder_.front());
-      concludedOrder_.pop_front();
+    finishedJobOrder_.push_back(job);
+    if (finishedJobOrder_.size() > kMaxFinishedJobs) {
+      finishedJobs_.erase(finishedJobOrder_.front());
+      finishedJobOrder_.pop_front();
     }
   }
   const auto [first, last] = callsByJob_.equal_range(job);
@@ -367,12 +369,12 @@
 }
 
 void
-OnlineCalls::ScheduleWake(std::uint64_t aCall, Active& aActive)
+OnlineCalls::ScheduleWake(std::uint64_t aCall, ActiveCall& aActive)
 {
   const auto wake = aActive.request_.NextWake();
-  const bool isCovered = !wake.has_value() || (aActive.wakeAt_.has_value() &&
-                                               *aActive.wakeAt_ <= *wake);
-  if (isCovered) {
+  const bool isScheduled = !wake.has_value() || (aActive.wakeAt_.has_value() &&
+                                                 *aActive.wakeAt_ <= *wake);
+  if (isScheduled) {
     return;
   }
   aActive.wakeAt_ = wake;
@@ -399,7 +401,7 @@
 }
 
 void
-OnlineCalls::Do(Active& aActive, SendToOwner& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, SendToOwner& aAction)
 {
   const base::Instant now = base::MonotonicNow();
   const std::uint32_t count = context_.partitions_.Count();
@@ -420,7 +422,7 @@
 }
 
 void
-OnlineCalls::Do(Active& aActive, SendToEndpoint& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, SendToEndpoint& aAction)
 {
   const bool isStart = std::holds_alternative<wire::StartRun>(aAction.message_);
   const auto* cancel = std::get_if<wire::CancelRun>(&aAction.message_);
@@ -436,14 +438,14 @@
   if (isStart) {
     aActive.request_.OnStartNotSent(aAction.endpoint_, base::MonotonicNow());
   }
-  if (isCancel && orphanCount_ < kMaxOrphans) {
-    orphans_[aAction.endpoint_].push_back(cancelled);
-    ++orphanCount_;
+  if (isCancel && orphanedRunCount_ < kMaxOrphanedRuns) {
+    orphanedRuns_[aAction.endpoint_].push_back(cancelled);
+    ++orphanedRunCount_;
   }
 }
 
 void
-OnlineCalls::Do(Active& aActive, ChooseEndpoint& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, ChooseEndpoint& aAction)
 {
   const base::Instant now = base::MonotonicNow();
   const OnlineDescription& description = aActive.request_.Description();
@@ -495,57 +497,58 @@
 }
 
 void
-OnlineCalls::Do(Active& aActive, RunLeft& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, RunReleased& aAction)
 {
   router_.OnEnded(aActive.request_.Description().record_.service_,
                   aAction.endpoint_,
                   aActive.suspect_,
-                  aAction.end_,
+                  aAction.outcome_,
                   base::MonotonicNow());
 }
 
 void
-OnlineCalls::Do(Active& aActive, BlameContent& /*aAction*/)
+OnlineCalls::Execute(ActiveCall& aActive, QuarantineContent& /*aAction*/)
 {
   const std::uint64_t fingerprint = aActive.request_.Description().fingerprint_;
-  // What agents have told of it may be here already, or may have been lifted.
+  // The crashes may already have been merged from agents' heartbeats, or the
+  // entry may have been lifted.
   const base::Instant now = base::MonotonicNow();
-  const std::array blamed{ fingerprint };
+  const std::array fingerprints{ fingerprint };
   while (context_.quarantine_.Check(fingerprint, now) !=
          routing::Suspicion::Quarantined) {
-    context_.quarantine_.RecordCrash(blamed, now);
+    context_.quarantine_.RecordCrash(fingerprints, now);
   }
-  base::Log(kContentBlamed,
+  base::Log(kContentQuarantined,
             { { "fingerprint", fmt::format("{:016x}", fingerprint) } });
-  // The next entry that its caller tries must know before it arrives there.
+  // Informs the other entries before the caller retries there.
   context_.links_.HeartbeatNow();
 }
 
 void
-OnlineCalls::Do(Active& aActive, EmitAccepted& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, EmitAccepted& aAction)
 {
   aActive.sink_(aAction);
 }
 
 void
-OnlineCalls::Do(Active& aActive, EmitChunk& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, EmitChunk& aAction)
 {
   if (!aActive.hasStreamed_) {
     aActive.hasStreamed_ = true;
-    firstToken_.Record(ToSeconds(base::MonotonicNow() - aActive.begun_));
+    firstToken_.Record(ToSeconds(base::MonotonicNow() - aActive.startedAt_));
   }
   aActive.sink_(std::move(aAction));
 }
 
 void
-OnlineCalls::Do(Active& aActive, EmitFinished& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, EmitFinished& aAction)
 {
-  duration_.Record(ToSeconds(base::MonotonicNow() - aActive.begun_));
+  duration_.Record(ToSeconds(base::MonotonicNow() - aActive.startedAt_));
   aActive.sink_(std::move(aAction));
 }
 
 void
-OnlineCalls::Do(Active& aActive, EmitFailed& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, EmitFailed& aAction)
 {
   refused_.Add();
   const wire::RecordRequest& record = aActive.request_.Description().record_;
--- a/Libraries/LibEntry/OnlineCalls.h
+++ b/Libraries/LibEntry/OnlineCalls.h
@@ -21,29 +21,30 @@
 
 namespace pumiceturn::entry {
 
-/// The online calls of this entry: carries out what OnlineRequest decides, over
-/// links and timers. Thread-safe; one lock over all calls and the routing
-/// table, since each event is a few microseconds of work.
+/// The online calls of this entry. Executes the actions of each OnlineRequest
+/// using links and timers. Thread-safe; a single lock protects all calls and
+/// the routing table, since each event takes a few microseconds.
 class OnlineCalls : public std::enable_shared_from_this<OnlineCalls>
 {
 public:
-  /// Receives the Emit... actions of one call in order, under the table's
-  /// lock: it must not block nor call back.
+  /// Receives the Emit... actions of one call in order. Called with the lock
+  /// held: must neither block nor call OnlineCalls.
   using Sink = std::function<void(OnlineAction aEmission)>;
 
-  /// Runs that were given up while their endpoint could not be reached; they
-  /// are cancelled when it comes back.
-  static constexpr std::size_t kMaxOrphans = 1024;
-  /// Jobs whose result is durable, remembered to release late runs at agents.
-  static constexpr std::size_t kMaxConcluded = 4096;
+  /// Maximum number of runs to be cancelled when the link to their unreachable
+  /// endpoint is up again.
+  static constexpr std::size_t kMaxOrphanedRuns = 1024;
+  /// Maximum number of remembered jobs whose result is durable. The agents of
+  /// late runs are notified that they can release them.
+  static constexpr std::size_t kMaxFinishedJobs = 4096;
 
   OnlineCalls(node::Context aContext, EndpointRouter::Options aRouting);
 
-  /// Begins a call.
-  /// @return its number, for Cancel().
+  /// Starts a call.
+  /// @return the call number, for Cancel().
   std::uint64_t Start(OnlineDescription aDescription, Sink aSink);
 
-  /// The caller is gone.
+  /// Handles a cancellation or disconnect of the caller.
   void Cancel(std::uint64_t aCall);
 
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
@@ -53,13 +54,15 @@
 
   [[nodiscard]] std::size_t Count() const;
 
-  /// @return whether a call that runs, or has ended lately, started the run.
+  /// @return whether an entry numbered this run and its job is active here or
+  /// finished recently.
   [[nodiscard]] bool HasRun(const wire::RunId& aRun) const;
 
-  /// @return whether a run of this job is, or lately was, this entry's own.
+  /// @return whether this entry has a call for the job or recently finished
+  /// one.
   [[nodiscard]] bool HasJob(const wire::JobId& aJob) const;
 
-  /// @return the last heartbeat of each peer, for operators.
+  /// @return the last heartbeat of each peer.
   [[nodiscard]] std::map<std::string, wire::Heartbeat> Heartbeats() const;
 
 private:
@@ -68,19 +71,19 @@
     std::string endpoint_;
     wire::RunId run_;
   };
-  struct Active
+  struct ActiveCall
   {
     OnlineRequest request_;
     Sink sink_;
-    std::string owner_; ///< Whom the last message for the owner went to.
+    std::string owner_; ///< Host that received the last message for the owner.
     bool suspect_ = false;
-    base::Instant begun_;
+    base::Instant startedAt_;
     std::optional<base::Instant> wakeAt_;
     bool hasStreamed_ = false;
     std::vector<StaleRun> staleRuns_;
   };
 
-  using Calls = std::unordered_map<std::uint64_t, Active>;
+  using Calls = std::unordered_map<std::uint64_t, ActiveCall>;
 
   void Handle(const std::string& aPeer, const wire::Heartbeat& aMessage);
   void Handle(const std::string& aPeer, const wire::Chunk& aMessage);
@@ -89,28 +92,28 @@
   void Handle(const std::string& aPeer,
               const wire::RecordResultReply& aMessage);
 
-  /// Gives an event to a call, carries out its actions, and drops it when it
-  /// is done. Holds the lock.
+  /// Applies an event to a call, executes the resulting actions and removes the
+  /// call once it is done. The caller holds the lock.
   template<typename Event>
   void Apply(std::uint64_t aCall, Event aEvent);
 
   template<typename Event>
   void ApplyToJob(const wire::JobId& aJob, Event aEvent);
 
-  void Carry(std::uint64_t aCall, Active& aActive);
-  void Remove(std::uint64_t aCall, Active& aActive);
-  void ScheduleWake(std::uint64_t aCall, Active& aActive);
+  void ExecuteActions(std::uint64_t aCall, ActiveCall& aActive);
+  void Remove(std::uint64_t aCall, ActiveCall& aActive);
+  void ScheduleWake(std::uint64_t aCall, ActiveCall& aActive);
   void OnWake(std::uint64_t aCall, base::Instant aTime);
 
-  void Do(Active& aActive, SendToOwner& aAction);
-  void Do(Active& aActive, SendToEndpoint& aAction);
-  void Do(Active& aActive, ChooseEndpoint& aAction);
-  void Do(Active& aActive, RunLeft& aAction);
-  void Do(Active& aActive, BlameContent& aAction);
-  void Do(Active& aActive, EmitAccepted& aAction);
-  void Do(Active& aActive, EmitChunk& aAction);
-  void Do(Active& aActive, EmitFinished& aAction);
-  void Do(Active& aActive, EmitFailed& aAction);
+  void Execute(ActiveCall& aActive, SendToOwner& aAction);
+  void Execute(ActiveCall& aActive, SendToEndpoint& aAction);
+  void Execute(ActiveCall& aActive, ChooseEndpoint& aAction);
+  void Execute(ActiveCall& aActive, RunReleased& aAction);
+  void Execute(ActiveCall& aActive, QuarantineContent& aAction);
+  void Execute(ActiveCall& aActive, EmitAccepted& aAction);
+  void Execute(ActiveCall& aActive, EmitChunk& aAction);
+  void Execute(ActiveCall& aActive, EmitFinished& aAction);
+  void Execute(ActiveCall& aActive, EmitFailed& aAction);
 
   [[nodiscard]] bool IsLeaving(const std::string& aEndpoint) const;
   [[nodiscard]] std::vector<std::uint64_t> CallsOf(
@@ -122,11 +125,11 @@
   Calls calls_;
   std::unordered_multimap<wire::JobId, std::uint64_t> callsByJob_;
   std::uint64_t nextCall_;
-  std::map<std::string, std::vector<wire::RunId>> orphans_;
-  std::size_t orphanCount_ = 0;
-  std::unordered_set<wire::JobId> concluded_;
-  std::deque<wire::JobId> concludedOrder_;
-  std::map<std::string, std::string> linked_; ///< Endpoint to link address.
+  std::map<std::string, std::vector<wire::RunId>> orphanedRuns_;
+  std::size_t orphanedRunCount_ = 0;
+  std::unordered_set<wire::JobId> finishedJobs_;
+  std::deque<wire::JobId> finishedJobOrder_;
+  std::map<std::string, std::string> linked_; ///< Link addresses by endpoint.
   std::unordered_set<std::string> drainedByOperators_;
   std::unordered_set<std::string> leavingByHostList_;
   std::map<std::string, wire::Heartbeat> heartbeats_;
--- a/Libraries/LibEntry/OnlineRequest.cpp
+++ b/Libraries/LibEntry/OnlineRequest.cpp
@@ -13,21 +13,22 @@
 
 namespace {
 
-/// The low byte of a run's attempt number counts; the rest tells entries apart.
+/// Bits of a run's attempt number that count the attempts of one entry; the
+/// other bits are random.
 constexpr std::uint32_t kAttemptMask = 0xFF;
 
-/// Keeps the attempts of entries apart from those of owners, which count from
-/// small numbers.
-constexpr std::uint32_t kEntryAttempt = 0x80000000;
+/// Set in attempt numbers of entries. Owners count from small numbers.
+constexpr std::uint32_t kEntryAttemptFlag = 0x80000000;
 
-/// How long a sent message may stay unanswered on a link that is up.
-constexpr base::Duration kReplyPatience{ std::chrono::seconds{ 2 } };
+/// Time to wait for a reply while the link is up.
+constexpr base::Duration kReplyTimeout{ std::chrono::seconds{ 2 } };
 
-/// How often a duplicate asks again, in case the owner changed since.
-constexpr base::Duration kDuplicatePoll{ std::chrono::seconds{ 1 } };
+/// How often a duplicate call sends its record again, in case the owner has
+/// changed.
+constexpr base::Duration kDuplicatePollInterval{ std::chrono::seconds{ 1 } };
 
 bool
-IsPassing(ResultCode aCode)
+IsTransient(ResultCode aCode)
 {
   switch (aCode) {
     case ResultCode::NotOwner:
@@ -35,16 +36,17 @@
     case ResultCode::Recovering:
     case ResultCode::Disconnected:
     case ResultCode::TimedOut:
-    case ResultCode::Draining: // It hands its partitions to another keeper.
+    case ResultCode::Draining: // The keeper is handing over its partitions.
       return true;
     default:
       return false;
   }
 }
 
-/// @return whether the end says that the run broke off, not how it came out.
+/// @return whether the code means that the run failed without an answer from
+/// the engine.
 bool
-IsBroken(ResultCode aCode)
+IsRunFailure(ResultCode aCode)
 {
   switch (aCode) {
     case ResultCode::EndpointCrashed:
@@ -61,7 +63,7 @@
   }
 }
 
-/// @return the code as a caller should see it, for an owner's refusal.
+/// @return the code reported to the caller for an owner's error.
 ResultCode
 ToRecordRefusal(ResultCode aCode)
 {
@@ -77,7 +79,8 @@
   }
 }
 
-/// @return what is known of a run that ended with this code, not refused.
+/// @return whether a run that ended with this code, and was not refused, has
+/// run.
 Ran
 RanAfter(ResultCode aCode)
 {
@@ -92,8 +95,8 @@
 }
 
 void
-TakeEarlier(std::optional<base::Instant>& aEarliest,
-            const std::optional<base::Instant>& aOther)
+UpdateEarliest(std::optional<base::Instant>& aEarliest,
+               const std::optional<base::Instant>& aOther)
 {
   if (aOther.has_value() && (!aEarliest.has_value() || *aOther < *aEarliest)) {
     aEarliest = aOther;
@@ -111,7 +114,7 @@
 bool
 OnlineRequest::IsEntryAttempt(std::uint32_t aAttempt)
 {
-  return (aAttempt & kEntryAttempt) != 0;
+  return (aAttempt & kEntryAttemptFlag) != 0;
 }
 
 OnlineRequest::OnlineRequest(OnlineDescription aDescription)
@@ -123,29 +126,29 @@
 void
 OnlineRequest::Begin(base::Instant aNow)
 {
-  ownerPatienceEnds_ = aNow + kOwnerPatience;
+  ownerTimeoutAt_ = aNow + kOwnerTimeout;
   SendRecord();
 }
 
 void
 OnlineRequest::OnOwnerSent(base::Instant aNow)
 {
-  resendAt_ = aNow + kReplyPatience;
+  resendAt_ = aNow + kReplyTimeout;
   if (record_ == RecordPhase::Duplicate) {
-    resendAt_ = aNow + kDuplicatePoll;
+    resendAt_ = aNow + kDuplicatePollInterval;
     return;
   }
-  if (record_ != RecordPhase::Asked) {
+  if (record_ != RecordPhase::Pending) {
     return;
   }
   recordSent_ = true;
-  ++unanswered_;
-  // A non-idempotent request may run once at most, so no byte of it leaves for
-  // an endpoint before its record says started. Quarantined content waits for
-  // the record too: the owner may hold a result for its key.
+  ++unansweredRecords_;
+  // A non-idempotent request may run at most once, so it isn't sent to an
+  // endpoint before its record is durable. Quarantined content also waits for
+  // the record: the owner may have a result for its key.
   const bool mayRunBeforeRecord =
     description_.record_.idempotent_ && !description_.quarantined_;
-  if (mayRunBeforeRecord && run_ == RunPhase::Idle && !answered_) {
+  if (mayRunBeforeRecord && run_ == RunPhase::Idle && !callerAnswered_) {
     Choose(false);
   }
 }
@@ -172,12 +175,12 @@
     return;
   }
   if (record_ == RecordPhase::Accepted) {
-    // Late replies say nothing new, but for a result that came without ours:
+    // Late replies are ignored, except for a result that this call didn't send:
     // the request was cancelled by its key.
     const bool isEnded = aReply.code_ == ResultCode::Ok &&
                          aReply.state_ == wire::RecordState::Finished;
     if (isEnded) {
-      OnFinishedBefore(aReply.result_);
+      OnAlreadyFinished(aReply.result_);
     }
     return;
   }
@@ -190,10 +193,10 @@
       OnAccepted(aNow);
       return;
     case wire::RecordState::Running:
-      OnAnotherRuns(aNow);
+      OnRunningElsewhere(aNow);
       return;
     case wire::RecordState::Finished:
-      OnFinishedBefore(aReply.result_);
+      OnAlreadyFinished(aReply.result_);
       return;
   }
 }
@@ -206,15 +209,15 @@
     return;
   }
   if (aReply.code_ == ResultCode::NotFound) {
-    // The owner lost the record together with its only whole copy, or withdrew
-    // it before: it is offered again, then the result.
-    record_ = RecordPhase::Asked;
-    ownerPatienceEnds_ = aNow + kOwnerPatience;
+    // The owner lost the record with its only complete copy, or withdrew it.
+    // The record is sent again, followed by the result.
+    record_ = RecordPhase::Pending;
+    ownerTimeoutAt_ = aNow + kOwnerTimeout;
     SendRecord();
     return;
   }
   if (aReply.code_ == ResultCode::StillRunning) {
-    OnNotOursToEnd();
+    OnOwnerRunsRequest();
     return;
   }
   if (aReply.code_ != ResultCode::Ok) {
@@ -227,7 +230,7 @@
       SendToEndpoint{ endpoint_, wire::RunRecorded{ resultRun_ } });
   }
   const bool isOurs = aReply.first_ || aReply.result_.ran_ == Ran::Unspecified;
-  if (answered_) {
+  if (callerAnswered_) {
     Finish();
   } else if (isOurs && refusal_.has_value()) {
     AnswerFailed(refusal_->code_, Ran::NotRun, refusal_->retryAfterMs_, {});
@@ -238,13 +241,13 @@
 }
 
 void
-OnlineRequest::OnNotOursToEnd()
+OnlineRequest::OnOwnerRunsRequest()
 {
-  // The owner took this entry for lost and runs the request itself: its result
-  // is waited for like that of another call.
+  // The owner considered this entry lost and runs the request itself. This call
+  // waits for that result like a duplicate.
   const std::optional<Refusal> refusal = refusal_;
   result_.reset();
-  if (answered_) {
+  if (callerAnswered_) {
     Finish();
     return;
   }
@@ -269,9 +272,9 @@
   ++starts_;
   ++unknownRuns_;
   assembler_ = {};
-  askedBeyond_ = 0;
+  requestedFrom_ = 0;
   streamed_.BeginAttempt();
-  lostGraceEnds_.reset();
+  endpointGraceEndsAt_.reset();
 
   const wire::RecordRequest& record = description_.record_;
   wire::StartRun start;
@@ -297,8 +300,8 @@
                             base::Instant aNow)
 {
   if (run_ == RunPhase::Choosing) {
-    // What an endpoint itself said tells the caller more than that no other
-    // one was left.
+    // A refusal from an endpoint is more specific than the lack of another
+    // endpoint.
     Refuse(lastRefusal_.value_or(Refusal{ aCode, aRetryAfterMs }), aNow);
   }
 }
@@ -309,7 +312,7 @@
   if (run_ != RunPhase::Running || endpoint_ != aEndpoint) {
     return;
   }
-  OnNotRun(Refusal{ ResultCode::NoEndpoint, 0 }, aNow);
+  OnRunRefused(Refusal{ ResultCode::NoEndpoint, 0 }, aNow);
 }
 
 void
@@ -319,12 +322,13 @@
     return;
   }
   if (assembler_.Add(aChunk)) {
-    StreamOut();
+    StreamNewText();
   }
-  if (assembler_.IsWhole()) {
-    EndRun(ResultCode::Ok, assembler_.Text(), assembler_.Tokens(), {}, aNow);
+  if (assembler_.IsComplete()) {
+    CompleteRun(
+      ResultCode::Ok, assembler_.Text(), assembler_.Tokens(), {}, aNow);
   } else if (assembler_.HasGap()) {
-    AskForMissing();
+    RequestMissingChunks();
   }
 }
 
@@ -339,11 +343,11 @@
     return;
   }
   if (aEnded.ran_ == Ran::NotRun) {
-    OnNotRun(Refusal{ aEnded.code_, aEnded.retryAfterMs_ }, aNow);
-  } else if (IsBroken(aEnded.code_)) {
-    OnBroken(aEnded.code_, aNow);
+    OnRunRefused(Refusal{ aEnded.code_, aEnded.retryAfterMs_ }, aNow);
+  } else if (IsRunFailure(aEnded.code_)) {
+    OnRunFailed(aEnded.code_, aNow);
   } else {
-    OnAnswered(aEnded, aNow);
+    OnRunAnswered(aEnded, aNow);
   }
 }
 
@@ -357,20 +361,20 @@
   }
   switch (aState) {
     case wire::LinkState::Up:
-      // Messages in flight on the old connection may be lost: the agent sends
-      // again what came after the last one received.
-      lostGraceEnds_.reset();
+      // Messages in flight on the old connection may be lost: the agent resends
+      // everything after the last chunk received.
+      endpointGraceEndsAt_.reset();
       actions_.emplace_back(SendToEndpoint{
         endpoint_,
         wire::AttachRun{ CurrentRun(), assembler_.ReceivedSequence() } });
       return;
     case wire::LinkState::Lost:
       if (description_.record_.idempotent_) {
-        lostGraceEnds_ = aNow + kEndpointGrace;
+        endpointGraceEndsAt_ = aNow + kEndpointGracePeriod;
       }
       return;
     case wire::LinkState::Replaced:
-      OnBroken(ResultCode::EndpointLost, aNow);
+      OnRunFailed(ResultCode::EndpointLost, aNow);
       return;
   }
 }
@@ -378,21 +382,21 @@
 void
 OnlineRequest::OnCallerGone(base::Instant aNow)
 {
-  if (done_ || answered_) {
+  if (done_ || callerAnswered_) {
     return;
   }
-  answered_ = true;
+  callerAnswered_ = true;
   const bool isOurs = record_ == RecordPhase::Accepted ||
-                      (record_ == RecordPhase::Asked && recordSent_);
-  const bool mayRecord = isOurs && (mayWithdraw_ || resultIsOwn_);
+                      (record_ == RecordPhase::Pending && recordSent_);
+  const bool mayRecord = isOurs && (mayWithdraw_ || isResultFromEndpoint_);
   CancelRunNow();
   if (!mayRecord) {
     Finish();
     return;
   }
-  GoToBackground(aNow);
+  ContinueInBackground(aNow);
   if (result_.has_value()) {
-    return; // Its result is on the way to the owner.
+    return; // The result was already sent to the owner.
   }
   wire::ItemResult cancelled;
   cancelled.code_ = ResultCode::Cancelled;
@@ -406,54 +410,54 @@
   if (done_) {
     return std::nullopt;
   }
-  std::optional<base::Instant> earliest = backgroundEnds_;
-  if (!answered_) {
-    TakeEarlier(earliest, description_.deadline_);
-    if (record_ == RecordPhase::Asked) {
-      TakeEarlier(earliest, ownerPatienceEnds_);
+  std::optional<base::Instant> earliest = backgroundEndsAt_;
+  if (!callerAnswered_) {
+    UpdateEarliest(earliest, description_.deadline_);
+    if (record_ == RecordPhase::Pending) {
+      UpdateEarliest(earliest, ownerTimeoutAt_);
     }
   }
-  TakeEarlier(earliest, resendAt_);
-  TakeEarlier(earliest, refusalWaitEnds_);
-  TakeEarlier(earliest, runAgainAt_);
-  TakeEarlier(earliest, lostGraceEnds_);
+  UpdateEarliest(earliest, resendAt_);
+  UpdateEarliest(earliest, withdrawalTimeoutAt_);
+  UpdateEarliest(earliest, retryAt_);
+  UpdateEarliest(earliest, endpointGraceEndsAt_);
   return earliest;
 }
 
 void
 OnlineRequest::OnTimer(base::Instant aNow)
 {
-  if (!done_ && IsDue(backgroundEnds_, aNow)) {
+  if (!done_ && IsDue(backgroundEndsAt_, aNow)) {
     Finish();
   }
-  if (!done_ && !answered_ && description_.deadline_ <= aNow) {
+  if (!done_ && !callerAnswered_ && description_.deadline_ <= aNow) {
     OnDeadline(aNow);
   }
-  if (!done_ && IsDue(refusalWaitEnds_, aNow)) {
-    OnWithdrawalSlow(aNow);
+  if (!done_ && IsDue(withdrawalTimeoutAt_, aNow)) {
+    OnWithdrawalTimeout(aNow);
   }
-  const bool hasNoOwner =
-    !answered_ && record_ == RecordPhase::Asked && ownerPatienceEnds_ <= aNow;
+  const bool hasNoOwner = !callerAnswered_ && record_ == RecordPhase::Pending &&
+                          ownerTimeoutAt_ <= aNow;
   if (!done_ && hasNoOwner) {
-    OnOwnerMissing();
+    OnOwnerTimeout();
   }
   if (!done_ && IsDue(resendAt_, aNow)) {
     ResendNow();
   }
-  if (!done_ && IsDue(runAgainAt_, aNow)) {
-    runAgainAt_.reset();
+  if (!done_ && IsDue(retryAt_, aNow)) {
+    retryAt_.reset();
     Choose(true);
   }
-  if (!done_ && IsDue(lostGraceEnds_, aNow)) {
-    lostGraceEnds_.reset();
+  if (!done_ && IsDue(endpointGraceEndsAt_, aNow)) {
+    endpointGraceEndsAt_.reset();
     actions_.emplace_back(
       SendToEndpoint{ endpoint_, wire::CancelRun{ CurrentRun() } });
-    OnBroken(ResultCode::EndpointLost, aNow);
+    OnRunFailed(ResultCode::EndpointLost, aNow);
   }
 }
 
 std::deque<OnlineAction>
-OnlineRequest::TakeActions()
+OnlineRequest::DrainActions()
 {
   return std::exchange(actions_, {});
 }
@@ -476,7 +480,7 @@
 void
 OnlineRequest::ResendLater(base::Instant aNow)
 {
-  const routing::Backoff backoff{ kShortestResend, kLongestResend };
+  const routing::Backoff backoff{ kMinResendDelay, kMaxResendDelay };
   resendAt_ = aNow + backoff.Delay(resends_, NextRandom());
   ++resends_;
 }
@@ -485,7 +489,7 @@
 OnlineRequest::ResendNow()
 {
   switch (record_) {
-    case RecordPhase::Asked:
+    case RecordPhase::Pending:
     case RecordPhase::Duplicate:
       SendRecord();
       return;
@@ -507,8 +511,8 @@
   record_ = RecordPhase::Accepted;
   resendAt_.reset();
   resends_ = 0;
-  unanswered_ = 0;
-  StreamOut();
+  unansweredRecords_ = 0;
+  StreamNewText();
   if (result_.has_value()) {
     Record(*result_, aNow);
     return;
@@ -523,54 +527,55 @@
   }
   if (run_ == RunPhase::Idle && !description_.record_.idempotent_ &&
       MayHaveRun()) {
-    Conclude(ResultCode::OutcomeUnknown, {}, aNow);
+    EndWithoutAnswer(ResultCode::OutcomeUnknown, {}, aNow);
   } else if (run_ == RunPhase::Idle) {
     Choose(false);
   }
 }
 
 void
-OnlineRequest::OnAnotherRuns(base::Instant aNow)
+OnlineRequest::OnRunningElsewhere(base::Instant aNow)
 {
-  const bool mayBeOurs =
-    record_ == RecordPhase::Asked && unanswered_ > 1 && !answered_;
+  const bool mayBeOurs = record_ == RecordPhase::Pending &&
+                         unansweredRecords_ > 1 && !callerAnswered_;
   if (mayBeOurs && description_.record_.idempotent_) {
-    // An earlier RecordRequest of ours may have been accepted and its reply
-    // lost with the link. Going on is safe, since the first result wins; but
-    // nothing is withdrawn that may be another call's.
+    // The owner may have accepted an earlier RecordRequest of this call whose
+    // reply was lost with the link. Running the request is safe, since the
+    // first result is kept. But the record may belong to another call, so it
+    // must not be withdrawn.
     mayWithdraw_ = false;
     OnAccepted(aNow);
     return;
   }
-  const bool isNews = record_ != RecordPhase::Duplicate;
+  const bool isFirstReply = record_ != RecordPhase::Duplicate;
   record_ = RecordPhase::Duplicate;
-  resendAt_ = aNow + kDuplicatePoll;
-  if (answered_) {
+  resendAt_ = aNow + kDuplicatePollInterval;
+  if (callerAnswered_) {
     Finish();
     return;
   }
-  if (!isNews) {
+  if (!isFirstReply) {
     return;
   }
   CancelRunNow();
   run_ = RunPhase::Idle; // The other call may still be withdrawn.
   result_.reset();
-  resultIsOwn_ = false;
+  isResultFromEndpoint_ = false;
   refusal_.reset();
-  refusalWaitEnds_.reset();
+  withdrawalTimeoutAt_.reset();
   acceptedSent_ = true;
   actions_.emplace_back(EmitAccepted{ true });
 }
 
 void
-OnlineRequest::OnFinishedBefore(const wire::ItemResult& aResult)
+OnlineRequest::OnAlreadyFinished(const wire::ItemResult& aResult)
 {
   CancelRunNow();
   recorded_ = true;
   const bool isOurs = record_ == RecordPhase::Accepted ||
-                      (acceptedSent_ && record_ == RecordPhase::Asked);
+                      (acceptedSent_ && record_ == RecordPhase::Pending);
   record_ = isOurs ? RecordPhase::Accepted : RecordPhase::Duplicate;
-  if (answered_) {
+  if (callerAnswered_) {
     Finish();
     return;
   }
@@ -581,14 +586,14 @@
 OnlineRequest::OnRecordRefused(const wire::RecordReply& aReply,
                                base::Instant aNow)
 {
-  unanswered_ -= unanswered_ > 0 ? 1 : 0;
-  // The call that a duplicate waited for was cancelled before it ran: the
-  // duplicate asks again, and then runs itself.
-  const bool isFree =
+  unansweredRecords_ -= unansweredRecords_ > 0 ? 1 : 0;
+  // The call that this duplicate waited for was cancelled before it ran. The
+  // duplicate sends its record again and then runs.
+  const bool isKeyFree =
     record_ == RecordPhase::Duplicate && aReply.code_ == ResultCode::Cancelled;
-  if (isFree || IsPassing(aReply.code_)) {
-    const bool knowsBetter = !aReply.ownerHint_.empty() && resends_ == 0;
-    if (knowsBetter) {
+  if (isKeyFree || IsTransient(aReply.code_)) {
+    const bool hasNewHint = !aReply.ownerHint_.empty() && resends_ == 0;
+    if (hasNewHint) {
       ++resends_;
       ResendNow();
     } else {
@@ -598,9 +603,9 @@
   }
   record_ = RecordPhase::Refused;
   CancelRunNow();
-  if (!answered_) {
+  if (!callerAnswered_) {
     const ResultCode code = ToRecordRefusal(aReply.code_);
-    const bool isUnknown = MayHaveRun() || unanswered_ > 0;
+    const bool isUnknown = MayHaveRun() || unansweredRecords_ > 0;
     const std::uint32_t fallback =
       code == ResultCode::NotRecorded ? kRetryAfterNotRecordedMs : 0;
     AnswerFailed(code,
@@ -619,10 +624,10 @@
 }
 
 void
-OnlineRequest::OnNotRun(Refusal aRefusal, base::Instant aNow)
+OnlineRequest::OnRunRefused(Refusal aRefusal, base::Instant aNow)
 {
   --unknownRuns_;
-  LeaveRun(routing::RunEnd::GivenUp);
+  ReleaseRun(routing::RunOutcome::Abandoned);
   tried_.push_back(endpoint_);
   ++refusals_;
   overloaded_ += aRefusal.code_ == ResultCode::Overloaded ? 1 : 0;
@@ -636,7 +641,7 @@
   }
   const bool mayTryAnother = overloaded_ < kMaxOverloadedEndpoints &&
                              refusals_ < kMaxRefusedEndpoints &&
-                             HoldsRetry(aNow);
+                             HasTimeForRetry(aNow);
   if (mayTryAnother) {
     Choose(true);
   } else {
@@ -645,87 +650,91 @@
 }
 
 void
-OnlineRequest::OnBroken(ResultCode aCode, base::Instant aNow)
+OnlineRequest::OnRunFailed(ResultCode aCode, base::Instant aNow)
 {
-  LeaveRun(routing::RunEnd::Broken);
-  lostGraceEnds_.reset();
+  ReleaseRun(routing::RunOutcome::Failed);
+  endpointGraceEndsAt_.reset();
   tried_.push_back(endpoint_);
-  lastBroken_ = aCode;
+  lastFailure_ = aCode;
   crashes_ += aCode == ResultCode::EndpointCrashed ? 1 : 0;
   resultRun_ = CurrentRun();
   if (!description_.record_.idempotent_) {
     const bool isKnown = aCode == ResultCode::EndpointFailed;
-    Conclude(isKnown ? aCode : ResultCode::OutcomeUnknown,
-             std::string(base::NameOf(aCode)),
-             aNow);
+    EndWithoutAnswer(isKnown ? aCode : ResultCode::OutcomeUnknown,
+                     std::string(base::NameOf(aCode)),
+                     aNow);
     return;
   }
-  if (crashes_ >= kCrashesToBlame) {
-    actions_.emplace_back(BlameContent{});
-    Conclude(ResultCode::Quarantined, "crashed two endpoints", aNow);
+  if (crashes_ >= kCrashesToQuarantine) {
+    actions_.emplace_back(QuarantineContent{});
+    EndWithoutAnswer(
+      ResultCode::Quarantined, "the request crashed two endpoints", aNow);
     return;
   }
   if (unknownRuns_ >= description_.maxAttempts_) {
-    Conclude(
+    EndWithoutAnswer(
       ResultCode::AttemptsExhausted, std::string(base::NameOf(aCode)), aNow);
     return;
   }
-  if (!HoldsRetry(aNow)) {
-    Conclude(aCode, "no time left for another run", aNow);
+  if (!HasTimeForRetry(aNow)) {
+    EndWithoutAnswer(
+      aCode, "not enough time before the deadline for a retry", aNow);
     return;
   }
   const routing::Backoff backoff{ description_.backoff_ };
-  run_ = RunPhase::Pausing;
-  runAgainAt_ = aNow + backoff.Delay(unknownRuns_ - 1, NextRandom());
+  run_ = RunPhase::BackingOff;
+  retryAt_ = aNow + backoff.Delay(unknownRuns_ - 1, NextRandom());
 }
 
 void
-OnlineRequest::OnAnswered(const wire::RunEnded& aEnded, base::Instant aNow)
+OnlineRequest::OnRunAnswered(const wire::RunEnded& aEnded, base::Instant aNow)
 {
   const bool isStreamed =
     description_.streamed_ && aEnded.code_ == ResultCode::Ok;
   if (!isStreamed) {
-    EndRun(aEnded.code_, aEnded.text_, aEnded.tokens_, aEnded.detail_, aNow);
+    CompleteRun(
+      aEnded.code_, aEnded.text_, aEnded.tokens_, aEnded.detail_, aNow);
     return;
   }
   assembler_.SetEnd(aEnded.lastSequence_);
-  if (assembler_.IsWhole()) {
-    EndRun(ResultCode::Ok, assembler_.Text(), assembler_.Tokens(), {}, aNow);
+  if (assembler_.IsComplete()) {
+    CompleteRun(
+      ResultCode::Ok, assembler_.Text(), assembler_.Tokens(), {}, aNow);
   } else {
-    AskForMissing();
+    RequestMissingChunks();
   }
 }
 
 void
-OnlineRequest::EndRun(ResultCode aCode,
-                      std::string aText,
-                      std::uint32_t aTokens,
-                      std::string aDetail,
-                      base::Instant aNow)
+OnlineRequest::CompleteRun(ResultCode aCode,
+                           std::string aText,
+                           std::uint32_t aTokens,
+                           std::string aDetail,
+                           base::Instant aNow)
 {
-  LeaveRun(routing::RunEnd::Answered);
-  run_ = RunPhase::Over;
-  lostGraceEnds_.reset();
+  ReleaseRun(routing::RunOutcome::Answered);
+  run_ = RunPhase::Ended;
+  endpointGraceEndsAt_.reset();
   resultRun_ = CurrentRun();
-  resultIsOwn_ = true;
+  isResultFromEndpoint_ = true;
   wire::ItemResult result;
   result.code_ = aCode;
   result.ran_ = Ran::Ran;
   result.text_ = std::move(aText);
   result.tokens_ = aTokens;
   result.detail_ = std::move(aDetail);
-  StreamOut();
+  StreamNewText();
   Record(std::move(result), aNow);
 }
 
 void
-OnlineRequest::AskForMissing()
+OnlineRequest::RequestMissingChunks()
 {
   const std::uint64_t received = assembler_.ReceivedSequence();
-  if (askedBeyond_ == received + 1) {
-    return; // Asked already; what is missing is on its way.
+  if (requestedFrom_ == received + 1) {
+    return; // The missing chunks were already requested.
   }
-  askedBeyond_ = received + 1;
+  requestedFrom_ = received + 1;
   actions_.emplace_back(
     SendToEndpoint{ endpoint_, wire::AttachRun{ CurrentRun(), received } });
 }
@@ -736,40 +745,41 @@
   if (run_ == RunPhase::Running) {
     actions_.emplace_back(
       SendToEndpoint{ endpoint_, wire::CancelRun{ CurrentRun() } });
-    LeaveRun(routing::RunEnd::GivenUp);
+    ReleaseRun(routing::RunOutcome::Abandoned);
   }
-  run_ = RunPhase::Over;
-  runAgainAt_.reset();
-  lostGraceEnds_.reset();
+  run_ = RunPhase::Ended;
+  retryAt_.reset();
+  endpointGraceEndsAt_.reset();
 }
 
 void
-OnlineRequest::LeaveRun(routing::RunEnd aEnd)
+OnlineRequest::ReleaseRun(routing::RunOutcome aOutcome)
 {
-  actions_.emplace_back(RunLeft{ endpoint_, aEnd });
+  actions_.emplace_back(RunReleased{ endpoint_, aOutcome });
 }
 
 void
 OnlineRequest::Refuse(Refusal aRefusal, base::Instant aNow)
 {
-  run_ = RunPhase::Over;
+  run_ = RunPhase::Ended;
   if (MayHaveRun()) {
-    Conclude(lastBroken_, std::string(base::NameOf(aRefusal.code_)), aNow);
+    EndWithoutAnswer(
+      lastFailure_, std::string(base::NameOf(aRefusal.code_)), aNow);
     return;
   }
   refusal_ = aRefusal;
   const bool isCertain = record_ == RecordPhase::Refused ||
-                         (record_ == RecordPhase::Asked && !recordSent_);
+                         (record_ == RecordPhase::Pending && !recordSent_);
   if (isCertain) {
     AnswerFailed(aRefusal.code_, Ran::NotRun, aRefusal.retryAfterMs_, {});
     Finish();
     return;
   }
-  // "Not run" must stay true: while the record stands, its owner would run the
-  // request after this entry's death. So the withdrawal is made durable first,
-  // for which a few milliseconds are enough.
-  if (!refusalWaitEnds_.has_value() && !answered_) {
-    refusalWaitEnds_ = aNow + kWithdrawalWait;
+  // While the record exists, its owner would run the request if this entry
+  // failed. NotRun may therefore be reported only after the withdrawal is
+  // durable, which usually takes a few milliseconds.
+  if (!withdrawalTimeoutAt_.has_value() && !callerAnswered_) {
+    withdrawalTimeoutAt_ = aNow + kWithdrawalTimeout;
   }
   if (record_ == RecordPhase::Accepted) {
     wire::ItemResult withdrawn;
@@ -780,12 +790,12 @@
 }
 
 void
-OnlineRequest::Conclude(ResultCode aCode,
-                        std::string aDetail,
-                        base::Instant aNow)
+OnlineRequest::EndWithoutAnswer(ResultCode aCode,
+                                std::string aDetail,
+                                base::Instant aNow)
 {
-  run_ = RunPhase::Over;
-  resultIsOwn_ = false;
+  run_ = RunPhase::Ended;
+  isResultFromEndpoint_ = false;
   wire::ItemResult result;
   result.code_ = aCode;
   result.ran_ = RanAfter(aCode);
@@ -801,21 +811,21 @@
     resultRun_ = CurrentRun();
   }
   if (record_ != RecordPhase::Accepted) {
-    return; // Goes out when the record is accepted.
+    return; // Sent once the record is accepted.
   }
-  if (mayWithdraw_ || resultIsOwn_) {
+  if (mayWithdraw_ || isResultFromEndpoint_) {
     SendResult();
     return;
   }
-  // The record may be another call's, which still runs: no verdict of ours is
-  // put in its place.
-  if (!answered_) {
+  // The record may belong to another call that is still running, so this call
+  // must not end it with its own error.
+  if (!callerAnswered_) {
     const Ran ran = result_->ran_ == Ran::NotRun ? Ran::Unknown : result_->ran_;
     const std::uint32_t retryAfterMs =
       refusal_.has_value() ? refusal_->retryAfterMs_ : 0;
     AnswerFailed(result_->code_, ran, retryAfterMs, result_->detail_);
   }
-  GoToBackground(aNow);
+  ContinueInBackground(aNow);
   Finish();
 }
 
@@ -826,41 +836,42 @@
     AnswerFailed(ResultCode::DeadlineExceeded,
                  Ran::Unknown,
                  0,
-                 "an earlier call with this key still runs");
+                 "an earlier call with this key is still running");
     Finish();
     return;
   }
   if (refusal_.has_value()) {
-    OnWithdrawalSlow(aNow);
+    OnWithdrawalTimeout(aNow);
     return;
   }
   if (result_.has_value()) {
     AnswerFailed(ResultCode::DeadlineExceeded,
                  result_->ran_,
                  0,
-                 "the result is not durable yet; read it by its key");
-    GoToBackground(aNow);
+                 "the result is not durable yet; read it later by its key");
+    ContinueInBackground(aNow);
     return;
   }
   CancelRunNow();
-  const bool isOnceOnly = !description_.record_.idempotent_ && MayHaveRun();
-  wire::ItemResult late;
-  late.code_ =
-    isOnceOnly ? ResultCode::OutcomeUnknown : ResultCode::DeadlineExceeded;
-  late.ran_ = MayHaveRun() ? Ran::Unknown : Ran::NotRun;
-  // An owner that may hold the record could still run it: not "not run".
-  const bool isCertain = late.ran_ == Ran::NotRun && !recordSent_;
-  AnswerFailed(late.code_, isCertain ? Ran::NotRun : Ran::Unknown, 0, {});
+  const bool isAtMostOnce = !description_.record_.idempotent_ && MayHaveRun();
+  wire::ItemResult expired;
+  expired.code_ =
+    isAtMostOnce ? ResultCode::OutcomeUnknown : ResultCode::DeadlineExceeded;
+  expired.ran_ = MayHaveRun() ? Ran::Unknown : Ran::NotRun;
+  // An owner that may have the record could still run the request, so NotRun
+  // isn't certain.
+  const bool isCertain = expired.ran_ == Ran::NotRun && !recordSent_;
+  AnswerFailed(expired.code_, isCertain ? Ran::NotRun : Ran::Unknown, 0, {});
   if (!recordSent_) {
     Finish();
     return;
   }
-  GoToBackground(aNow);
-  Record(std::move(late), aNow);
+  ContinueInBackground(aNow);
+  Record(std::move(expired), aNow);
 }
 
 void
-OnlineRequest::OnOwnerMissing()
+OnlineRequest::OnOwnerTimeout()
 {
   CancelRunNow();
   const bool isCertain = !recordSent_ && !MayHaveRun();
@@ -872,21 +883,21 @@
 }
 
 void
-OnlineRequest::OnWithdrawalSlow(base::Instant aNow)
+OnlineRequest::OnWithdrawalTimeout(base::Instant aNow)
 {
-  refusalWaitEnds_.reset();
-  if (!answered_) {
+  withdrawalTimeoutAt_.reset();
+  if (!callerAnswered_) {
     AnswerFailed(refusal_->code_, Ran::Unknown, refusal_->retryAfterMs_, {});
   }
-  GoToBackground(aNow);
+  ContinueInBackground(aNow);
 }
 
 void
-OnlineRequest::StreamOut()
+OnlineRequest::StreamNewText()
 {
   const bool hasBegun = assembler_.ReceivedSequence() > 0;
-  const bool mayStream = !answered_ && description_.streamed_ && hasBegun &&
-                         record_ == RecordPhase::Accepted;
+  const bool mayStream = !callerAnswered_ && description_.streamed_ &&
+                         hasBegun && record_ == RecordPhase::Accepted;
   if (!mayStream) {
     return;
   }
@@ -918,11 +929,11 @@
   EmitFinished finished;
   finished.result_ = aRecorded;
   finished.duplicate_ = isDuplicate;
-  finished.streamedWhole_ = isOk && isSame && !streamed_.IsEmpty();
+  finished.isTextStreamed_ = isOk && isSame && !streamed_.IsEmpty();
   finished.replacesChunks_ = isOk && !isSame && !streamed_.IsEmpty();
   finished.endpoint_ = isDuplicate ? std::string{} : endpoint_;
   actions_.emplace_back(std::move(finished));
-  answered_ = true;
+  callerAnswered_ = true;
   Finish();
 }
 
@@ -932,17 +943,17 @@
                             std::uint32_t aRetryAfterMs,
                             std::string aDetail)
 {
-  answered_ = true;
+  callerAnswered_ = true;
   actions_.emplace_back(
     EmitFailed{ aCode, aRan, aRetryAfterMs, std::move(aDetail) });
 }
 
 void
-OnlineRequest::GoToBackground(base::Instant aNow)
+OnlineRequest::ContinueInBackground(base::Instant aNow)
 {
-  refusalWaitEnds_.reset();
-  if (!backgroundEnds_.has_value()) {
-    backgroundEnds_ = aNow + kBackgroundPatience;
+  withdrawalTimeoutAt_.reset();
+  if (!backgroundEndsAt_.has_value()) {
+    backgroundEndsAt_ = aNow + kBackgroundTimeout;
   }
 }
 
@@ -955,9 +966,9 @@
 }
 
 bool
-OnlineRequest::HoldsRetry(base::Instant aNow) const
+OnlineRequest::HasTimeForRetry(base::Instant aNow) const
 {
-  return aNow + kShortestRetry < description_.deadline_;
+  return aNow + kMinRetryTime < description_.deadline_;
 }
 
 wire::RunId
@@ -967,14 +978,15 @@
   wire::RunId run;
   run.job_ = description_.record_.job_;
   run.attempt_ =
-    kEntryAttempt | (high & ~kAttemptMask) | (starts_ & kAttemptMask);
+    kEntryAttemptFlag | (high & ~kAttemptMask) | (starts_ & kAttemptMask);
   return run;
 }
 
 std::uint64_t
 OnlineRequest::NextRandom()
 {
-  // One step of splitmix64: enough for jitter, and a state of eight bytes.
+  // One step of splitmix64, which is sufficient for jitter and needs only eight
+  // bytes of state.
   jitter_ += 0x9E3779B97F4A7C15ULL;
   std::uint64_t mixed = jitter_;
   mixed = (mixed ^ (mixed >> 30U)) * 0xBF58476D1CE4E5B9ULL;
--- a/Libraries/LibEntry/OnlineRequest.h
+++ b/Libraries/LibEntry/OnlineRequest.h
@@ -17,65 +17,68 @@
 
 namespace pumiceturn::entry {
 
-/// The decisions of one online call, from its record to its recorded answer.
-/// Events come in with the time; actions are taken out after each event, in
-/// order. Does no I/O. docs/ARCHITECTURE.md, "An online call", has the
-/// protocol; docs/design/retries.md the rules of reruns and refusals.
+/// State machine of one online call, from its record to its durable result.
+/// Events are passed in with the current time; the resulting actions are
+/// fetched with DrainActions() after each event. Does no I/O. See "An online
+/// call" in docs/ARCHITECTURE.md for the protocol and docs/design/retries.md
+/// for reruns and refusals.
 class OnlineRequest
 {
 public:
-  /// A lost link may come back within this time before an idempotent request
-  /// is run elsewhere.
-  static constexpr base::Duration kEndpointGrace{ std::chrono::milliseconds{
-    500 } };
-  /// How long a takeover of the partition may take before the request is
-  /// refused as not recorded.
-  static constexpr base::Duration kOwnerPatience{ std::chrono::seconds{ 5 } };
-  /// How long a refusal waits for the withdrawal of its record; then it says
-  /// Unknown in the place of NotRun.
-  static constexpr base::Duration kWithdrawalWait{ std::chrono::milliseconds{
+  /// Time for a lost link to come up again before an idempotent request is run
+  /// on another endpoint.
+  static constexpr base::Duration kEndpointGracePeriod{
+    std::chrono::milliseconds{ 500 }
+  };
+  /// Time for the owner to answer, including a takeover of its partition,
+  /// before the request is refused as NotRecorded.
+  static constexpr base::Duration kOwnerTimeout{ std::chrono::seconds{ 5 } };
+  /// How long a refusal waits for its record to be withdrawn. Afterwards
+  /// Ran::Unknown is reported instead of NotRun.
+  static constexpr base::Duration kWithdrawalTimeout{ std::chrono::milliseconds{
     200 } };
-  /// How long the end of a request that has answered its caller is still
-  /// offered to the owner.
-  static constexpr base::Duration kBackgroundPatience{ std::chrono::seconds{
+  /// How long the result is still sent to the owner after the caller was
+  /// answered.
+  static constexpr base::Duration kBackgroundTimeout{ std::chrono::seconds{
     30 } };
-  /// Less than this before the deadline, nothing is tried again.
-  static constexpr base::Duration kShortestRetry{ std::chrono::milliseconds{
+  /// Minimum time before the deadline to start a retry.
+  static constexpr base::Duration kMinRetryTime{ std::chrono::milliseconds{
     50 } };
-  static constexpr base::Duration kShortestResend{ std::chrono::milliseconds{
+  static constexpr base::Duration kMinResendDelay{ std::chrono::milliseconds{
     100 } };
-  static constexpr base::Duration kLongestResend{ std::chrono::seconds{ 1 } };
+  static constexpr base::Duration kMaxResendDelay{ std::chrono::seconds{ 1 } };
   static constexpr std::uint32_t kRetryAfterNotRecordedMs = 1000;
   static constexpr std::uint32_t kMaxOverloadedEndpoints = 2;
   static constexpr std::uint32_t kMaxRefusedEndpoints = 4;
-  static constexpr std::uint32_t kCrashesToBlame = 2;
+  static constexpr std::uint32_t kCrashesToQuarantine = 2;
 
-  /// @return whether an entry numbered this attempt; owners count from small
-  /// numbers.
+  /// @return whether the attempt number was assigned by an entry rather than an
+  /// owner.
   static bool IsEntryAttempt(std::uint32_t aAttempt);
 
   explicit OnlineRequest(OnlineDescription aDescription);
 
   void Begin(base::Instant aNow);
 
-  /// Answers to SendToOwner: queued on a link, or no owner or link is known.
+  /// Results of SendToOwner: the message was queued on a link, or no owner or
+  /// no link to it is known.
   void OnOwnerSent(base::Instant aNow);
   void OnOwnerUnreachable(base::Instant aNow);
 
-  /// The owner or the link to it changed: what it has not answered is sent
+  /// The owner or the link to it changed. Messages without a reply are sent
   /// again.
   void OnOwnerChanged();
   void OnRecordReply(const wire::RecordReply& aReply, base::Instant aNow);
   void OnRecordResultReply(const wire::RecordResultReply& aReply,
                            base::Instant aNow);
 
-  /// Answers to ChooseEndpoint.
+  /// Results of ChooseEndpoint.
   void OnEndpoint(const std::string& aEndpoint, base::Instant aNow);
   void OnNoEndpoint(base::ResultCode aCode,
                     std::uint32_t aRetryAfterMs,
                     base::Instant aNow);
 
-  /// StartRun could not be queued: certainly not run there.
+  /// StartRun could not be queued, so the request didn't run there.
   void OnStartNotSent(const std::string& aEndpoint, base::Instant aNow);
   void OnChunk(const wire::Chunk& aChunk, base::Instant aNow);
   void OnRunEnded(const std::string& aEndpoint,
@@ -85,53 +88,54 @@
                       wire::LinkState aState,
                       base::Instant aNow);
 
-  /// The caller cancelled or its connection is gone.
+  /// The caller cancelled or disconnected.
   void OnCallerGone(base::Instant aNow);
 
-  /// @return when OnTimer() is due next; nothing once IsDone().
+  /// @return when OnTimer() must be called next; std::nullopt once IsDone().
   [[nodiscard]] std::optional<base::Instant> NextWake() const;
   void OnTimer(base::Instant aNow);
 
-  /// @return actions since the last call, in order.
-  [[nodiscard]] std::deque<OnlineAction> TakeActions();
+  /// @return the actions since the last call, in order.
+  [[nodiscard]] std::deque<OnlineAction> DrainActions();
 
-  /// @return whether nothing is left to do; the request may be dropped.
+  /// @return whether the request is complete and may be destroyed.
   [[nodiscard]] bool IsDone() const { return done_; }
 
-  /// @return whether the caller still waits.
-  [[nodiscard]] bool IsCallerWaiting() const { return !answered_; }
+  /// @return whether the caller has not been answered yet.
+  [[nodiscard]] bool IsCallerWaiting() const { return !callerAnswered_; }
 
   [[nodiscard]] const OnlineDescription& Description() const
   {
     return description_;
   }
 
-  /// @return endpoints that were tried and are not to be tried again.
+  /// @return the endpoints that must not be tried again.
   [[nodiscard]] std::span<const std::string> Tried() const { return tried_; }
 
-  /// @return the endpoint that runs it now; empty if none.
+  /// @return the endpoint of the current or last run; empty before the first.
   [[nodiscard]] const std::string& Endpoint() const { return endpoint_; }
 
   [[nodiscard]] std::uint32_t Attempt() const { return starts_; }
 
-  /// @return whether its result is durable: agents may forget its runs.
+  /// @return whether the result is durable, so that agents may release its
+  /// runs.
   [[nodiscard]] bool IsRecorded() const { return recorded_; }
 
 private:
   enum class RecordPhase : std::uint8_t
   {
-    Asked,     ///< RecordRequest is under way.
-    Accepted,  ///< Durable, and this entry runs it.
+    Pending,   ///< RecordRequest was sent; no decision yet.
+    Accepted,  ///< Durable; this entry runs the request.
     Duplicate, ///< Another call with this key runs it.
-    Refused,   ///< The owner has no record of it from us.
+    Refused,   ///< The owner has no record of this call.
   };
   enum class RunPhase : std::uint8_t
   {
     Idle,
     Choosing,
     Running,
-    Pausing, ///< Backoff before the next attempt.
-    Over,
+    BackingOff, ///< Waiting before the next attempt.
+    Ended,
   };
   struct Refusal
   {
@@ -144,40 +148,40 @@
   void ResendLater(base::Instant aNow);
   void ResendNow();
   void OnAccepted(base::Instant aNow);
-  void OnNotOursToEnd();
-  void OnAnotherRuns(base::Instant aNow);
-  void OnFinishedBefore(const wire::ItemResult& aResult);
+  void OnOwnerRunsRequest();
+  void OnRunningElsewhere(base::Instant aNow);
+  void OnAlreadyFinished(const wire::ItemResult& aResult);
   void OnRecordRefused(const wire::RecordReply& aReply, base::Instant aNow);
   void Choose(bool aIsRetry);
-  void OnNotRun(Refusal aRefusal, base::Instant aNow);
-  void OnBroken(base::ResultCode aCode, base::Instant aNow);
-  void OnAnswered(const wire::RunEnded& aEnded, base::Instant aNow);
-  void EndRun(base::ResultCode aCode,
-              std::string aText,
-              std::uint32_t aTokens,
-              std::string aDetail,
-              base::Instant aNow);
-  void AskForMissing();
+  void OnRunRefused(Refusal aRefusal, base::Instant aNow);
+  void OnRunFailed(base::ResultCode aCode, base::Instant aNow);
+  void OnRunAnswered(const wire::RunEnded& aEnded, base::Instant aNow);
+  void CompleteRun(base::ResultCode aCode,
+                   std::string aText,
+                   std::uint32_t aTokens,
+                   std::string aDetail,
+                   base::Instant aNow);
+  void RequestMissingChunks();
   void CancelRunNow();
-  void LeaveRun(routing::RunEnd aEnd);
+  void ReleaseRun(routing::RunOutcome aOutcome);
   void Refuse(Refusal aRefusal, base::Instant aNow);
-  void Conclude(base::ResultCode aCode,
-                std::string aDetail,
-                base::Instant aNow);
+  void EndWithoutAnswer(base::ResultCode aCode,
+                        std::string aDetail,
+                        base::Instant aNow);
   void Record(wire::ItemResult aResult, base::Instant aNow);
   void OnDeadline(base::Instant aNow);
-  void OnOwnerMissing();
-  void OnWithdrawalSlow(base::Instant aNow);
-  void StreamOut();
+  void OnOwnerTimeout();
+  void OnWithdrawalTimeout(base::Instant aNow);
+  void StreamNewText();
   void AnswerFinished(const wire::ItemResult& aRecorded);
   void AnswerFailed(base::ResultCode aCode,
                     base::Ran aRan,
                     std::uint32_t aRetryAfterMs,
                     std::string aDetail);
-  void GoToBackground(base::Instant aNow);
+  void ContinueInBackground(base::Instant aNow);
   void Finish();
   [[nodiscard]] bool MayHaveRun() const { return unknownRuns_ > 0; }
-  [[nodiscard]] bool HoldsRetry(base::Instant aNow) const;
+  [[nodiscard]] bool HasTimeForRetry(base::Instant aNow) const;
   [[nodiscard]] bool WaitsForOwner() const;
   [[nodiscard]] wire::RunId CurrentRun() const;
   [[nodiscard]] std::uint64_t NextRandom();
@@ -186,43 +190,45 @@
   std::uint64_t jitter_;
   std::deque<OnlineAction> actions_;
 
-  RecordPhase record_ = RecordPhase::Asked;
-  bool recordSent_ = false;      ///< An owner may have a record.
-  std::uint32_t unanswered_ = 0; ///< RecordRequests without a reply.
+  RecordPhase record_ = RecordPhase::Pending;
+  bool recordSent_ = false;             ///< The owner may have the record.
+  std::uint32_t unansweredRecords_ = 0; ///< RecordRequests without a reply.
   bool mayWithdraw_ = true;
   std::uint32_t resends_ = 0;
   std::optional<base::Instant> resendAt_;
-  base::Instant ownerPatienceEnds_;
+  base::Instant ownerTimeoutAt_;
 
   RunPhase run_ = RunPhase::Idle;
   std::string endpoint_;
   std::vector<std::string> tried_;
-  std::uint32_t starts_ = 0;      ///< Runs sent, also those then refused.
+  std::uint32_t starts_ = 0;      ///< Runs sent, including refused ones.
   std::uint32_t unknownRuns_ = 0; ///< Runs that may have begun.
   std::uint32_t refusals_ = 0;
   std::uint32_t overloaded_ = 0;
   std::uint32_t crashes_ = 0;
-  base::ResultCode lastBroken_ = base::ResultCode::EndpointLost;
-  std::optional<base::Instant> runAgainAt_;
-  std::optional<base::Instant> lostGraceEnds_;
+  base::ResultCode lastFailure_ = base::ResultCode::EndpointLost;
+  std::optional<base::Instant> retryAt_;
+  std::optional<base::Instant> endpointGraceEndsAt_;
   routing::RunAssembler assembler_;
-  std::uint64_t askedBeyond_ = 0; ///< Gap that was asked for, plus 1.
+  /// First sequence number that was requested again; 0 if none.
+  std::uint64_t requestedFrom_ = 0;
 
-  std::optional<Refusal> lastRefusal_; ///< By an endpoint.
-  std::optional<Refusal> refusal_;     ///< Given up, not told yet.
-  std::optional<base::Instant> refusalWaitEnds_;
-  std::optional<wire::ItemResult> result_; ///< To be recorded.
+  std::optional<Refusal> lastRefusal_; ///< Best refusal by an endpoint.
+  std::optional<Refusal> refusal_;     ///< Not reported to the caller yet.
+  std::optional<base::Instant> withdrawalTimeoutAt_;
+  std::optional<wire::ItemResult> result_; ///< To be recorded by the owner.
   wire::RunId resultRun_;
-  bool resultIsOwn_ = false; ///< An endpoint's answer, not a verdict of ours.
+  /// False if result_ is an error decided by this entry.
+  bool isResultFromEndpoint_ = false;
 
   StreamedText streamed_;
   std::uint64_t chunksSent_ = 0;
   std::uint32_t tokensSent_ = 0;
   bool acceptedSent_ = false;
-  bool answered_ = false;
+  bool callerAnswered_ = false;
   bool done_ = false;
   bool recorded_ = false;
-  std::optional<base::Instant> backgroundEnds_;
+  std::optional<base::Instant> backgroundEndsAt_;
 };
 
 } // namespace pumiceturn::entry
--- a/Libraries/LibEntry/OperatorService.cpp
+++ b/Libraries/LibEntry/OperatorService.cpp
@@ -128,7 +128,7 @@
 }
 
 grpc::Status
-MakeOrderFailure(const base::Failure& aFailure)
+MakeFailureStatus(const base::Failure& aFailure)
 {
   return MakeStatus(
     MakeOutcome(aFailure.code_, base::Ran::Unspecified, 0, aFailure.detail_));
@@ -160,20 +160,21 @@
 }
 
 grpc::ServerUnaryReactor*
-OperatorService::RunInTurn(grpc::CallbackServerContext* aContext,
-                           std::function<grpc::Status()> aStep)
+OperatorService::RunSerially(grpc::CallbackServerContext* aContext,
+                             std::function<grpc::Status()> aStep)
 {
   auto* reactor = aContext->DefaultReactor();
-  if (waiting_.fetch_add(1) >= kMaxWaiting) {
-    waiting_.fetch_sub(1);
-    constexpr std::uint32_t kComeBackMs = 5000;
+  if (queued_.fetch_add(1) >= kMaxQueued) {
+    queued_.fetch_sub(1);
+    constexpr std::uint32_t kRetryAfterMs = 5000;
     reactor->Finish(MakeRefusal(
-      { base::ResultCode::Overloaded, "too many orders wait" }, kComeBackMs));
+      { base::ResultCode::Overloaded, "too many operator calls are queued" },
+      kRetryAfterMs));
     return reactor;
   }
   strand_.Post([this, reactor, step = std::move(aStep)] {
     const grpc::Status status = step();
-    waiting_.fetch_sub(1);
+    queued_.fetch_sub(1);
     reactor->Finish(status);
   });
   return reactor;
@@ -184,7 +185,7 @@
                        const operations::ApplyRequest* aRequest,
                        operations::ApplyReply* aReply)
 {
-  return RunInTurn(
+  return RunSerially(
     aContext, [this, aRequest, aReply] { return DoApply(*aRequest, *aReply); });
 }
 
@@ -194,7 +195,7 @@
   const operations::GetConfigurationRequest* aRequest,
   declarations::Configuration* aReply)
 {
-  return RunInTurn(aContext, [this, aRequest, aReply] {
+  return RunSerially(aContext, [this, aRequest, aReply] {
     return DoGet(aRequest->version(), *aReply);
   });
 }
@@ -204,7 +205,7 @@
                          const operations::HistoryRequest* aRequest,
                          operations::HistoryReply* aReply)
 {
-  return RunInTurn(aContext, [this, aRequest, aReply] {
+  return RunSerially(aContext, [this, aRequest, aReply] {
     return DoHistory(aRequest->limit(), *aReply);
   });
 }
@@ -214,7 +215,7 @@
                        const operations::DrainRequest* aRequest,
                        operations::DrainReply* aReply)
 {
-  return RunInTurn(
+  return RunSerially(
     aContext, [this, aRequest, aReply] { return DoDrain(*aRequest, *aReply); });
 }
 
@@ -230,7 +231,7 @@
                           base::WallNow() });
   });
   if (const auto* failure = std::get_if<base::Failure>(&outcome)) {
-    return MakeOrderFailure(*failure);
+    return MakeFailureStatus(*failure);
   }
   const auto& applied = std::get<configuration::ApplyOutcome>(outcome);
   if (const auto* conflict = std::get_if<configuration::Conflict>(&applied)) {
@@ -253,14 +254,14 @@
 {
   auto outcome = base::Capture([&] { return store_.Get(aVersion); });
   if (const auto* failure = std::get_if<base::Failure>(&outcome)) {
-    // What is in force here is still known while the platform is away.
-    const auto held = core_->context_.configuration_.Current();
-    const bool isHeld =
-      held->Version() > 0 && (aVersion == 0 || aVersion == held->Version());
-    if (!isHeld) {
-      return MakeOrderFailure(*failure);
+    // The current configuration is available even if the platform isn't.
+    const auto current = core_->context_.configuration_.Current();
+    const bool isCurrent = current->Version() > 0 &&
+                           (aVersion == 0 || aVersion == current->Version());
+    if (!isCurrent) {
+      return MakeFailureStatus(*failure);
     }
-    aReply = held->Content();
+    aReply = current->Content();
     return grpc::Status::OK;
   }
   aReply = std::get<declarations::Configuration>(std::move(outcome));
@@ -275,15 +276,15 @@
   const auto outcome = base::Capture(
     [&] { return store_.History(aLimit == 0 ? kDefaultLimit : aLimit); });
   if (const auto* failure = std::get_if<base::Failure>(&outcome)) {
-    return MakeOrderFailure(*failure);
+    return MakeFailureStatus(*failure);
   }
-  for (const auto& held :
+  for (const auto& current :
        std::get<std::vector<configuration::HistoryEntry>>(outcome)) {
     operations::HistoryEntry& entry = *aReply.add_entries();
-    entry.set_version(held.version_);
-    entry.set_author(held.author_);
-    entry.set_comment(held.comment_);
-    entry.set_applied_unix_ms(held.appliedUnixMs_);
+    entry.set_version(current.version_);
+    entry.set_author(current.author_);
+    entry.set_comment(current.comment_);
+    entry.set_applied_unix_ms(current.appliedUnixMs_);
   }
   return grpc::Status::OK;
 }
@@ -293,8 +294,8 @@
                          operations::DrainReply& aReply)
 {
   if (aRequest.host().empty()) {
-    return MakeOrderFailure(
-      { base::ResultCode::InvalidRequest, "no host is named" });
+    return MakeFailureStatus(
+      { base::ResultCode::InvalidRequest, "the host name is missing" });
   }
   const auto outcome = base::Capture([&] {
     return store_.Drain(aRequest.host(),
@@ -304,7 +305,7 @@
                         base::WallNow());
   });
   if (const auto* failure = std::get_if<base::Failure>(&outcome)) {
-    return MakeOrderFailure(*failure);
+    return MakeFailureStatus(*failure);
   }
   aReply.set_version(std::get<std::uint64_t>(outcome));
   base::Log(kOperatorOrder,
@@ -341,7 +342,7 @@
   const auto listed = core_->context_.quarantine_.List(base::MonotonicNow());
   for (const wire::Suspect& suspect : listed) {
     if (suspect.crashes_ == 0) {
-      continue; // Lifted.
+      continue; // Lifted by an operator.
     }
     operations::QuarantineEntry& entry = *aReply->add_entries();
     entry.set_fingerprint(fmt::format("{:016x}", suspect.fingerprint_));
@@ -366,7 +367,7 @@
   if (!fingerprint.has_value()) {
     reactor->Finish(
       MakeRefusal({ base::ResultCode::InvalidRequest,
-                    "a fingerprint is written in hexadecimal digits" }));
+                    "the fingerprint must be a hexadecimal number" }));
     return reactor;
   }
   const bool isFound =
@@ -375,7 +376,7 @@
             { { "order", "lift" },
               { "fingerprint", aRequest->fingerprint() },
               { "found", isFound } });
-  core_->context_.links_.HeartbeatNow(); // The other entries hear of it.
+  core_->context_.links_.HeartbeatNow(); // Informs the other entries.
   aReply->set_found(isFound);
   reactor->Finish(grpc::Status::OK);
   return reactor;
--- a/Libraries/LibEntry/OperatorService.h
+++ b/Libraries/LibEntry/OperatorService.h
@@ -12,14 +12,14 @@
 
 namespace pumiceturn::entry {
 
-/// The operators' RPCs. Those that wait for the platform run one after the
-/// other on the worker pool: while the platform is slow they hold one of its
-/// threads, not all.
+/// Implements the operators' RPCs. Calls that block on the platform run one
+/// after the other on the worker pool, so that a slow platform occupies at most
+/// one of its threads.
 class OperatorService final : public operations::Operator::CallbackService
 {
 public:
-  /// Orders that may wait for their turn; more are refused.
-  static constexpr int kMaxWaiting = 32;
+  /// Maximum number of queued platform calls; further ones are refused.
+  static constexpr int kMaxQueued = 32;
 
   explicit OperatorService(std::shared_ptr<EntryCore> aCore);
 
@@ -49,9 +49,10 @@
     operations::LiftQuarantineReply* aReply) override;
 
 private:
-  /// Runs a blocking step in turn and ends the RPC with its status.
-  grpc::ServerUnaryReactor* RunInTurn(grpc::CallbackServerContext* aContext,
-                                      std::function<grpc::Status()> aStep);
+  /// Runs a blocking function after those queued before it and finishes the RPC
+  /// with the returned status.
+  grpc::ServerUnaryReactor* RunSerially(grpc::CallbackServerContext* aContext,
+                                        std::function<grpc::Status()> aStep);
   grpc::Status DoApply(const operations::ApplyRequest& aRequest,
                        operations::ApplyReply& aReply);
   grpc::Status DoGet(std::uint64_t aVersion,
@@ -64,7 +65,7 @@
   std::shared_ptr<EntryCore> core_;
   configuration::ConfigurationStore store_;
   base::Strand strand_;
-  std::atomic<int> waiting_{ 0 };
+  std::atomic<int> queued_{ 0 };
 };
 
 } // namespace pumiceturn::entry
--- a/Libraries/LibEntry/OwnerCalls.cpp
+++ b/Libraries/LibEntry/OwnerCalls.cpp
@@ -16,7 +16,7 @@
 constexpr routing::Backoff kResend{ std::chrono::milliseconds{ 100 },
                                     std::chrono::seconds{ 1 } };
 
-/// What every reply of an owner says about itself.
+/// Fields that all replies of an owner have in common.
 struct ReplyHead
 {
   std::uint64_t call_ = 0;
@@ -44,11 +44,11 @@
 OwnerCalls::Reply
 MakeStopped()
 {
-  return base::Failure{ ResultCode::Draining, "this entry is leaving" };
+  return base::Failure{ ResultCode::Draining, "this entry is draining" };
 }
 
 bool
-MustAskAgain(ResultCode aCode)
+IsRetryable(ResultCode aCode)
 {
   return aCode == ResultCode::NotOwner || aCode == ResultCode::StaleEpoch ||
          aCode == ResultCode::Recovering || aCode == ResultCode::Draining ||
@@ -93,7 +93,7 @@
       return;
     }
   }
-  aPending.done_(MakeStopped());
+  aPending.callback_(MakeStopped());
 }
 
 void
@@ -105,8 +105,8 @@
     stopped_ = true;
     pending.swap(pending_);
   }
-  for (const auto& [call, left] : pending) {
-    left.done_(MakeStopped());
+  for (const auto& [call, pendingCall] : pending) {
+    pendingCall.callback_(MakeStopped());
   }
 }
 
@@ -120,10 +120,9 @@
   }
   const bool isSent =
     !aPending.owner_.empty() &&
-    context_.links_.Send(aPending.owner_, aPending.question_) == ResultCode::Ok;
+    context_.links_.Send(aPending.owner_, aPending.request_) == ResultCode::Ok;
   aPending.sendAt_ =
-    aNow +
-    (isSent ? kReplyPatience : kResend.Delay(aPending.sends_, random_()));
+    aNow + (isSent ? kReplyTimeout : kResend.Delay(aPending.sends_, random_()));
   ++aPending.sends_;
 }
 
@@ -134,7 +133,7 @@
   if (!head.has_value()) {
     return;
   }
-  Done done;
+  Callback callback;
   {
     const std::lock_guard lock(mutex_);
     const auto found = pending_.find(head->call_);
@@ -142,24 +141,24 @@
       return;
     }
     Pending& pending = found->second;
-    if (MustAskAgain(head->code_)) {
+    if (IsRetryable(head->code_)) {
       const base::Instant now = base::MonotonicNow();
-      const bool knowsBetter =
+      const bool hasNewHint =
         !head->ownerHint_.empty() && head->ownerHint_ != pending.owner_;
       if (!head->ownerHint_.empty()) {
         context_.partitions_.Hint(
           base::PartitionOf(pending.job_, context_.partitions_.Count()),
           head->ownerHint_);
       }
-      pending.sendAt_ = knowsBetter && pending.sends_ <= 1
+      pending.sendAt_ = hasNewHint && pending.sends_ <= 1
                           ? now
                           : now + kResend.Delay(pending.sends_, random_());
       return;
     }
-    done = std::move(pending.done_);
+    callback = std::move(pending.callback_);
     pending_.erase(found);
   }
-  done(Reply{ aMessage });
+  callback(Reply{ aMessage });
 }
 
 void
@@ -184,13 +183,13 @@
 void
 OwnerCalls::Tick()
 {
-  std::vector<Done> expired;
+  std::vector<Callback> expired;
   {
     const std::lock_guard lock(mutex_);
     const base::Instant now = base::MonotonicNow();
     for (auto item = pending_.begin(); item != pending_.end();) {
       if (item->second.deadline_ <= now) {
-        expired.push_back(std::move(item->second.done_));
+        expired.push_back(std::move(item->second.callback_));
         item = pending_.erase(item);
         continue;
       }
@@ -200,9 +199,9 @@
       ++item;
     }
   }
-  for (const Done& done : expired) {
-    done(base::Failure{ ResultCode::TimedOut,
-                        "the owner of the partition did not answer" });
+  for (const Callback& callback : expired) {
+    callback(base::Failure{ ResultCode::TimedOut,
+                            "the owner of the partition did not answer" });
   }
 }
 
--- a/Libraries/LibEntry/OwnerCalls.h
+++ b/Libraries/LibEntry/OwnerCalls.h
@@ -16,39 +16,42 @@
 
 namespace pumiceturn::entry {
 
-/// Questions to the owner of a job's partition, with one reply each:
-/// SubmitFrame, GetJob, ReadResults, CancelJob. All may be repeated, so one
-/// that finds no owner, the wrong owner, or one that is lost before it answers
-/// is sent again until its deadline. Thread-safe; calls back without its lock.
+/// Request-reply calls to the owner of a job's partition: SubmitFrame, GetJob,
+/// ReadResults and CancelJob. All of them are idempotent: a request is sent
+/// again until its deadline if no owner is known, the receiver isn't the owner,
+/// or the owner is lost before it replies. Thread-safe; callbacks run without
+/// the lock.
 class OwnerCalls : public std::enable_shared_from_this<OwnerCalls>
 {
 public:
   using Reply = base::Outcome<wire::Message>;
-  using Done = std::function<void(Reply aReply)>;
+  using Callback = std::function<void(Reply aReply)>;
 
   static constexpr base::Duration kTick{ std::chrono::milliseconds{ 100 } };
-  /// A reply that is not there after this time is asked for again.
-  static constexpr base::Duration kReplyPatience{ std::chrono::seconds{ 2 } };
+  /// Time after which a request without a reply is sent again.
+  static constexpr base::Duration kReplyTimeout{ std::chrono::seconds{ 2 } };
 
   explicit OwnerCalls(node::Context aContext);
 
-  /// Begins to look after deadlines; once, after construction.
+  /// Starts the timer for resends and deadlines. Must be called once, after
+  /// construction.
   void Start();
 
-  /// Sends a question.
-  /// @param aQuestion Its call number is set here.
-  /// @param aDone Called once, with the reply, which may be a refusal, or with
-  /// TimedOut.
-  template<typename Question>
-  void Ask(const wire::JobId& aJob,
-           Question aQuestion,
-           base::Duration aPatience,
-           Done aDone);
+  /// Sends a request to the owner.
+  /// @param aRequest Its call number is set here.
+  /// @param aTimeout Total time for the call, including resends.
+  /// @param aCallback Called once, with the owner's reply, which may contain an
+  /// error code, or with the failure TimedOut or Draining.
+  template<typename Request>
+  void Call(const wire::JobId& aJob,
+            Request aRequest,
+            base::Duration aTimeout,
+            Callback aCallback);
 
   void OnMessage(const wire::Message& aMessage);
   void OnLinkState(const std::string& aPeer, wire::LinkState aState);
 
-  /// Ends all questions, and each one asked from now on, as Draining.
+  /// Fails all pending and all further calls with Draining.
   void Stop();
 
   [[nodiscard]] std::size_t Count() const;
@@ -57,12 +60,12 @@
   struct Pending
   {
     wire::JobId job_;
-    wire::Message question_;
+    wire::Message request_;
     base::Instant deadline_;
     base::Instant sendAt_;
     std::uint32_t sends_ = 0;
     std::string owner_;
-    Done done_;
+    Callback callback_;
   };
 
   void Add(std::uint64_t aCall, Pending aPending);
@@ -78,20 +81,20 @@
   bool stopped_ = false;
 };
 
-template<typename Question>
+template<typename Request>
 void
-OwnerCalls::Ask(const wire::JobId& aJob,
-                Question aQuestion,
-                base::Duration aPatience,
-                Done aDone)
+OwnerCalls::Call(const wire::JobId& aJob,
+                 Request aRequest,
+                 base::Duration aTimeout,
+                 Callback aCallback)
 {
   const std::uint64_t call = NextCall();
-  aQuestion.call_ = call;
+  aRequest.call_ = call;
   Pending pending;
   pending.job_ = aJob;
-  pending.question_ = std::move(aQuestion);
-  pending.deadline_ = base::MonotonicNow() + aPatience;
-  pending.done_ = std::move(aDone);
+  pending.request_ = std::move(aRequest);
+  pending.deadline_ = base::MonotonicNow() + aTimeout;
+  pending.callback_ = std::move(aCallback);
   Add(call, std::move(pending));
 }
 
--- a/Libraries/LibEntry/Replies.cpp
+++ b/Libraries/LibEntry/Replies.cpp
@@ -43,7 +43,7 @@
   return caller::JOB_STATE_UNSPECIFIED;
 }
 
-/// Codes whose hundred does not tell the status.
+/// Maps codes without a specific status by their range of one hundred.
 grpc::StatusCode
 ToStatusCodeByRange(ResultCode aCode)
 {
@@ -175,7 +175,7 @@
   wire::ItemResult& result = aFinished.result_;
   *finished.mutable_outcome() =
     MakeOutcome(result.code_, result.ran_, 0, result.detail_);
-  if (!aFinished.streamedWhole_) {
+  if (!aFinished.isTextStreamed_) {
     finished.set_text(std::move(result.text_));
   }
   finished.set_replaces_chunks(aFinished.replacesChunks_);
--- a/Libraries/LibEntry/Replies.h
+++ b/Libraries/LibEntry/Replies.h
@@ -12,7 +12,7 @@
 
 namespace pumiceturn::entry {
 
-/// @return the gRPC status code that stands for a result code.
+/// @return the gRPC status code for a result code.
 grpc::StatusCode
 ToStatusCode(base::ResultCode aCode);
 
@@ -22,11 +22,12 @@
             std::uint32_t aRetryAfterMs = 0,
             const std::string& aDetail = {});
 
-/// @return the status of a failed RPC, with the outcome as its details.
+/// @return the status of a failed RPC; its details contain the serialized
+/// outcome.
 grpc::Status
 MakeStatus(const caller::Outcome& aOutcome);
 
-/// @return the status of a request that failed its checks: certainly not run.
+/// @return the status of a request that was refused and did not run.
 grpc::Status
 MakeRefusal(const base::Failure& aFailure, std::uint32_t aRetryAfterMs = 0);
 
--- a/Libraries/LibEntry/RequestChecks.cpp
+++ b/Libraries/LibEntry/RequestChecks.cpp
@@ -17,8 +17,6 @@
 
 constexpr std::string_view kBearer = "Bearer ";
 
-/// Seed of the prompt prefix's hash, apart from other hashes of the same text.
-
 template<typename Number>
 Number
 OrDefault(Number aGiven, Number aDefault)
@@ -26,8 +24,8 @@
   return aGiven == 0 ? aDefault : aGiven;
 }
 
-/// The parts of an online request that both calls have.
-struct OnlineParts
+/// The fields that both kinds of online calls have in common.
+struct OnlineFields
 {
   std::string_view service_;
   std::string_view kind_;
@@ -58,30 +56,32 @@
 }
 
 base::Result<std::uint32_t>
-CheckMaxTokens(const declarations::RequestKind& aKind, std::uint32_t aAsked)
+CheckMaxTokens(const declarations::RequestKind& aKind, std::uint32_t aRequested)
 {
   const std::uint32_t limit = OrDefault(aKind.max_tokens(), kDefaultMaxTokens);
-  if (aAsked > limit) {
-    return Fail(ResultCode::OutOfRange,
-                fmt::format("max_tokens {} exceeds {}", aAsked, limit));
+  if (aRequested > limit) {
+    return Fail(
+      ResultCode::OutOfRange,
+      fmt::format("max_tokens {} exceeds the limit of {}", aRequested, limit));
   }
-  return OrDefault(aAsked, limit);
+  return OrDefault(aRequested, limit);
 }
 
 base::Result<base::Duration>
 CheckDeadline(const declarations::RequestKind& aKind,
-              std::uint32_t aAskedMs,
+              std::uint32_t aRequestedMs,
               base::Duration aAllowed)
 {
-  if (aAskedMs > kLongestDeadlineMs) {
-    return Fail(
-      ResultCode::OutOfRange,
-      fmt::format("deadline_ms {} exceeds {}", aAskedMs, kLongestDeadlineMs));
+  if (aRequestedMs > kMaxDeadlineMs) {
+    return Fail(ResultCode::OutOfRange,
+                fmt::format("deadline_ms {} exceeds the limit of {}",
+                            aRequestedMs,
+                            kMaxDeadlineMs));
   }
-  const std::uint32_t asked =
-    OrDefault(aAskedMs, OrDefault(aKind.deadline_ms(), kDefaultDeadlineMs));
+  const std::uint32_t requested =
+    OrDefault(aRequestedMs, OrDefault(aKind.deadline_ms(), kDefaultDeadlineMs));
   const base::Duration deadline =
-    std::min<base::Duration>(std::chrono::milliseconds{ asked }, aAllowed);
+    std::min<base::Duration>(std::chrono::milliseconds{ requested }, aAllowed);
   if (deadline <= base::Duration::zero()) {
     return Fail(ResultCode::DeadlineTooShort);
   }
@@ -91,43 +91,44 @@
 base::Result<OnlineDescription>
 Describe(const configuration::Snapshot& aConfiguration,
          const declarations::Partner& aPartner,
-         const OnlineParts& aParts,
+         const OnlineFields& aFields,
          const Arrival& aArrival)
 {
   BOOST_LEAF_AUTO(
     kind,
-    FindAllowedKind(aConfiguration, aPartner, aParts.service_, aParts.kind_));
-  const bool isRightCall =
+    FindAllowedKind(aConfiguration, aPartner, aFields.service_, aFields.kind_));
+  const bool isMatchingKind =
     kind->priority() == declarations::PRIORITY_ONLINE &&
-    aConfiguration.FindService(aParts.service_)->type() == aParts.type_;
-  if (!isRightCall) {
-    return Fail(ResultCode::WrongPriority, std::string(aParts.kind_));
+    aConfiguration.FindService(aFields.service_)->type() == aFields.type_;
+  if (!isMatchingKind) {
+    return Fail(ResultCode::WrongPriority, std::string(aFields.kind_));
   }
   const std::uint32_t limit =
     OrDefault(kind->max_item_bytes(), kDefaultMaxItemBytes);
-  if (aParts.payload_.size() > limit) {
-    return Fail(
-      ResultCode::ItemTooLarge,
-      fmt::format("{} bytes exceed {}", aParts.payload_.size(), limit));
+  if (aFields.payload_.size() > limit) {
+    return Fail(ResultCode::ItemTooLarge,
+                fmt::format("{} bytes exceed the limit of {}",
+                            aFields.payload_.size(),
+                            limit));
   }
-  if (aParts.key_.size() > kMaxKeyBytes) {
+  if (aFields.key_.size() > kMaxKeyBytes) {
     return Fail(ResultCode::InvalidRequest, "request_key is too long");
   }
-  BOOST_LEAF_AUTO(maxTokens, CheckMaxTokens(*kind, aParts.maxTokens_));
+  BOOST_LEAF_AUTO(maxTokens, CheckMaxTokens(*kind, aFields.maxTokens_));
   BOOST_LEAF_AUTO(deadline,
-                  CheckDeadline(*kind, aParts.deadlineMs_, aArrival.allowed_));
+                  CheckDeadline(*kind, aFields.deadlineMs_, aArrival.allowed_));
 
   OnlineDescription description;
   wire::RecordRequest& record = description.record_;
   record.partner_ = aPartner.name();
-  record.service_ = aParts.service_;
-  record.kind_ = aParts.kind_;
-  record.key_ = aParts.key_.empty() ? fmt::format("made-{:016x}{:016x}",
-                                                  aArrival.random_,
-                                                  aArrival.secondRandom_)
-                                    : std::string(aParts.key_);
+  record.service_ = aFields.service_;
+  record.kind_ = aFields.kind_;
+  record.key_ = aFields.key_.empty() ? fmt::format("made-{:016x}{:016x}",
+                                                   aArrival.random_,
+                                                   aArrival.secondRandom_)
+                                     : std::string(aFields.key_);
   record.job_ = base::MakeJobId(record.partner_, record.key_);
-  record.payload_ = aParts.payload_;
+  record.payload_ = aFields.payload_;
   record.maxTokens_ = maxTokens;
   record.digest_ =
     base::HashBytes(record.payload_,
@@ -143,10 +144,10 @@
     OrDefault(kind->max_attempts(), kDefaultMaxAttempts);
   description.fingerprint_ =
     routing::MakeFingerprint(record.service_, record.payload_);
-  // Plain services have no prompts: nothing to stream, nothing cached.
-  description.streamed_ = aParts.type_ == declarations::SERVICE_TYPE_MODEL;
+  // Plain services have no prompts, so there is nothing to stream or cache.
+  description.streamed_ = aFields.type_ == declarations::SERVICE_TYPE_MODEL;
   description.prefix_ =
-    description.streamed_ ? routing::MakePrefix(aParts.payload_) : 0;
+    description.streamed_ ? routing::HashPrefix(aFields.payload_) : 0;
   description.random_ = aArrival.random_;
   return description;
 }
@@ -158,14 +159,15 @@
              std::string_view aAuthorization)
 {
   if (!aAuthorization.starts_with(kBearer)) {
-    return Fail(ResultCode::Unauthenticated, "no bearer token was given");
+    return Fail(ResultCode::Unauthenticated, "the request has no bearer token");
   }
   const std::string digest =
     base::ToString(base::DigestToken(aAuthorization.substr(kBearer.size())));
   const auto* partner =
     digest.empty() ? nullptr : aConfiguration.FindPartnerByToken(digest);
   if (partner == nullptr) {
-    return Fail(ResultCode::Unauthenticated, "the token belongs to no partner");
+    return Fail(ResultCode::Unauthenticated,
+                "the token does not belong to any partner");
   }
   return partner;
 }
@@ -176,7 +178,7 @@
              const caller::CallRequest& aRequest,
              const Arrival& aArrival)
 {
-  const OnlineParts parts{
+  const OnlineFields parts{
     aRequest.service(),
     aRequest.kind(),
     aRequest.request_key(),
@@ -194,7 +196,7 @@
                     const caller::ServiceCallRequest& aRequest,
                     const Arrival& aArrival)
 {
-  const OnlineParts parts{
+  const OnlineFields parts{
     aRequest.service(),
     aRequest.kind(),
     aRequest.request_key(),
@@ -206,8 +208,8 @@
   return Describe(aConfiguration, aPartner, parts, aArrival);
 }
 
-base::Result<LotTerms>
-DescribeLot(const configuration::Snapshot& aConfiguration,
+base::Result<JobTerms>
+DescribeJob(const configuration::Snapshot& aConfiguration,
             const declarations::Partner& aPartner,
             const caller::JobHeader& aHeader,
             base::WallTime aWallNow)
@@ -234,10 +236,11 @@
     due > now + (static_cast<std::int64_t>(kind->max_due_s()) * kMsPerS);
   if (due <= now || isTooFar) {
     return Fail(ResultCode::DueTimePassed,
-                due <= now ? "the due time has passed"
-                           : "the due time is further than the kind allows");
+                due <= now
+                  ? "the due time has passed"
+                  : "the due time is later than the request kind allows");
   }
-  LotTerms terms;
+  JobTerms terms;
   terms.job_.partner_ = aPartner.name();
   terms.job_.service_ = aHeader.service();
   terms.job_.kind_ = aHeader.kind();
@@ -251,7 +254,7 @@
     kind->idempotency() == declarations::IDEMPOTENCY_IDEMPOTENT;
   terms.maxItemBytes_ = OrDefault(kind->max_item_bytes(), kDefaultMaxItemBytes);
   terms.maxItems_ = OrDefault(kind->max_items(), kDefaultMaxItems);
-  terms.toldItems_ = aHeader.items();
+  terms.declaredItems_ = aHeader.items();
   return terms;
 }
 
--- a/Libraries/LibEntry/ResultsReader.cpp
+++ b/Libraries/LibEntry/ResultsReader.cpp
@@ -28,20 +28,21 @@
 {
   if (core_->draining_) {
     stream_->Close(MakeRefusal(
-      base::Failure{ ResultCode::Draining, "go on at another entry" }));
+      base::Failure{ ResultCode::Draining,
+                     "this entry is draining; continue at another one" }));
     return;
   }
-  wire::ReadResults question;
-  question.job_ = job_;
-  question.partner_ = partner_;
-  question.from_ = from_;
-  question.limit_ = kPageItems;
-  core_->owners_->Ask(job_,
-                      std::move(question),
-                      kPagePatience,
-                      [self = shared_from_this()](OwnerCalls::Reply aReply) {
-                        self->OnPage(std::move(aReply));
-                      });
+  wire::ReadResults request;
+  request.job_ = job_;
+  request.partner_ = partner_;
+  request.from_ = from_;
+  request.limit_ = kPageItems;
+  core_->owners_->Call(job_,
+                       std::move(request),
+                       kPageTimeout,
+                       [self = shared_from_this()](OwnerCalls::Reply aReply) {
+                         self->OnPage(std::move(aReply));
+                       });
 }
 
 void
@@ -69,7 +70,7 @@
   }
   ended_ = page.ended_;
   if (page.items_.empty()) {
-    EndOrWait();
+    FinishOrPoll();
     return;
   }
   from_ = page.items_.back().position_ + 1;
@@ -78,22 +79,22 @@
   for (wire::ItemResult& item : page.items_) {
     results.push_back(MakeItemResult(std::move(item)));
   }
-  // At once: a caller faster than this loop would drain the stream in its
-  // middle, and this page would be asked for again.
+  // Pushed as one batch: with single pushes a fast caller could drain the
+  // stream in the middle of the page, and the page would be fetched again.
   stream_->PushAll(std::move(results));
 }
 
 void
-ResultsReader::EndOrWait()
+ResultsReader::FinishOrPoll()
 {
   if (ended_ || !follow_) {
     stream_->Close(grpc::Status::OK);
     return;
   }
   if (stream_->IsClosing()) {
-    return; // The caller is gone.
+    return; // The caller disconnected.
   }
-  core_->context_.pool_.PostAt(base::MonotonicNow() + kFollowInterval,
+  core_->context_.pool_.PostAt(base::MonotonicNow() + kPollInterval,
                                [self = shared_from_this()] { self->Fetch(); });
 }
 
--- a/Libraries/LibEntry/ResultsReader.h
+++ b/Libraries/LibEntry/ResultsReader.h
@@ -11,32 +11,32 @@
 
 namespace pumiceturn::entry {
 
-/// One ReadResults RPC: fetches pages from the owner as fast as the caller
-/// takes them, so that a slow caller holds one page and not the whole job.
+/// Handles one ReadResults RPC. Fetches the next page only after the previous
+/// one was written, so that a slow caller occupies memory for one page.
 class ResultsReader : public std::enable_shared_from_this<ResultsReader>
 {
 public:
   using Stream = MessageStream<caller::ItemResult>;
 
   static constexpr std::uint32_t kPageItems = 256;
-  static constexpr base::Duration kFollowInterval{ std::chrono::milliseconds{
+  static constexpr base::Duration kPollInterval{ std::chrono::milliseconds{
     250 } };
-  static constexpr base::Duration kPagePatience{ std::chrono::seconds{ 20 } };
+  static constexpr base::Duration kPageTimeout{ std::chrono::seconds{ 20 } };
 
   ResultsReader(std::shared_ptr<EntryCore> aCore,
                 std::shared_ptr<Stream> aStream,
                 std::string aPartner,
                 const caller::ReadResultsRequest& aRequest);
 
-  /// Asks for the next page.
+  /// Requests the next page from the owner.
   void Fetch();
 
-  /// The page was written.
+  /// Called when the last page was written.
   void OnDrained();
 
 private:
   void OnPage(OwnerCalls::Reply aReply);
-  void EndOrWait();
+  void FinishOrPoll();
 
   std::shared_ptr<EntryCore> core_;
   std::shared_ptr<Stream> stream_;
--- a/Libraries/LibEntry/ServiceCall.cpp
+++ b/Libraries/LibEntry/ServiceCall.cpp
@@ -26,7 +26,7 @@
 }
 
 void
-ServiceCall::RefuseAtOnce(const grpc::Status& aStatus)
+ServiceCall::RefuseImmediately(const grpc::Status& aStatus)
 {
   FinishOnce(aStatus);
 }
@@ -80,7 +80,7 @@
     {
       const std::lock_guard lock(mutex_);
       if (finished_) {
-        return; // gRPC may have dropped the reply already.
+        return; // gRPC may have released the reply.
       }
       wire::ItemResult& result = finished->result_;
       *reply_->mutable_outcome() =
--- a/Libraries/LibEntry/ServiceCall.h
+++ b/Libraries/LibEntry/ServiceCall.h
@@ -11,18 +11,18 @@
 
 namespace pumiceturn::entry {
 
-/// One CallService RPC: an online request whose answer comes in one piece. Kept
-/// alive by itself until gRPC is done with it.
+/// Handles one CallService RPC: an online request with a single reply. Owns
+/// itself until gRPC calls OnDone().
 class ServiceCall final
   : public grpc::ServerUnaryReactor
   , public std::enable_shared_from_this<ServiceCall>
 {
 public:
-  /// @param aReply Filled before the RPC ends.
+  /// @param aReply Filled before the RPC finishes.
   static std::shared_ptr<ServiceCall> Make(std::shared_ptr<EntryCore> aCore,
                                            caller::ServiceCallReply* aReply);
 
-  void RefuseAtOnce(const grpc::Status& aStatus);
+  void RefuseImmediately(const grpc::Status& aStatus);
   void Begin(OnlineDescription aDescription);
 
   void OnCancel() override;
@@ -40,7 +40,7 @@
   caller::ServiceCallReply* reply_;
   std::string key_;
   std::mutex mutex_;
-  std::uint64_t call_ = 0; ///< 0 until begun.
+  std::uint64_t call_ = 0; ///< 0 before Begin().
   bool cancelled_ = false;
   bool finished_ = false;
   std::shared_ptr<ServiceCall> self_;
--- a/Libraries/LibEntry/StreamedText.h
+++ b/Libraries/LibEntry/StreamedText.h
@@ -6,18 +6,18 @@
 
 namespace pumiceturn::entry {
 
-/// What the caller has been sent of a streamed answer. A rerun after a lost
-/// endpoint starts its text from the beginning; the caller must neither see a
-/// part twice nor a mixture of two different answers.
+/// The part of a streamed answer that was sent to the caller. A rerun after a
+/// lost endpoint starts its text from the beginning; the caller must receive
+/// neither repeated text nor a mixture of two answers.
 class StreamedText
 {
 public:
-  /// A new attempt's text will be compared from its beginning.
+  /// Starts comparing a new attempt's text from the beginning.
   void BeginAttempt();
 
-  /// Takes the attempt's text in order so far.
-  /// @return what to send now: the text beyond what was sent, or nothing while
-  /// the attempt is behind or has turned out different.
+  /// @param aAttemptText The attempt's contiguous text so far.
+  /// @return the text to send now; empty while the attempt has produced no more
+  /// than was sent, or if its text differs.
   std::string Advance(std::string_view aAttemptText);
 
   [[nodiscard]] bool IsEmpty() const { return sent_.empty(); }
--- a/Libraries/LibKeeper/JobServiceRuns.cpp
+++ b/Libraries/LibKeeper/JobServiceRuns.cpp
@@ -566,7 +566,7 @@
   start.idempotent_ = job.idempotent_;
   start.dueUnixMs_ = job.dueUnixMs_;
   start.fingerprint_ = routing::MakeFingerprint(job.service_, aItem.payload_);
-  start.prefix_ = routing::MakePrefix(aItem.payload_);
+  start.prefix_ = routing::HashPrefix(aItem.payload_);
   start.maxTokens_ = job.maxTokens_;
   start.payload_ = aItem.payload_;
   start.fence_ = aPartition.epoch_;
--- a/Libraries/LibRouting/Backoff.h
+++ b/Libraries/LibRouting/Backoff.h
@@ -6,16 +6,17 @@
 
 namespace pumiceturn::routing {
 
-/// Exponential backoff with jitter, so that requests which failed together do
-/// not come back together.
+/// Exponential backoff with jitter, which spreads out the retries of requests
+/// that failed together.
 struct Backoff
 {
   base::Duration base_{ std::chrono::milliseconds{ 20 } };
-  base::Duration longest_{ std::chrono::seconds{ 1 } };
+  base::Duration max_{ std::chrono::seconds{ 1 } };
 
-  /// @param aRetry  Counts from 0.
-  /// @param aRandom Uniform 64 random bits.
-  /// @return between half and the whole of base * 2^retry, at most longest.
+  /// @param aRetry Number of earlier retries; 0 for the first.
+  /// @param aRandom 64 uniform random bits.
+  /// @return a delay between d/2 and d, where d is base_ * 2^aRetry but at most
+  /// max_.
   [[nodiscard]] base::Duration Delay(std::uint32_t aRetry,
                                      std::uint64_t aRandom) const;
 };
--- a/Libraries/LibRouting/EndpointChooser.cpp
+++ b/Libraries/LibRouting/EndpointChooser.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Random draws before all endpoints are looked through. Most draws succeed;
-/// the look-through is for fleets where nearly all are excluded.
-constexpr int kDraws = 8;
+/// Number of random draws before all eligible endpoints are scanned. The scan
+/// is rarely needed: only when most endpoints are excluded or avoided.
+constexpr int kMaxRandomDraws = 8;
 
 bool
 IsExcluded(std::string_view aName, std::span<const std::string> aExcluded)
@@ -21,18 +21,18 @@
 } // namespace
 
 std::string_view
-NameOf(Reason aReason)
+NameOf(ChoiceReason aReason)
 {
   switch (aReason) {
-    case Reason::LessLoaded:
+    case ChoiceReason::LessLoaded:
       return "less_loaded";
-    case Reason::PrefixHeld:
+    case ChoiceReason::PrefixHeld:
       return "prefix_held";
-    case Reason::OnlyOne:
+    case ChoiceReason::OnlyOne:
       return "only_one";
-    case Reason::InTurn:
+    case ChoiceReason::InTurn:
       return "in_turn";
-    case Reason::AtRandom:
+    case ChoiceReason::AtRandom:
       break;
   }
   return "at_random";
@@ -50,14 +50,14 @@
   std::vector<Endpoint> endpoints;
   endpoints.reserve(aEndpoints.size());
   std::unordered_map<std::string, std::size_t> positions;
-  bool isSamePlace = aEndpoints.size() == endpoints_.size();
+  bool hasSamePositions = aEndpoints.size() == endpoints_.size();
   for (const EndpointDescription& description : aEndpoints) {
     Endpoint endpoint;
     if (const Endpoint* known = Find(description.name_)) {
       endpoint = *known;
     }
-    isSamePlace =
-      isSamePlace &&
+    hasSamePositions =
+      hasSamePositions &&
       endpoints_[endpoints.size()].description_.name_ == description.name_;
     endpoint.description_ = description;
     positions.emplace(description.name_, endpoints.size());
@@ -65,8 +65,8 @@
   }
   endpoints_ = std::move(endpoints);
   positions_ = std::move(positions);
-  if (!isSamePlace) {
-    prefixes_ = {}; // It names endpoints by position.
+  if (!hasSamePositions) {
+    prefixes_ = {}; // The estimate refers to endpoints by position.
   }
   RebuildEligible();
 }
@@ -119,7 +119,7 @@
 }
 
 void
-EndpointChooser::OnReplaced(std::string_view aEndpoint)
+EndpointChooser::OnProcessReplaced(std::string_view aEndpoint)
 {
   Endpoint* endpoint = Find(aEndpoint);
   if (endpoint == nullptr) {
@@ -150,14 +150,14 @@
 void
 EndpointChooser::OnEnded(std::string_view aEndpoint,
                          bool aIsSuspect,
-                         RunEnd aEnd,
+                         RunOutcome aOutcome,
                          base::Instant aNow)
 {
   Endpoint* endpoint = Find(aEndpoint);
   if (endpoint == nullptr || endpoint->inFlight_ == 0) {
-    return; // Counted before the endpoint left the subset and came back.
+    return; // Started before the endpoint was removed and added again.
   }
-  JudgeEnd(*endpoint, aEnd, aNow);
+  UpdateAvoidance(*endpoint, aOutcome, aNow);
   --endpoint->inFlight_;
   if (aIsSuspect && endpoint->suspects_ > 0) {
     --endpoint->suspects_;
@@ -168,22 +168,24 @@
 }
 
 void
-EndpointChooser::JudgeEnd(Endpoint& aEndpoint, RunEnd aEnd, base::Instant aNow)
+EndpointChooser::UpdateAvoidance(Endpoint& aEndpoint,
+                                 RunOutcome aOutcome,
+                                 base::Instant aNow)
 {
-  switch (aEnd) {
-    case RunEnd::Answered:
-      aEndpoint.failuresInRow_ = 0;
+  switch (aOutcome) {
+    case RunOutcome::Answered:
+      aEndpoint.consecutiveFailures_ = 0;
       aEndpoint.avoidedUntil_ = {};
       return;
-    case RunEnd::Broken: {
+    case RunOutcome::Failed: {
       const std::uint32_t doublings =
-        std::min(aEndpoint.failuresInRow_, kMaxAvoidanceDoublings);
+        std::min(aEndpoint.consecutiveFailures_, kMaxAvoidanceDoublings);
       aEndpoint.avoidedUntil_ =
-        aNow + (kShortestAvoidance * (std::int64_t{ 1 } << doublings));
-      ++aEndpoint.failuresInRow_;
+        aNow + (kMinAvoidance * (std::int64_t{ 1 } << doublings));
+      ++aEndpoint.consecutiveFailures_;
       return;
     }
-    case RunEnd::GivenUp:
+    case RunOutcome::Abandoned:
       return;
   }
 }
@@ -205,7 +207,7 @@
 }
 
 std::optional<std::uint32_t>
-EndpointChooser::ShortestWaitMs() const
+EndpointChooser::MinExpectedWaitMs() const
 {
   std::optional<std::uint32_t> shortest;
   for (const std::size_t index : eligible_) {
@@ -239,22 +241,23 @@
 }
 
 bool
-EndpointChooser::MayTake(const Endpoint& aEndpoint,
-                         const ChoiceRequest& aRequest) const
+EndpointChooser::IsCandidate(const Endpoint& aEndpoint,
+                             const ChoiceRequest& aRequest) const
 {
   return !IsExcluded(aEndpoint.description_.name_, aRequest.excluded_);
 }
 
 double
-EndpointChooser::LoadOf(const Endpoint& aEndpoint, base::Instant aNow) const
+EndpointChooser::EstimateLoad(const Endpoint& aEndpoint,
+                              base::Instant aNow) const
 {
-  // Were an aged report taken for idleness, the endpoints heard from least
-  // would draw the most requests.
+  // The weight of a report decreases with its age. Treating an endpoint without
+  // a recent report as idle would send most requests to it.
   double weight = 0.0;
   if (aEndpoint.reportedAt_.has_value()) {
     const auto age =
       static_cast<double>((aNow - *aEndpoint.reportedAt_).count());
-    const auto horizon = static_cast<double>(kReportHorizon.count());
+    const auto horizon = static_cast<double>(kMaxReportAge.count());
     weight = std::clamp(1.0 - (age / horizon), 0.0, 1.0);
   }
   const double others =
@@ -305,12 +308,12 @@
   if (eligible_.empty()) {
     return std::nullopt;
   }
-  const auto isFit = [&](std::size_t aIndex) {
-    return aIndex != aOther && MayTake(endpoints_[aIndex], aRequest);
+  const auto isCandidate = [&](std::size_t aIndex) {
+    return aIndex != aOther && IsCandidate(endpoints_[aIndex], aRequest);
   };
-  for (int draw = 0; draw < kDraws; ++draw) {
+  for (int draw = 0; draw < kMaxRandomDraws; ++draw) {
     const std::size_t index = eligible_[aRandom() % eligible_.size()];
-    if (isFit(index) && endpoints_[index].avoidedUntil_ <= aNow) {
+    if (isCandidate(index) && endpoints_[index].avoidedUntil_ <= aNow) {
       return index;
     }
   }
@@ -318,7 +321,7 @@
   const std::size_t first = aRandom() % eligible_.size();
   for (std::size_t step = 0; step < eligible_.size(); ++step) {
     const std::size_t index = eligible_[(first + step) % eligible_.size()];
-    if (!isFit(index)) {
+    if (!isCandidate(index)) {
       continue;
     }
     if (endpoints_[index].avoidedUntil_ <= aNow) {
@@ -326,29 +329,30 @@
     }
     avoided = index;
   }
-  // Better an endpoint that failed lately than none.
+  // Falls back to an avoided endpoint if there is no other.
   return avoided;
 }
 
 std::optional<std::size_t>
-EndpointChooser::PickHolder(const LeastOfTwo& aPolicy,
-                            const ChoiceRequest& aRequest,
-                            base::Instant aNow) const
+EndpointChooser::PickPrefixHolder(const PowerOfTwoChoices& aPolicy,
+                                  const ChoiceRequest& aRequest,
+                                  base::Instant aNow) const
 {
   const double bound = aPolicy.affinityBound_ * MeanLoad();
   std::optional<std::size_t> best;
   double bestLoad = 0.0;
   for (const std::size_t index : prefixes_.HoldersOf(aRequest.prefix_)) {
     const Endpoint& endpoint = endpoints_[index];
-    const bool isFit = IsEligible(endpoint) && MayTake(endpoint, aRequest) &&
-                       endpoint.avoidedUntil_ <= aNow;
-    if (!isFit) {
+    const bool isCandidate = IsEligible(endpoint) &&
+                             IsCandidate(endpoint, aRequest) &&
+                             endpoint.avoidedUntil_ <= aNow;
+    if (!isCandidate) {
       continue;
     }
-    const double load = LoadOf(endpoint, aNow);
-    const double oneMore =
+    const double load = EstimateLoad(endpoint, aNow);
+    const double loadOfOneRequest =
       1.0 / std::max<std::uint32_t>(endpoint.description_.capacity_, 1);
-    const bool isBounded = load <= bound + oneMore;
+    const bool isBounded = load <= bound + loadOfOneRequest;
     if (isBounded && (!best.has_value() || load < bestLoad)) {
       best = index;
       bestLoad = load;
@@ -359,14 +363,14 @@
 
 Choice
 EndpointChooser::Describe(std::size_t aIndex,
-                          Reason aReason,
+                          ChoiceReason aReason,
                           base::Instant aNow) const
 {
   const Endpoint& endpoint = endpoints_[aIndex];
   Choice choice;
   choice.endpoint_ = endpoint.description_.name_;
   choice.reason_ = aReason;
-  choice.load_ = LoadOf(endpoint, aNow);
+  choice.load_ = EstimateLoad(endpoint, aNow);
   choice.reportAge_ = endpoint.reportedAt_.has_value()
                         ? aNow - *endpoint.reportedAt_
                         : base::Duration::max();
@@ -374,14 +378,14 @@
 }
 
 std::optional<Choice>
-EndpointChooser::ChooseBy(LeastOfTwo& aPolicy,
+EndpointChooser::ChooseBy(PowerOfTwoChoices& aPolicy,
                           const ChoiceRequest& aRequest,
                           base::Instant aNow,
                           std::mt19937_64& aRandom)
 {
   if (!aRequest.suspect_) {
-    if (const auto holder = PickHolder(aPolicy, aRequest, aNow)) {
-      return Describe(*holder, Reason::PrefixHeld, aNow);
+    if (const auto holder = PickPrefixHolder(aPolicy, aRequest, aNow)) {
+      return Describe(*holder, ChoiceReason::PrefixHeld, aNow);
     }
   }
   const auto first = PickRandom(aRequest, std::nullopt, aNow, aRandom);
@@ -389,29 +393,32 @@
     return std::nullopt;
   }
   auto second = PickRandom(aRequest, first, aNow, aRandom);
-  // Only one of the two may be avoided when nearly all are: the other is taken.
+  // The second draw may fall back to an avoided endpoint; the first is then the
+  // only candidate.
   if (second.has_value() && endpoints_[*second].avoidedUntil_ > aNow) {
     second.reset();
   }
   if (!second.has_value()) {
-    return Describe(*first, Reason::OnlyOne, aNow);
+    return Describe(*first, ChoiceReason::OnlyOne, aNow);
   }
   const auto score = [&](std::size_t aIndex) {
     const Endpoint& endpoint = endpoints_[aIndex];
-    const bool isNear = endpoint.description_.failureDomain_ == failureDomain_;
-    // A suspect beside another suspect would hide which of the two crashes
-    // the endpoint, so such an endpoint is taken only when both are alike.
+    const bool isSameDomain =
+      endpoint.description_.failureDomain_ == failureDomain_;
+    // Two suspects on one endpoint would make it impossible to tell which of
+    // them crashed it. The penalty outweighs any difference in load.
     const bool hasSuspect = aRequest.suspect_ && endpoint.suspects_ > 0;
     constexpr double kSuspectPenalty = 1e6;
-    return LoadOf(endpoint, aNow) + (isNear ? 0.0 : aPolicy.domainPenalty_) +
+    return EstimateLoad(endpoint, aNow) +
+           (isSameDomain ? 0.0 : aPolicy.domainPenalty_) +
            (hasSuspect ? kSuspectPenalty : 0.0);
   };
   const bool isFirst = score(*first) <= score(*second);
   Choice choice =
-    Describe(isFirst ? *first : *second, Reason::LessLoaded, aNow);
+    Describe(isFirst ? *first : *second, ChoiceReason::LessLoaded, aNow);
   const Endpoint& other = endpoints_[isFirst ? *second : *first];
   choice.other_ = other.description_.name_;
-  choice.otherLoad_ = LoadOf(other, aNow);
+  choice.otherLoad_ = EstimateLoad(other, aNow);
   return choice;
 }
 
@@ -423,8 +430,8 @@
 {
   for (std::size_t step = 0; step < eligible_.size(); ++step) {
     const std::size_t index = eligible_[aPolicy.next_++ % eligible_.size()];
-    if (MayTake(endpoints_[index], aRequest)) {
-      return Describe(index, Reason::InTurn, aNow);
+    if (IsCandidate(endpoints_[index], aRequest)) {
+      return Describe(index, ChoiceReason::InTurn, aNow);
     }
   }
   return std::nullopt;
@@ -440,7 +447,7 @@
   if (!index.has_value()) {
     return std::nullopt;
   }
-  return Describe(*index, Reason::AtRandom, aNow);
+  return Describe(*index, ChoiceReason::AtRandom, aNow);
 }
 
 } // namespace pumiceturn::routing
--- a/Libraries/LibRouting/EndpointChooser.h
+++ b/Libraries/LibRouting/EndpointChooser.h
@@ -16,31 +16,33 @@
 
 namespace pumiceturn::routing {
 
-/// Two endpoints at random, the less loaded one taken; a believed prefix holder
-/// first while its load is bounded.
-struct LeastOfTwo
+/// Draws two endpoints at random and chooses the less loaded one. An endpoint
+/// that probably has the prompt prefix cached is preferred while its load is
+/// within a bound.
+struct PowerOfTwoChoices
 {
-  /// A prefix holder is taken while its load is at most this many times the
-  /// mean, so that a popular prefix does not overload one endpoint.
+  /// Maximum load of a preferred prefix holder, as a multiple of the mean load.
+  /// Keeps a popular prefix from overloading one endpoint.
   double affinityBound_ = 1.25;
-  /// Load (share of capacity) that another failure domain must be better by.
+  /// Added to the load (share of capacity) of endpoints in other failure
+  /// domains.
   double domainPenalty_ = 0.02;
 };
 
-/// Baseline: each in turn.
+/// Baseline policy: round robin.
 struct RoundRobin
 {
   std::size_t next_ = 0;
 };
 
-/// Baseline: any.
+/// Baseline policy: a random endpoint.
 struct RandomChoice
 {};
 
-using Policy = std::variant<LeastOfTwo, RoundRobin, RandomChoice>;
+using Policy = std::variant<PowerOfTwoChoices, RoundRobin, RandomChoice>;
 
-/// Why an endpoint was taken.
-enum class Reason : std::uint8_t
+/// Why an endpoint was chosen.
+enum class ChoiceReason : std::uint8_t
 {
   LessLoaded,
   PrefixHeld,
@@ -50,103 +52,113 @@
 };
 
 std::string_view
-NameOf(Reason aReason);
+NameOf(ChoiceReason aReason);
 
-/// How a run at an endpoint came to its end.
-enum class RunEnd : std::uint8_t
+/// How a run at an endpoint ended.
+enum class RunOutcome : std::uint8_t
 {
   Answered,
-  Broken,  ///< Crashed, failed or lost there.
-  GivenUp, ///< Refused by the endpoint, or cancelled: says nothing about it.
+  Failed,    ///< The endpoint crashed or failed, or its link was lost.
+  Abandoned, ///< Refused or cancelled; doesn't affect avoidance.
 };
 
-/// An endpoint of a service's subset as the chooser is told of it.
+/// An endpoint in the subset of a service.
 struct EndpointDescription
 {
   std::string name_;
   std::string failureDomain_;
-  std::uint32_t capacity_ = 1; ///< Declared; a report replaces it.
+  /// Concurrent runs; replaced by the value in heartbeats.
+  std::uint32_t capacity_ = 1;
 
   bool operator==(const EndpointDescription&) const = default;
 };
 
-/// What a request asks of the choice.
+/// Routing input of one request.
 struct ChoiceRequest
 {
   std::uint64_t prefix_ = 0;
-  bool suspect_ = false; ///< Prefers endpoints that run no other suspect.
-  std::span<const std::string> excluded_; ///< Tried before.
+  bool suspect_ = false; ///< Prefer endpoints without another suspect.
+  /// Endpoints that must not be chosen.
+  std::span<const std::string> excluded_;
 };
 
-/// The endpoint taken and what was weighed, for the log.
+/// The chosen endpoint, with the inputs of the decision for the log.
 struct Choice
 {
   std::string endpoint_;
-  Reason reason_ = Reason::LessLoaded;
-  double load_ = 0.0; ///< Estimated share of capacity in use.
-  std::string other_; ///< The endpoint it was compared with; may be empty.
+  ChoiceReason reason_ = ChoiceReason::LessLoaded;
+  double load_ = 0.0; ///< Estimated load as a share of capacity.
+  std::string other_; ///< The other candidate; empty if there was none.
   double otherLoad_ = 0.0;
   base::Duration reportAge_{ 0 };
 };
 
-/// Chooses the endpoint for each request of one service. Load is the own
-/// requests in flight plus what the agent last reported beyond them; the older
-/// the report, the more the mean of all endpoints stands in for it. The cost
-/// does not grow with the number of endpoints. Not thread-safe: the owner holds
-/// the routing table's lock.
+/// Chooses an endpoint for each request of one service.
+///
+/// An endpoint's load is the number of own requests in flight plus the load
+/// from other hosts in the agent's last heartbeat. As that report ages, it is
+/// gradually replaced by the mean over all endpoints. The cost of a choice
+/// doesn't grow with the number of endpoints.
+///
+/// Not thread-safe: the owner holds the routing table's lock.
 class EndpointChooser
 {
 public:
-  /// After this time a report says nothing more about others' load.
-  static constexpr base::Duration kReportHorizon{ std::chrono::milliseconds{
+  /// Age from which a report of other hosts' load is ignored.
+  static constexpr base::Duration kMaxReportAge{ std::chrono::milliseconds{
     1000 } };
 
-  /// How long an endpoint is avoided after one failure, and at most.
-  static constexpr base::Duration kShortestAvoidance{ std::chrono::seconds{
-    1 } };
+  /// How long an endpoint is avoided after its first failure. The time doubles
+  /// with each consecutive failure, up to kMaxAvoidanceDoublings times.
+  static constexpr base::Duration kMinAvoidance{ std::chrono::seconds{ 1 } };
   static constexpr std::uint32_t kMaxAvoidanceDoublings = 5;
 
   EndpointChooser(std::string aFailureDomain, Policy aPolicy);
 
-  /// Replaces the set of endpoints; what is known of those that stay is kept.
+  /// Replaces the set of endpoints. The state of endpoints that stay is kept.
   void SetEndpoints(std::span<const EndpointDescription> aEndpoints);
 
   void SetLinked(std::string_view aEndpoint, bool aIsLinked);
 
-  /// Operators or the host list say that the endpoint leaves.
+  /// Excludes an endpoint that was drained by an operator or is leaving
+  /// according to the host list, or includes it again.
   void SetDrained(std::string_view aEndpoint, bool aIsDrained);
 
-  /// Takes the agent's heartbeat.
+  /// Updates an endpoint's load and cached prefixes from a heartbeat of its
+  /// agent.
   void OnHeartbeat(std::string_view aEndpoint,
                    const wire::Heartbeat& aHeartbeat,
                    base::Instant aNow);
 
-  /// The endpoint's process is another one: its cache is empty.
-  void OnReplaced(std::string_view aEndpoint);
+  /// Resets what was reported by the endpoint's previous process, including its
+  /// cached prefixes.
+  void OnProcessReplaced(std::string_view aEndpoint);
 
-  /// Counts a run sent to an endpoint.
+  /// Records that a run was sent to an endpoint.
   void OnStarted(std::string_view aEndpoint,
                  std::uint64_t aPrefix,
                  bool aIsSuspect);
 
-  /// Counts the end of a run. An endpoint that fails at once always looks idle
-  /// and would draw the most requests, so after a broken run it is avoided for
-  /// a time that doubles with each one in a row.
+  /// Records the end of a run. An endpoint that fails immediately always looks
+  /// idle and would attract most requests, so it is avoided after a failure.
+  /// The time doubles with each consecutive failure.
   void OnEnded(std::string_view aEndpoint,
                bool aIsSuspect,
-               RunEnd aEnd,
+               RunOutcome aOutcome,
                base::Instant aNow);
 
-  /// @return nothing where no endpoint may take the request.
+  /// Chooses an endpoint for a request.
+  /// @return std::nullopt if every endpoint is excluded or ineligible.
   [[nodiscard]] std::optional<Choice> Choose(const ChoiceRequest& aRequest,
                                              base::Instant aNow,
                                              std::mt19937_64& aRandom);
 
-  /// @return whether some endpoint is linked and not leaving.
+  /// @return whether at least one endpoint is linked and not draining.
   [[nodiscard]] bool HasEligible() const;
 
-  /// @return the shortest wait that an agent reported, or nothing.
-  [[nodiscard]] std::optional<std::uint32_t> ShortestWaitMs() const;
+  /// @return the shortest expected wait in milliseconds that an eligible
+  /// endpoint has reported, or std::nullopt without a report.
+  [[nodiscard]] std::optional<std::uint32_t> MinExpectedWaitMs() const;
 
   [[nodiscard]] std::uint32_t InFlight(std::string_view aEndpoint) const;
 
@@ -155,24 +167,26 @@
   {
     EndpointDescription description_;
     bool linked_ = false;
-    bool drained_ = false;  ///< By operators or the host list.
-    bool draining_ = false; ///< By its own word.
+    bool drained_ = false;  ///< Set by operators or the host list.
+    bool draining_ = false; ///< Reported by the endpoint itself.
     std::uint32_t inFlight_ = 0;
     std::uint32_t suspects_ = 0;
-    std::uint32_t othersLoad_ = 0; ///< Reported beyond our own.
+    std::uint32_t othersLoad_ = 0; ///< Reported load from other hosts.
     std::uint32_t expectedWaitMs_ = 0;
-    std::uint32_t failuresInRow_ = 0;
+    std::uint32_t consecutiveFailures_ = 0;
     base::Instant avoidedUntil_;
     std::optional<base::Instant> reportedAt_;
   };
 
   [[nodiscard]] Endpoint* Find(std::string_view aName);
   [[nodiscard]] static bool IsEligible(const Endpoint& aEndpoint);
-  [[nodiscard]] bool MayTake(const Endpoint& aEndpoint,
-                             const ChoiceRequest& aRequest) const;
-  static void JudgeEnd(Endpoint& aEndpoint, RunEnd aEnd, base::Instant aNow);
-  [[nodiscard]] double LoadOf(const Endpoint& aEndpoint,
-                              base::Instant aNow) const;
+  [[nodiscard]] bool IsCandidate(const Endpoint& aEndpoint,
+                                 const ChoiceRequest& aRequest) const;
+  static void UpdateAvoidance(Endpoint& aEndpoint,
+                              RunOutcome aOutcome,
+                              base::Instant aNow);
+  [[nodiscard]] double EstimateLoad(const Endpoint& aEndpoint,
+                                    base::Instant aNow) const;
   [[nodiscard]] double MeanLoad() const;
   [[nodiscard]] double MeanOthersLoad() const;
   void RebuildEligible();
@@ -181,14 +195,14 @@
     std::optional<std::size_t> aOther,
     base::Instant aNow,
     std::mt19937_64& aRandom) const;
-  [[nodiscard]] std::optional<std::size_t> PickHolder(
-    const LeastOfTwo& aPolicy,
+  [[nodiscard]] std::optional<std::size_t> PickPrefixHolder(
+    const PowerOfTwoChoices& aPolicy,
     const ChoiceRequest& aRequest,
     base::Instant aNow) const;
   [[nodiscard]] Choice Describe(std::size_t aIndex,
-                                Reason aReason,
+                                ChoiceReason aReason,
                                 base::Instant aNow) const;
-  std::optional<Choice> ChooseBy(LeastOfTwo& aPolicy,
+  std::optional<Choice> ChooseBy(PowerOfTwoChoices& aPolicy,
                                  const ChoiceRequest& aRequest,
                                  base::Instant aNow,
                                  std::mt19937_64& aRandom);
@@ -205,10 +219,10 @@
   Policy policy_;
   std::vector<Endpoint> endpoints_;
   std::unordered_map<std::string, std::size_t> positions_;
-  std::vector<std::size_t> eligible_; ///< Positions that may take new work.
-  std::uint64_t totalLoad_ = 0;       ///< Own and others', over eligible ones.
-  std::uint64_t totalCapacity_ = 0;   ///< Over eligible ones.
-  std::uint64_t totalOthers_ = 0;     ///< Others' load, over eligible ones.
+  std::vector<std::size_t> eligible_; ///< Positions in endpoints_.
+  std::uint64_t totalLoad_ = 0;       ///< Own and others', eligible only.
+  std::uint64_t totalCapacity_ = 0;   ///< Of eligible endpoints.
+  std::uint64_t totalOthers_ = 0;     ///< Load from other hosts.
   PrefixEstimate prefixes_;
 };
 
--- a/Libraries/LibRouting/Fingerprint.cpp
+++ b/Libraries/LibRouting/Fingerprint.cpp
@@ -17,7 +17,7 @@
 }
 
 std::uint64_t
-MakePrefix(std::string_view aPayload)
+HashPrefix(std::string_view aPayload)
 {
   return base::HashBytes(aPayload.substr(0, kPrefixBytes), kPrefixSeed);
 }
--- a/Libraries/LibRouting/Fingerprint.h
+++ b/Libraries/LibRouting/Fingerprint.h
@@ -6,17 +6,18 @@
 
 namespace pumiceturn::routing {
 
-/// Leading bytes of a prompt that name its prefix for cache affinity.
+/// Length in bytes of the prompt prefix that is hashed for cache affinity.
 constexpr std::size_t kPrefixBytes = 256;
 
-/// Names a request's content in the quarantine table. Entries and keepers must
-/// agree on it: content that crashed an endpoint in a lot is refused online.
-/// @return never 0.
+/// Hashes a request's service and content for the quarantine table. Entries and
+/// keepers must compute the same value, so that content which crashed an
+/// endpoint in a job is also refused online.
+/// @return the fingerprint; never 0.
 std::uint64_t
 MakeFingerprint(std::string_view aService, std::string_view aPayload);
 
-/// Names a prompt's prefix for cache affinity.
+/// Hashes the first kPrefixBytes of a prompt for cache affinity.
 std::uint64_t
-MakePrefix(std::string_view aPayload);
+HashPrefix(std::string_view aPayload);
 
 } // namespace pumiceturn::routing
--- a/Libraries/LibRouting/PrefixEstimate.cpp
+++ b/Libraries/LibRouting/PrefixEstimate.cpp
@@ -15,11 +15,11 @@
     return;
   }
   if (holders.size() == kMaxHoldersPerPrefix) {
-    std::erase(order_[holders.front()], aPrefix);
+    std::erase(insertionOrder_[holders.front()], aPrefix);
     holders.erase(holders.begin());
   }
   holders.push_back(aEndpoint);
-  std::deque<std::uint64_t>& order = order_[aEndpoint];
+  std::deque<std::uint64_t>& order = insertionOrder_[aEndpoint];
   order.push_back(aPrefix);
   if (order.size() > kMaxPrefixesPerEndpoint) {
     Drop(aEndpoint, order.front());
@@ -36,14 +36,14 @@
   if (found->second.empty()) {
     holders_.erase(found);
   }
-  std::erase(order_[aEndpoint], aPrefix);
+  std::erase(insertionOrder_[aEndpoint], aPrefix);
 }
 
 void
 PrefixEstimate::Clear(std::size_t aEndpoint)
 {
-  const auto found = order_.find(aEndpoint);
-  if (found == order_.end()) {
+  const auto found = insertionOrder_.find(aEndpoint);
+  if (found == insertionOrder_.end()) {
     return;
   }
   for (const std::uint64_t prefix : found->second) {
@@ -53,7 +53,7 @@
       holders_.erase(holders);
     }
   }
-  order_.erase(found);
+  insertionOrder_.erase(found);
 }
 
 std::span<const std::size_t>
--- a/Libraries/LibRouting/PrefixEstimate.h
+++ b/Libraries/LibRouting/PrefixEstimate.h
@@ -9,9 +9,10 @@
 
 namespace pumiceturn::routing {
 
-/// Which endpoints probably hold which prompt prefixes in their cache: what was
-/// sent there, corrected by cache events, which come late and with gaps. A
-/// wrong estimate costs a cache miss, nothing more. Not thread-safe.
+/// Estimates which endpoints have which prompt prefixes in their cache, from
+/// the requests sent to them and the cache events of their agents. Events may
+/// be delayed or lost; a wrong estimate only costs a cache miss. Not
+/// thread-safe.
 class PrefixEstimate
 {
 public:
@@ -21,16 +22,16 @@
   void Add(std::size_t aEndpoint, std::uint64_t aPrefix);
   void Drop(std::size_t aEndpoint, std::uint64_t aPrefix);
 
-  /// Forgets all of an endpoint, whose process was replaced.
+  /// Removes all prefixes of an endpoint, after its process was replaced.
   void Clear(std::size_t aEndpoint);
 
-  /// @return positions of the endpoints believed to hold the prefix.
+  /// @return positions of the endpoints that probably hold the prefix.
   [[nodiscard]] std::span<const std::size_t> HoldersOf(
     std::uint64_t aPrefix) const;
 
 private:
   std::unordered_map<std::uint64_t, std::vector<std::size_t>> holders_;
-  std::unordered_map<std::size_t, std::deque<std::uint64_t>> order_;
+  std::unordered_map<std::size_t, std::deque<std::uint64_t>> insertionOrder_;
 };
 
 } // namespace pumiceturn::routing
--- a/Libraries/LibRouting/QuarantineTable.cpp
+++ b/Libraries/LibRouting/QuarantineTable.cpp
@@ -11,15 +11,16 @@
 RemainingMs(base::Instant aExpires, base::Instant aNow)
 {
   const std::int64_t remaining = base::ToMs(aExpires - aNow);
-  constexpr std::int64_t kLongest = std::numeric_limits<std::uint32_t>::max();
+  constexpr std::int64_t kMaxMs = std::numeric_limits<std::uint32_t>::max();
   return static_cast<std::uint32_t>(
-    std::clamp<std::int64_t>(remaining, 1, kLongest));
+    std::clamp<std::int64_t>(remaining, 1, kMaxMs));
 }
 
-/// Puts first what a peer needs most, since a heartbeat holds only so many:
-/// what was lifted, then what crashed most, then what is newest.
+/// Orders entries by their importance to peers, since a heartbeat holds a
+/// limited number: lifted entries, then those with the most crashes, then the
+/// most recent.
 bool
-IsTellingMore(const wire::Suspect& aLeft, const wire::Suspect& aRight)
+HasHigherPriority(const wire::Suspect& aLeft, const wire::Suspect& aRight)
 {
   const bool isLeftLifted = aLeft.crashes_ == 0;
   const bool isRightLifted = aRight.crashes_ == 0;
@@ -49,25 +50,27 @@
   };
   const bool anySuspect =
     std::any_of(aFingerprints.begin(), aFingerprints.end(), isSuspect);
-  std::vector<std::uint64_t> blamed;
+  std::vector<std::uint64_t> counted;
   for (const std::uint64_t fingerprint : aFingerprints) {
-    const bool isRepeat =
-      std::find(blamed.begin(), blamed.end(), fingerprint) != blamed.end();
+    const bool isDuplicate =
+      std::find(counted.begin(), counted.end(), fingerprint) != counted.end();
     const bool isKnown = isSuspect(fingerprint);
-    if (isRepeat || (anySuspect && !isKnown)) {
+    if (isDuplicate || (anySuspect && !isKnown)) {
       continue;
     }
-    MakeRoom(fingerprint, aNow);
+    EvictIfFull(fingerprint, aNow);
     Entry& entry = entries_[fingerprint];
     const std::uint16_t before = isKnown ? entry.crashes_ : std::uint16_t{ 0 };
-    constexpr std::uint16_t kMost = std::numeric_limits<std::uint16_t>::max();
-    const auto crashes =
-      before == kMost ? kMost : static_cast<std::uint16_t>(before + 1);
+    constexpr std::uint16_t kMaxCrashes =
+      std::numeric_limits<std::uint16_t>::max();
+    const auto crashes = before == kMaxCrashes
+                           ? kMaxCrashes
+                           : static_cast<std::uint16_t>(before + 1);
     const bool wasLifted = entry.lifted_ || entry.crashedSinceLift_;
     entry = Entry{ crashes, aNow + lifetime_, false, wasLifted };
-    blamed.push_back(fingerprint);
+    counted.push_back(fingerprint);
   }
-  return blamed;
+  return counted;
 }
 
 void
@@ -93,19 +96,19 @@
         continue;
       }
       if (!isLive) {
-        MakeRoom(suspect.fingerprint_, aNow);
+        EvictIfFull(suspect.fingerprint_, aNow);
         entries_[suspect.fingerprint_] = Entry{ 0, expires, true, false };
       } else {
         found->second.lifted_ = true;
       }
       continue;
     }
-    // An equal count is not taken over again: two peers that echo each other
-    // would otherwise keep an entry alive for good.
+    // An equal count must not extend the expiry: two peers that exchange their
+    // tables would keep the entry alive forever.
     if (isLive && found->second.crashes_ >= suspect.crashes_) {
       continue;
     }
-    MakeRoom(suspect.fingerprint_, aNow);
+    EvictIfFull(suspect.fingerprint_, aNow);
     entries_[suspect.fingerprint_] =
       Entry{ suspect.crashes_, expires, false, false };
   }
@@ -150,12 +153,12 @@
         fingerprint, crashes, RemainingMs(entry.expires_, aNow) });
     }
   }
-  std::sort(listed.begin(), listed.end(), IsTellingMore);
+  std::sort(listed.begin(), listed.end(), HasHigherPriority);
   return listed;
 }
 
 void
-QuarantineTable::MakeRoom(std::uint64_t aFingerprint, base::Instant aNow)
+QuarantineTable::EvictIfFull(std::uint64_t aFingerprint, base::Instant aNow)
 {
   if (entries_.size() < kMaxEntries || entries_.contains(aFingerprint)) {
     return;
@@ -166,18 +169,20 @@
   if (entries_.size() < kMaxEntries) {
     return;
   }
-  // Suspects go before quarantined content: forgetting a suspect costs one
-  // more crash, forgetting the other kind costs two.
-  const auto goesBefore = [](const auto& aLeft, const auto& aRight) {
-    const bool leftHeld = aLeft.second.crashes_ >= kCrashesToQuarantine;
-    const bool rightHeld = aRight.second.crashes_ >= kCrashesToQuarantine;
-    if (leftHeld != rightHeld) {
-      return rightHeld;
+  // Evicts suspects before quarantined content: it takes one more crash to
+  // detect a suspect again, but two for quarantined content.
+  const auto isEvictedBefore = [](const auto& aLeft, const auto& aRight) {
+    const bool isLeftQuarantined =
+      aLeft.second.crashes_ >= kCrashesToQuarantine;
+    const bool isRightQuarantined =
+      aRight.second.crashes_ >= kCrashesToQuarantine;
+    if (isLeftQuarantined != isRightQuarantined) {
+      return isRightQuarantined;
     }
     return aLeft.second.expires_ < aRight.second.expires_;
   };
   entries_.erase(
-    std::min_element(entries_.begin(), entries_.end(), goesBefore));
+    std::min_element(entries_.begin(), entries_.end(), isEvictedBefore));
 }
 
 } // namespace pumiceturn::routing
--- a/Libraries/LibRouting/QuarantineTable.h
+++ b/Libraries/LibRouting/QuarantineTable.h
@@ -11,17 +11,17 @@
 
 namespace pumiceturn::routing {
 
-/// What is known about a request's content.
+/// Quarantine state of a request's content.
 enum class Suspicion : std::uint8_t
 {
   None,
-  Suspect,     ///< One crash: it may run, but beside no other suspect.
-  Quarantined, ///< Two crashes: it is not run again until it expires or is
-               ///< lifted.
+  Suspect, ///< One crash: runs only on endpoints without another suspect, if
+           ///< possible.
+  Quarantined, ///< Two crashes: refused until the entry expires or is lifted.
 };
 
-/// Content fingerprints whose runs ended with a crash of their endpoint. Agents
-/// and entries exchange them on heartbeats. Thread-safe.
+/// Fingerprints of content whose runs crashed their endpoint. Agents and
+/// entries exchange the table in heartbeats. Thread-safe.
 class QuarantineTable
 {
 public:
@@ -30,34 +30,34 @@
     600 } };
   static constexpr std::size_t kMaxEntries = 4096;
 
-  /// @param aLifetime How long a crash is remembered.
+  /// @param aLifetime Time until an entry expires after its last crash.
   explicit QuarantineTable(base::Duration aLifetime = kDefaultLifetime)
     : lifetime_(aLifetime)
   {
   }
 
-  /// Records that an endpoint crashed with these runs in flight. If some of
-  /// them were suspect before, only those are blamed; otherwise each becomes a
-  /// suspect.
-  /// @return the fingerprints whose crash count grew.
+  /// Records that an endpoint crashed while these runs were in flight. If some
+  /// of them were suspects before, only those are counted; otherwise all of
+  /// them become suspects.
+  /// @return the fingerprints whose crash count was increased.
   std::vector<std::uint64_t> RecordCrash(
     std::span<const std::uint64_t> aFingerprints,
     base::Instant aNow);
 
-  /// Takes over what a peer knows: the higher count wins, and a count of 0 says
-  /// that operators lifted it.
+  /// Merges entries received from a peer. The higher crash count is kept; a
+  /// count of 0 means that an operator lifted the entry.
   void Merge(std::span<const wire::Suspect> aSuspects, base::Instant aNow);
 
   [[nodiscard]] Suspicion Check(std::uint64_t aFingerprint,
                                 base::Instant aNow) const;
 
-  /// @return true if it was known. A lifted fingerprint is not taken back from
-  /// peers until its former expiry.
+  /// Lifts a quarantine. Entries from peers can't restore it before its
+  /// original expiry.
+  /// @return false if the fingerprint isn't in the table.
   bool Lift(std::uint64_t aFingerprint, base::Instant aNow);
 
-  /// @return everything not expired, for heartbeats and operators; what was
-  /// lifted has a count of 0, so that peers hear of it. What
-  /// a peer needs most comes first.
+  /// @return all entries that haven't expired, most important first. Lifted
+  /// entries have a crash count of 0, so that peers lift them too.
   [[nodiscard]] std::vector<wire::Suspect> List(base::Instant aNow) const;
 
 private:
@@ -66,13 +66,14 @@
     std::uint16_t crashes_ = 0;
     base::Instant expires_;
     bool lifted_ = false;
-    /// It crashed again after it was lifted: peers that still know it as lifted
-    /// do not lift it here once more.
+    /// Crashed again after it was lifted; ignores peers that still report it as
+    /// lifted.
     bool crashedSinceLift_ = false;
   };
 
-  /// Keeps the table bounded before an entry is added; holds the lock.
-  void MakeRoom(std::uint64_t aFingerprint, base::Instant aNow);
+  /// Evicts an entry if the table is full and doesn't contain the fingerprint.
+  /// The caller holds the lock.
+  void EvictIfFull(std::uint64_t aFingerprint, base::Instant aNow);
 
   base::Duration lifetime_;
   mutable std::mutex mutex_;
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -5,22 +5,22 @@
 namespace pumiceturn::routing {
 
 namespace {
-constexpr double kCostOfOneRetry = 1.0;
+constexpr double kRetryCost = 1.0;
 }
 
 void
 RetryBudget::RecordAttempt()
 {
-  saved_ = std::min(saved_ + limits_.share_, limits_.burst_);
+  available_ = std::min(available_ + limits_.share_, limits_.burst_);
 }
 
 bool
-RetryBudget::TryTake()
+RetryBudget::TryConsume()
 {
-  if (saved_ < kCostOfOneRetry) {
+  if (available_ < kRetryCost) {
     return false;
   }
-  saved_ -= kCostOfOneRetry;
+  available_ -= kRetryCost;
   return true;
 }
 
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -2,8 +2,8 @@
 
 namespace pumiceturn::routing {
 
-/// Limits retries to a share of first attempts, so that a failing fleet is not
-/// loaded further by its own retries.
+/// Limits retries to a share of first attempts, so that retries don't overload
+/// a failing fleet further.
 ///
 /// Not thread-safe: the owner holds the routing table's lock.
 class RetryBudget
@@ -11,27 +11,27 @@
 public:
   struct Limits
   {
-    double share_ = 0.1;  ///< Retries allowed for each first attempt, 0 to 1.
-    double burst_ = 10.0; ///< Retries that may be saved up, in requests.
+    double share_ = 0.1;  ///< Retries allowed per first attempt, 0 to 1.
+    double burst_ = 10.0; ///< Maximum number of unused retries.
   };
 
   explicit RetryBudget(Limits aLimits)
     : limits_(aLimits)
-    , saved_(aLimits.burst_)
+    , available_(aLimits.burst_)
   {
   }
 
-  /// Counts a first attempt and earns its share of a retry.
+  /// Records a first attempt, which adds share_ to the available retries.
   void RecordAttempt();
 
-  /// Takes one retry from what was saved.
-  /// @return false if nothing is left; the caller then refuses instead of
-  /// retrying.
-  [[nodiscard]] bool TryTake();
+  /// Consumes one retry.
+  /// @return false if none is available; the caller must then refuse the
+  /// request.
+  [[nodiscard]] bool TryConsume();
 
 private:
   Limits limits_;
-  double saved_;
+  double available_;
 };
 
 } // namespace pumiceturn::routing
--- a/Libraries/LibRouting/RunAssembler.cpp
+++ b/Libraries/LibRouting/RunAssembler.cpp
@@ -9,17 +9,17 @@
     return false;
   }
   if (aChunk.sequence_ != received_ + 1) {
-    if (held_.size() < kMaxHeld) {
-      held_.emplace(aChunk.sequence_, aChunk);
+    if (pending_.size() < kMaxPending) {
+      pending_.emplace(aChunk.sequence_, aChunk);
     }
     return false;
   }
   Append(aChunk);
-  while (!held_.empty() && held_.begin()->first <= received_ + 1) {
-    if (held_.begin()->first == received_ + 1) {
-      Append(held_.begin()->second);
+  while (!pending_.empty() && pending_.begin()->first <= received_ + 1) {
+    if (pending_.begin()->first == received_ + 1) {
+      Append(pending_.begin()->second);
     }
-    held_.erase(held_.begin());
+    pending_.erase(pending_.begin());
   }
   return true;
 }
@@ -33,11 +33,11 @@
 bool
 RunAssembler::HasGap() const
 {
-  return !held_.empty() || (last_.has_value() && received_ < *last_);
+  return !pending_.empty() || (last_.has_value() && received_ < *last_);
 }
 
 bool
-RunAssembler::IsWhole() const
+RunAssembler::IsComplete() const
 {
   return last_.has_value() && received_ >= *last_;
 }
--- a/Libraries/LibRouting/RunAssembler.h
+++ b/Libraries/LibRouting/RunAssembler.h
@@ -9,35 +9,34 @@
 
 namespace pumiceturn::routing {
 
-/// Puts the chunks of one run in order. Guards against chunks that come late,
-/// twice or out of order after a link was replaced: the caller would see
-/// scrambled or doubled text. Every chunk has a sequence from 1 without gaps,
-/// so order and completeness are known from the numbers alone.
+/// Assembles the chunks of one run in order. Chunks may be delayed, repeated or
+/// reordered after a link was replaced; without reassembly the caller would see
+/// scrambled or repeated text. Sequence numbers start at 1 and have no gaps.
 class RunAssembler
 {
 public:
-  /// Chunks held beyond a gap; more are dropped and asked for again.
-  static constexpr std::size_t kMaxHeld = 4096;
+  /// Maximum number of chunks kept beyond a gap. Further ones are dropped and
+  /// requested again.
+  static constexpr std::size_t kMaxPending = 4096;
 
-  /// @return whether the text in order grew.
+  /// @return whether the contiguous text was extended.
   bool Add(const wire::Chunk& aChunk);
 
-  /// Takes the run's last sequence number.
+  /// Sets the sequence number of the run's last chunk.
   void SetEnd(std::uint64_t aLastSequence);
 
-  /// @return the text in order so far.
+  /// @return the contiguous text received so far.
   [[nodiscard]] const std::string& Text() const { return text_; }
   [[nodiscard]] std::uint32_t Tokens() const { return tokens_; }
 
-  /// @return the last sequence below which nothing is missing.
+  /// @return the last sequence number up to which all chunks were received.
   [[nodiscard]] std::uint64_t ReceivedSequence() const { return received_; }
 
-  /// @return whether a later chunk or the end is known while an earlier chunk
-  /// is missing.
+  /// @return whether a chunk is missing before a later chunk or the known end.
   [[nodiscard]] bool HasGap() const;
 
-  /// @return whether the end is known and everything before it is here.
-  [[nodiscard]] bool IsWhole() const;
+  /// @return whether all chunks up to the known end were received.
+  [[nodiscard]] bool IsComplete() const;
 
 private:
   void Append(const wire::Chunk& aChunk);
@@ -46,7 +45,7 @@
   std::uint32_t tokens_ = 0;
   std::uint64_t received_ = 0;
   std::optional<std::uint64_t> last_;
-  std::map<std::uint64_t, wire::Chunk> held_;
+  std::map<std::uint64_t, wire::Chunk> pending_;
 };
 
 } // namespace pumiceturn::routing
--- a/Libraries/LibRouting/Subset.cpp
+++ b/Libraries/LibRouting/Subset.cpp
@@ -18,9 +18,9 @@
 
 using Rank = std::vector<Ranked>;
 
-/// Each domain's candidates, highest score first; domains in the host's own
-/// rendezvous order, so that the remainder of an uneven division does not fall
-/// on the same domain for every host.
+/// Sorts the candidates of each domain by descending score. The order of the
+/// domains depends on the host, so that the remainder of an uneven division
+/// doesn't fall on the same domain for every host.
 std::vector<Rank>
 RankByDomain(std::string_view aHost,
              std::span<const SubsetCandidate> aCandidates)
@@ -56,16 +56,17 @@
 std::vector<std::size_t>
 ChooseSubset(std::string_view aHost,
              std::span<const SubsetCandidate> aCandidates,
-             std::size_t aWanted)
+             std::size_t aSubsetSize)
 {
-  const std::size_t wanted =
-    aWanted == 0 ? aCandidates.size() : std::min(aWanted, aCandidates.size());
+  const std::size_t subsetSize = aSubsetSize == 0
+                                   ? aCandidates.size()
+                                   : std::min(aSubsetSize, aCandidates.size());
   const std::vector<Rank> ranks = RankByDomain(aHost, aCandidates);
   std::vector<std::size_t> chosen;
-  chosen.reserve(wanted);
-  for (std::size_t round = 0; chosen.size() < wanted; ++round) {
+  chosen.reserve(subsetSize);
+  for (std::size_t round = 0; chosen.size() < subsetSize; ++round) {
     for (const Rank& rank : ranks) {
-      if (round < rank.size() && chosen.size() < wanted) {
+      if (round < rank.size() && chosen.size() < subsetSize) {
         chosen.push_back(rank[round].position_);
       }
     }
