--- a/Tests/LibEntry/EntryFunctionTest.cpp
+++ b/Tests/LibEntry/EntryFunctionTest.cpp
@@ -12,7 +12,7 @@
 using base::Ran;
 using base::ResultCode;
 
-/// A keeper that accepts everything and holds it in memory.
+/// A keeper that accepts all requests.
 struct AcceptingKeeper
 {
   void operator()(FakePeer& aSelf,
@@ -79,7 +79,7 @@
   aAgent.Send("entry", ended);
 }
 
-/// An agent that answers each run with "from Fyn".
+/// Agent script: answers each run with "from Fyn".
 void
 AnswerRun(FakePeer& aSelf, const std::string&, const wire::Message& aMessage)
 {
@@ -90,7 +90,7 @@
   }
 }
 
-/// An agent that begins each run and never ends it.
+/// Agent script: starts each run and never finishes it.
 void
 BeginRun(FakePeer& aSelf, const std::string&, const wire::Message& aMessage)
 {
@@ -110,8 +110,8 @@
   return request;
 }
 
-/// What a caller saw of one call.
-struct Seen
+/// The events and the status of one call.
+struct ObservedCall
 {
   std::string text_;
   int accepted_ = 0;
@@ -120,7 +120,7 @@
   caller::Outcome details_;
 };
 
-Seen
+ObservedCall
 Call(FakeFleet& aFleet,
      const caller::CallRequest& aRequest,
      const std::string& aToken = FakeFleet::kToken,
@@ -128,51 +128,51 @@
 {
   const auto context = FakeFleet::MakeContext(aToken);
   const auto stream = aFleet.Callers().Call(context.get(), aRequest);
-  Seen seen;
+  ObservedCall observed;
   caller::CallEvent event;
   while (stream->Read(&event)) {
-    seen.accepted_ += event.has_accepted() ? 1 : 0;
+    observed.accepted_ += event.has_accepted() ? 1 : 0;
     if (event.has_chunk()) {
-      seen.text_ += event.chunk().text();
+      observed.text_ += event.chunk().text();
       if (aOnChunk) {
         aOnChunk();
       }
     } else if (event.has_finished()) {
-      seen.finished_ = event.finished();
+      observed.finished_ = event.finished();
     }
   }
-  seen.status_ = stream->Finish();
-  seen.details_.ParseFromString(seen.status_.error_details());
-  return seen;
+  observed.status_ = stream->Finish();
+  observed.details_.ParseFromString(observed.status_.error_details());
+  return observed;
 }
 
 } // namespace
 
-TEST_CASE("EntryFunction_LookUp_StreamsWholeAnswer")
+TEST_CASE("EntryFunction_LookUp_StreamsCompleteAnswer")
 {
   FakeFleet fleet(AcceptingKeeper{}, AnswerRun, AnswerRun);
   fleet.WaitForLinks({ "agent-0", "agent-1" });
-  const Seen seen = Call(fleet, MakeLookUp());
-  CHECK(seen.status_.ok());
-  CHECK(seen.accepted_ == 1);
-  CHECK(seen.text_ == "from Fyn");
-  REQUIRE(seen.finished_.has_value());
-  CHECK(seen.finished_->outcome().code() == 0);
-  CHECK(seen.finished_->text().empty());
+  const ObservedCall observed = Call(fleet, MakeLookUp());
+  CHECK(observed.status_.ok());
+  CHECK(observed.accepted_ == 1);
+  CHECK(observed.text_ == "from Fyn");
+  REQUIRE(observed.finished_.has_value());
+  CHECK(observed.finished_->outcome().code() == 0);
+  CHECK(observed.finished_->text().empty());
   const auto results = fleet.Keeper().Received<wire::RecordResult>();
   REQUIRE(results.size() == 1);
   CHECK(results.front().result_.text_ == "from Fyn");
 }
 
-TEST_CASE("EntryFunction_BadInput_IsRefusedWithNumberedCode")
+TEST_CASE("EntryFunction_InvalidInput_ReturnsMatchingCode")
 {
   FakeFleet fleet(AcceptingKeeper{}, AnswerRun, AnswerRun);
   const auto refusal = [&](const caller::CallRequest& aRequest,
                            const std::string& aToken = FakeFleet::kToken) {
-    const Seen seen = Call(fleet, aRequest, aToken);
-    CHECK_FALSE(seen.status_.ok());
-    CHECK(seen.details_.ran() == caller::RAN_NOT_RUN);
-    return static_cast<ResultCode>(seen.details_.code());
+    const ObservedCall observed = Call(fleet, aRequest, aToken);
+    CHECK_FALSE(observed.status_.ok());
+    CHECK(observed.details_.ran() == caller::RAN_NOT_RUN);
+    return static_cast<ResultCode>(observed.details_.code());
   };
   CHECK(refusal(MakeLookUp(), "wrong") == ResultCode::Unauthenticated);
   caller::CallRequest request = MakeLookUp();
@@ -191,21 +191,21 @@
   CHECK(refusal(request) == ResultCode::OutOfRange);
 }
 
-// Story: the host of the endpoint dies in the middle of a streamed answer. The
-// link is lost and does not come back; the request runs again on the other
-// endpoint, and the researcher reads one whole answer.
-TEST_CASE("EntryFunction_AgentDiesWhileStreaming_AnswerIsWhole")
+// Guards against a truncated or mixed answer when the endpoint's host fails
+// while streaming.
+TEST_CASE("EntryFunction_AgentFailsWhileStreaming_AnswerIsComplete")
 {
   FakeFleet fleet(AcceptingKeeper{}, BeginRun, AnswerRun);
   fleet.WaitForLinks({ "agent-0", "agent-1" });
   bool isKilled = false;
-  Seen seen;
+  ObservedCall observed;
   for (int call = 0; call < 50 && !isKilled; ++call) {
     caller::CallRequest request = MakeLookUp();
     request.set_request_key("look-up-" + std::to_string(call));
     request.set_prompt(request.request_key());
-    seen = Call(fleet, request, FakeFleet::kToken, [&] {
-      // The first agent ends no run, so the first that it has is this one.
+    observed = Call(fleet, request, FakeFleet::kToken, [&] {
+      // The first agent never finishes a run, so its first run belongs to this
+      // call.
       if (!isKilled && !fleet.Agent(0).Received<wire::StartRun>().empty()) {
         isKilled = true;
         fleet.KillFirstAgent();
@@ -213,13 +213,13 @@
     });
   }
   REQUIRE(isKilled);
-  CHECK(seen.status_.ok());
-  CHECK(seen.text_ == "from Fyn");
-  CHECK(seen.finished_.has_value());
+  CHECK(observed.status_.ok());
+  CHECK(observed.text_ == "from Fyn");
+  CHECK(observed.finished_.has_value());
 }
 
-// Story: the researcher closes the page while the answer streams. The engine
-// must stop, and the record is closed as cancelled.
+// Guards against runs that continue, and records that stay open, after the
+// caller cancelled.
 TEST_CASE("EntryFunction_CallerCancels_StopsRunAndRecordsIt")
 {
   FakeFleet fleet(AcceptingKeeper{}, BeginRun, BeginRun);
@@ -253,7 +253,7 @@
   fleet.Entry().BeginDrain();
   CHECK(fleet.Entry().GetReadiness() == node::Readiness::Draining);
   CHECK_FALSE(fleet.Entry().IsIdle());
-  const Seen refused = Call(fleet, MakeLookUp());
+  const ObservedCall refused = Call(fleet, MakeLookUp());
   CHECK(refused.details_.code() ==
         static_cast<std::uint32_t>(ResultCode::Draining));
   CHECK(refused.details_.ran() == caller::RAN_NOT_RUN);
@@ -270,7 +270,7 @@
   CHECK(stream->Finish().ok());
 }
 
-TEST_CASE("EntryFunction_LotWithoutKey_ReachesOwnerWholeUnderItsContent")
+TEST_CASE("EntryFunction_JobWithoutKey_ReachesOwnerCompletely")
 {
   FakeFleet fleet(AcceptingKeeper{}, AnswerRun, AnswerRun);
   fleet.WaitForLinks({});
@@ -309,9 +309,8 @@
   CHECK(submit("b") != key);
 }
 
-// Story: a publisher's connection breaks in the middle of a lot. What came must
-// not be accepted as if it were the whole.
-TEST_CASE("EntryFunction_LotCutShort_IsNotAccepted")
+// Guards against accepting a truncated job after the connection broke.
+TEST_CASE("EntryFunction_TruncatedJob_IsNotAccepted")
 {
   FakeFleet fleet(AcceptingKeeper{}, AnswerRun, AnswerRun);
   fleet.WaitForLinks({});
@@ -334,7 +333,7 @@
   CHECK(fleet.Keeper().Received<wire::SubmitFrame>().empty());
 }
 
-TEST_CASE("EntryFunction_ResultsInPages_AreReadToTheEnd")
+TEST_CASE("EntryFunction_ResultsInSeveralPages_AreReadCompletely")
 {
   FakeFleet fleet(AcceptingKeeper{}, AnswerRun, AnswerRun);
   fleet.WaitForLinks({});
@@ -352,11 +351,9 @@
         std::vector<std::string>{ "result 0", "result 1", "result 2" });
 }
 
-// Story: a society reads a lot's results and finds some lines twice and the
-// last ones missing. Order: the entry queues a page's results one by one; gRPC
-// has written all that is queued before the next is there, so the page counts
-// as taken, and the same page is asked for again, beside its own rest.
-TEST_CASE("EntryFunction_CallerFasterThanThePage_GetsEachResultOnceInOrder")
+// Guards against repeated and missing results when gRPC writes faster than the
+// entry queues a page.
+TEST_CASE("EntryFunction_CallerFasterThanPage_GetsEachResultOnceInOrder")
 {
   constexpr std::uint32_t kResults = 1000;
   constexpr std::uint32_t kPage = 256;
@@ -380,8 +377,8 @@
   }
 }
 
-// Story: an operator sees which content is refused and lets it run again.
-TEST_CASE("EntryFunction_QuarantineLifted_IsGoneFromTheList")
+// Guards against a lifted quarantine that is still listed.
+TEST_CASE("EntryFunction_QuarantineLifted_IsNotListed")
 {
   FakeFleet fleet(AcceptingKeeper{}, AnswerRun, AnswerRun);
   const auto list = [&] {
--- a/Tests/LibEntry/FakeFleet.cpp
+++ b/Tests/LibEntry/FakeFleet.cpp
@@ -95,7 +95,7 @@
                                metrics_,       *keyValue_,  hosts_,
                                configuration_, partitions_, quarantine_ };
   entry_ = Expect(base::Capture([&] { return EntryFunction::Start(context); }));
-  // Links that came up while the entry started are told to it now.
+  // Reports the links that came up while the entry started.
   strand_.Post([this] {
     entryPointer_->store(entry_.get());
     const std::lock_guard lock(mutex_);
@@ -187,11 +187,11 @@
 void
 FakeFleet::WaitForLinks(const std::vector<std::string>& aAgents)
 {
-  constexpr std::chrono::seconds kBound{ 20 };
+  constexpr std::chrono::seconds kTimeout{ 20 };
   std::vector<std::string> peers = aAgents;
   peers.emplace_back("keeper");
   std::unique_lock lock(mutex_);
-  const bool areUp = linked_.wait_for(lock, kBound, [&] {
+  const bool areUp = linked_.wait_for(lock, kTimeout, [&] {
     return isStarted_ && std::all_of(peers.begin(),
                                      peers.end(),
                                      [this](const std::string& aPeer) {
--- a/Tests/LibEntry/FakeFleet.h
+++ b/Tests/LibEntry/FakeFleet.h
@@ -17,11 +17,11 @@
 
 namespace pumiceturn::entry {
 
-/// A keeper or an agent that a test plays: a real link, a scripted answer.
+/// A keeper or an agent with a real link and scripted replies.
 class FakePeer
 {
 public:
-  /// Answers a message; called on the peer's link thread.
+  /// Handles a message; called on the peer's link thread.
   using Script = std::function<void(FakePeer& aSelf,
                                     const std::string& aFrom,
                                     const wire::Message& aMessage)>;
@@ -32,11 +32,11 @@
 
   [[nodiscard]] std::string Address() const { return links_->ListenAddress(); }
 
-  /// @return whether a message that fits came, or comes soon.
+  /// @return whether a matching message was received within the timeout.
   template<typename Message>
-  bool WaitFor(const std::function<bool(const Message&)>& aFits);
+  bool WaitFor(const std::function<bool(const Message&)>& aPredicate);
 
-  /// @return the messages of one kind received so far.
+  /// @return the received messages of one type.
   template<typename Message>
   std::vector<Message> Received();
 
@@ -64,11 +64,10 @@
   FakeFleet(const FakeFleet&) = delete;
   FakeFleet& operator=(const FakeFleet&) = delete;
 
-  /// Waits until the entry has its links.
-  /// @param aAgents Agents that must be linked.
+  /// Waits until the links to the keeper and to aAgents are up.
   void WaitForLinks(const std::vector<std::string>& aAgents);
 
-  /// @return a context with the partner's token and a generous deadline.
+  /// @return a context with the token and a deadline of 20 s.
   static std::unique_ptr<grpc::ClientContext> MakeContext(
     const std::string& aToken = kToken);
 
@@ -87,7 +86,7 @@
 
   std::mutex mutex_;
   std::condition_variable linked_;
-  std::set<std::string> up_; ///< Peers whose link the entry has taken note of.
+  std::set<std::string> up_; ///< Peers whose link was reported to the entry.
   bool isStarted_ = false;
   settings::Settings settings_;
   std::unique_ptr<FakePeer> keeper_;
@@ -110,14 +109,14 @@
 
 template<typename Message>
 bool
-FakePeer::WaitFor(const std::function<bool(const Message&)>& aFits)
+FakePeer::WaitFor(const std::function<bool(const Message&)>& aPredicate)
 {
-  constexpr std::chrono::seconds kBound{ 20 };
+  constexpr std::chrono::seconds kTimeout{ 20 };
   std::unique_lock lock(mutex_);
-  return arrived_.wait_for(lock, kBound, [&] {
+  return arrived_.wait_for(lock, kTimeout, [&] {
     for (const wire::Message& message : received_) {
       const auto* match = std::get_if<Message>(&message);
-      if (match != nullptr && aFits(*match)) {
+      if (match != nullptr && aPredicate(*match)) {
         return true;
       }
     }
--- /dev/null
+++ b/Tests/LibEntry/JobSpoolTest.cpp
@@ -0,0 +1,121 @@
+#include "LibEntry/JobSpool.h"
+
+#include <catch2/catch.hpp>
+
+namespace pumiceturn::entry {
+
+namespace {
+
+using base::ResultCode;
+
+struct JobSpoolFixture
+{
+  JobSpoolFixture()
+  {
+    terms_.job_.partner_ = "society";
+    terms_.job_.service_ = "origin-llm";
+    terms_.maxItemBytes_ = 1000;
+    terms_.maxItems_ = 10000;
+  }
+
+  /// @return the error code, or Ok if the item was accepted.
+  static ResultCode Add(JobSpool& aSpool,
+                        std::string_view aName,
+                        std::string_view aPayload)
+  {
+    return CodeOf(base::Capture([&] { return aSpool.Add(aName, aPayload); }));
+  }
+
+  static ResultCode Seal(JobSpool& aSpool)
+  {
+    return CodeOf(base::Capture([&] { return aSpool.Seal(); }));
+  }
+
+  static ResultCode CodeOf(const base::Outcome<std::monostate>& aOutcome)
+  {
+    const auto* failure = std::get_if<base::Failure>(&aOutcome);
+    return failure == nullptr ? ResultCode::Ok : failure->code_;
+  }
+
+  JobTerms terms_;
+  SpoolBudget budget_;
+};
+
+} // namespace
+
+TEST_CASE_METHOD(JobSpoolFixture, "JobSpool_ManyItems_AreReadInBoundedFrames")
+{
+  JobSpool spool(terms_, budget_);
+  constexpr std::uint32_t kItems = 5000;
+  const std::string padding(200, 'x');
+  for (std::uint32_t item = 0; item < kItems; ++item) {
+    REQUIRE(Add(spool, std::to_string(item), padding + std::to_string(item)) ==
+            ResultCode::Ok);
+  }
+  REQUIRE(Seal(spool) == ResultCode::Ok);
+  std::uint32_t next = 0;
+  bool isLast = false;
+  while (!isLast) {
+    const wire::SubmitFrame frame = spool.MakeFrame(next);
+    std::size_t bytes = 0;
+    for (const wire::JobItem& item : frame.items_) {
+      REQUIRE(item.name_ == std::to_string(next));
+      REQUIRE(item.payload_ == padding + std::to_string(next));
+      bytes += item.payload_.size();
+      ++next;
+    }
+    CHECK(bytes < JobSpool::kTargetFrameBytes + terms_.maxItemBytes_);
+    isLast = frame.last_;
+  }
+  CHECK(next == kItems);
+  CHECK(spool.MakeFrame(1).items_.front().name_ == "1");
+}
+
+// Guards against a second job when the same content is resubmitted without a
+// key.
+TEST_CASE_METHOD(JobSpoolFixture, "JobSpool_NoKey_DerivesKeyFromContent")
+{
+  const auto keyOf = [this](std::string_view aName, std::string_view aPayload) {
+    JobSpool spool(terms_, budget_);
+    CHECK(Add(spool, aName, aPayload) == ResultCode::Ok);
+    CHECK(Seal(spool) == ResultCode::Ok);
+    return spool.Job().key_;
+  };
+  CHECK(keyOf("a", "bc") == keyOf("a", "bc"));
+  CHECK(keyOf("a", "bc") != keyOf("ab", "c"));
+  const std::string before = keyOf("a", "bc");
+  terms_.job_.kind_ = "other";
+  CHECK(keyOf("a", "bc") != before);
+}
+
+TEST_CASE_METHOD(JobSpoolFixture, "JobSpool_LimitExceeded_ReturnsMatchingCode")
+{
+  terms_.maxItems_ = 1;
+  terms_.declaredItems_ = 2;
+  JobSpool spool(terms_, budget_);
+  CHECK(Seal(spool) == ResultCode::InvalidRequest);
+  CHECK(Add(spool, "n", std::string(1001, 'x')) == ResultCode::ItemTooLarge);
+  CHECK(Add(spool, "n", "x") == ResultCode::Ok);
+  CHECK(Add(spool, "n", "x") == ResultCode::TooManyItems);
+  CHECK(Seal(spool) == ResultCode::InvalidRequest);
+}
+
+// Guards against exceeding the entry's memory limit when many jobs are
+// submitted at once.
+TEST_CASE_METHOD(JobSpoolFixture,
+                 "JobSpool_BudgetExhausted_ReturnsOverloadedUntilReleased")
+{
+  REQUIRE(budget_.TryReserve(SpoolBudget::kMaxBytes));
+  {
+    JobSpool spool(terms_, budget_);
+    CHECK(Add(spool, "n", "x") == ResultCode::Overloaded);
+  }
+  budget_.Release(SpoolBudget::kMaxBytes);
+  {
+    JobSpool spool(terms_, budget_);
+    CHECK(Add(spool, "n", "x") == ResultCode::Ok);
+  }
+  CHECK(budget_.TryReserve(SpoolBudget::kMaxBytes));
+}
+
+} // namespace pumiceturn::entry
--- a/Tests/LibEntry/OnlineRequestTest.cpp
+++ b/Tests/LibEntry/OnlineRequestTest.cpp
@@ -12,7 +12,7 @@
 using base::Ran;
 using base::ResultCode;
 
-/// Plays the owner, the agents and the caller of one request.
+/// Simulates the owner, the agents and the caller of one request.
 struct OnlineFixture
 {
   OnlineFixture()
@@ -31,13 +31,13 @@
     Collect();
   }
 
-  /// Collects actions; a send to the owner succeeds at once.
+  /// Collects the actions and reports the result of each message to the owner.
   void Collect()
   {
     for (bool isOpen = true; isOpen;) {
       isOpen = false;
-      for (OnlineAction& action : request_->TakeActions()) {
-        if (std::holds_alternative<SendToOwner>(action) && ownerIsUp_) {
+      for (OnlineAction& action : request_->DrainActions()) {
+        if (std::holds_alternative<SendToOwner>(action) && isOwnerUp_) {
           request_->OnOwnerSent(now_);
           isOpen = true;
         } else if (std::holds_alternative<SendToOwner>(action)) {
@@ -49,77 +49,78 @@
   }
 
   template<typename Event>
-  void On(Event aEvent)
+  void Apply(Event aEvent)
   {
     aEvent(*request_);
     Collect();
   }
 
-  /// @return the actions of one kind so far, which are then forgotten.
+  /// @return the collected actions of one type, which are removed.
   template<typename Action>
-  std::vector<Action> Take()
+  std::vector<Action> Drain()
   {
-    std::vector<Action> taken;
+    std::vector<Action> matches;
     for (const OnlineAction& action : actions_) {
       if (const auto* match = std::get_if<Action>(&action)) {
-        taken.push_back(*match);
+        matches.push_back(*match);
       }
     }
     std::erase_if(actions_, [](const OnlineAction& aAction) {
       return std::holds_alternative<Action>(aAction);
     });
-    return taken;
+    return matches;
   }
 
   template<typename Message>
-  std::vector<Message> TakeSent()
+  std::vector<Message> DrainSent()
   {
-    std::vector<Message> taken;
-    const auto take = [&taken](const wire::Message& aMessage) {
+    std::vector<Message> matches;
+    const auto addMatch = [&matches](const wire::Message& aMessage) {
       const auto* match = std::get_if<Message>(&aMessage);
       if (match != nullptr) {
-        taken.push_back(*match);
+        matches.push_back(*match);
       }
       return match != nullptr;
     };
-    std::erase_if(actions_, [&take](const OnlineAction& aAction) {
+    std::erase_if(actions_, [&addMatch](const OnlineAction& aAction) {
       if (const auto* toOwner = std::get_if<SendToOwner>(&aAction)) {
-        return take(toOwner->message_);
+        return addMatch(toOwner->message_);
       }
       const auto* toEndpoint = std::get_if<SendToEndpoint>(&aAction);
-      return toEndpoint != nullptr && take(toEndpoint->message_);
+      return toEndpoint != nullptr && addMatch(toEndpoint->message_);
     });
-    return taken;
+    return matches;
   }
 
-  void Endpoint(const std::string& aName)
+  void AssignEndpoint(const std::string& aName)
   {
-    On([&](OnlineRequest& aRequest) { aRequest.OnEndpoint(aName, now_); });
-    const auto starts = TakeSent<wire::StartRun>();
+    Apply([&](OnlineRequest& aRequest) { aRequest.OnEndpoint(aName, now_); });
+    const auto starts = DrainSent<wire::StartRun>();
     REQUIRE(starts.size() == 1);
     run_ = starts.front().run_;
     endpoint_ = aName;
   }
 
-  void Recorded(wire::RecordState aState = wire::RecordState::New,
-                wire::ItemResult aResult = {})
+  void ReceiveRecordReply(wire::RecordState aState = wire::RecordState::New,
+                          wire::ItemResult aResult = {})
   {
     wire::RecordReply reply;
     reply.state_ = aState;
     reply.result_ = std::move(aResult);
-    On([&](OnlineRequest& aRequest) { aRequest.OnRecordReply(reply, now_); });
+    Apply(
+      [&](OnlineRequest& aRequest) { aRequest.OnRecordReply(reply, now_); });
   }
 
-  void Chunk(std::uint64_t aSequence, const std::string& aText)
+  void ReceiveChunk(std::uint64_t aSequence, const std::string& aText)
   {
     const wire::Chunk chunk{ run_, aSequence, aText, 1 };
-    On([&](OnlineRequest& aRequest) { aRequest.OnChunk(chunk, now_); });
+    Apply([&](OnlineRequest& aRequest) { aRequest.OnChunk(chunk, now_); });
   }
 
-  void Ended(ResultCode aCode,
-             Ran aRan,
-             std::uint64_t aLast = 0,
-             std::uint32_t aRetryAfterMs = 0)
+  void ReceiveRunEnded(ResultCode aCode,
+                       Ran aRan,
+                       std::uint64_t aLast = 0,
+                       std::uint32_t aRetryAfterMs = 0)
   {
     wire::RunEnded ended;
     ended.run_ = run_;
@@ -127,57 +128,57 @@
     ended.ran_ = aRan;
     ended.lastSequence_ = aLast;
     ended.retryAfterMs_ = aRetryAfterMs;
-    On([&](OnlineRequest& aRequest) {
+    Apply([&](OnlineRequest& aRequest) {
       aRequest.OnRunEnded(endpoint_, ended, now_);
     });
   }
 
-  void ResultRecorded(bool aIsFirst = true, wire::ItemResult aOther = {})
+  void ReceiveResultReply(bool aIsFirst = true, wire::ItemResult aOther = {})
   {
     wire::RecordResultReply reply;
     reply.first_ = aIsFirst;
     reply.result_ = std::move(aOther);
-    On([&](OnlineRequest& aRequest) {
+    Apply([&](OnlineRequest& aRequest) {
       aRequest.OnRecordResultReply(reply, now_);
     });
   }
 
-  void Link(wire::LinkState aState)
+  void SetLinkState(wire::LinkState aState)
   {
-    On([&](OnlineRequest& aRequest) {
+    Apply([&](OnlineRequest& aRequest) {
       aRequest.OnEndpointLink(endpoint_, aState, now_);
     });
   }
 
-  void Wait(base::Duration aTime)
+  void AdvanceTime(base::Duration aTime)
   {
     now_ += aTime;
-    On([&](OnlineRequest& aRequest) { aRequest.OnTimer(now_); });
+    Apply([&](OnlineRequest& aRequest) { aRequest.OnTimer(now_); });
   }
 
   std::string StreamedText()
   {
     std::string text;
-    for (const EmitChunk& chunk : Take<EmitChunk>()) {
+    for (const EmitChunk& chunk : Drain<EmitChunk>()) {
       text += chunk.text_;
     }
     return text;
   }
 
-  EmitFinished TakeFinished()
+  EmitFinished DrainFinished()
   {
-    const auto finished = Take<EmitFinished>();
+    const auto finished = Drain<EmitFinished>();
     REQUIRE(finished.size() == 1);
-    CHECK(Take<EmitFailed>().empty());
+    CHECK(Drain<EmitFailed>().empty());
     CHECK(request_->IsDone());
     return finished.front();
   }
 
-  EmitFailed TakeFailed()
+  EmitFailed DrainFailed()
   {
-    const auto failed = Take<EmitFailed>();
+    const auto failed = Drain<EmitFailed>();
     REQUIRE(failed.size() == 1);
-    CHECK(Take<EmitFinished>().empty());
+    CHECK(Drain<EmitFinished>().empty());
     return failed.front();
   }
 
@@ -185,14 +186,14 @@
   OnlineDescription description_;
   std::optional<OnlineRequest> request_;
   std::vector<OnlineAction> actions_;
-  bool ownerIsUp_ = true;
+  bool isOwnerUp_ = true;
   wire::RunId run_;
   std::string endpoint_;
 };
 
-struct OnceOnlyFixture : OnlineFixture
+struct AtMostOnceFixture : OnlineFixture
 {
-  OnceOnlyFixture()
+  AtMostOnceFixture()
   {
     description_.record_.idempotent_ = false;
     description_.streamed_ = false;
@@ -215,462 +216,450 @@
                  "OnlineRequest_AnswerBeforeRecord_IsHeldUntilDurable")
 {
   Begin();
-  CHECK(TakeSent<wire::RecordRequest>().size() == 1);
-  CHECK(Take<ChooseEndpoint>().size() == 1);
-  Endpoint("e1");
-  Chunk(1, "from ");
-  Chunk(2, "Fyn");
-  CHECK(Take<EmitAccepted>().empty());
+  CHECK(DrainSent<wire::RecordRequest>().size() == 1);
+  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  AssignEndpoint("e1");
+  ReceiveChunk(1, "from ");
+  ReceiveChunk(2, "Fyn");
+  CHECK(Drain<EmitAccepted>().empty());
   CHECK(StreamedText().empty());
 
-  Recorded();
-  CHECK(Take<EmitAccepted>().size() == 1);
+  ReceiveRecordReply();
+  CHECK(Drain<EmitAccepted>().size() == 1);
   CHECK(StreamedText() == "from Fyn");
-  Ended(ResultCode::Ok, Ran::Ran, 2);
-  CHECK(Take<EmitFinished>().empty());
-  const auto results = TakeSent<wire::RecordResult>();
+  ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 2);
+  CHECK(Drain<EmitFinished>().empty());
+  const auto results = DrainSent<wire::RecordResult>();
   REQUIRE(results.size() == 1);
   CHECK(results.front().result_.text_ == "from Fyn");
 
-  ResultRecorded();
-  const EmitFinished finished = TakeFinished();
-  CHECK(finished.streamedWhole_);
+  ReceiveResultReply();
+  const EmitFinished finished = DrainFinished();
+  CHECK(finished.isTextStreamed_);
   CHECK_FALSE(finished.replacesChunks_);
-  CHECK(TakeSent<wire::RunRecorded>().size() == 1);
+  CHECK(DrainSent<wire::RunRecorded>().size() == 1);
 }
 
-// Story: the agent's process is killed while an answer streams. The caller sees
-// a short pause and then the rest of the text: the rerun starts from the
-// beginning, and the part already shown is not shown twice.
+// Guards against repeated text after a rerun of a request that was partly
+// streamed.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_AgentKilledWhileStreaming_GoesOnElsewhere")
+                 "OnlineRequest_AgentKilledWhileStreaming_ContinuesElsewhere")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Chunk(1, "Sommer");
-  Take<ChooseEndpoint>();
-  Link(wire::LinkState::Replaced);
-  Wait(20ms);
-  const auto again = Take<ChooseEndpoint>();
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  ReceiveChunk(1, "Sommer");
+  Drain<ChooseEndpoint>();
+  SetLinkState(wire::LinkState::Replaced);
+  AdvanceTime(20ms);
+  const auto again = Drain<ChooseEndpoint>();
   REQUIRE(again.size() == 1);
   CHECK(again.front().isRetry_);
   CHECK(request_->Tried().front() == "e1");
 
   const wire::RunId killed = run_;
-  Endpoint("e2");
+  AssignEndpoint("e2");
   CHECK(run_ != killed);
-  Chunk(1, "Som");
-  Chunk(2, "mersted");
+  ReceiveChunk(1, "Som");
+  ReceiveChunk(2, "mersted");
   CHECK(StreamedText() == "Sommersted");
-  Ended(ResultCode::Ok, Ran::Ran, 2);
-  ResultRecorded();
-  CHECK(TakeFinished().streamedWhole_);
+  ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 2);
+  ReceiveResultReply();
+  CHECK(DrainFinished().isTextStreamed_);
 }
 
-// Story: as above, but the engine is not deterministic and the rerun's text is
-// another one. The caller must not be left with a mixture: nothing of the
-// second text is streamed, and the last message replaces what was shown.
+// Guards against a mixture of two answers when the rerun produces a different
+// text.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_RerunDiffersFromStreamed_FinalReplacesIt")
+                 "OnlineRequest_RerunTextDiffers_FinalMessageReplacesChunks")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Chunk(1, "Sommer");
-  Link(wire::LinkState::Replaced);
-  Wait(20ms);
-  Endpoint("e2");
-  Chunk(1, "Vinter");
-  Chunk(2, "holm");
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  ReceiveChunk(1, "Sommer");
+  SetLinkState(wire::LinkState::Replaced);
+  AdvanceTime(20ms);
+  AssignEndpoint("e2");
+  ReceiveChunk(1, "Vinter");
+  ReceiveChunk(2, "holm");
   CHECK(StreamedText() == "Sommer");
-  Ended(ResultCode::Ok, Ran::Ran, 2);
-  ResultRecorded();
-  const EmitFinished finished = TakeFinished();
+  ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 2);
+  ReceiveResultReply();
+  const EmitFinished finished = DrainFinished();
   CHECK(finished.replacesChunks_);
   CHECK(finished.result_.text_ == "Vinterholm");
 }
 
-// Story: the link goes silent in the middle of an answer and is replaced. Two
-// chunks were lost on the old connection, the run went on. The entry asks for
-// what came after the last chunk it has; late copies arrive as well.
+// Guards against missing or repeated chunks when the link is replaced while
+// streaming.
 TEST_CASE_METHOD(
   OnlineFixture,
   "OnlineRequest_LinkReplacedWhileStreaming_ReattachesBySequence")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Chunk(1, "a");
-  Link(wire::LinkState::Lost);
-  Wait(100ms);
-  Link(wire::LinkState::Up);
-  const auto attached = TakeSent<wire::AttachRun>();
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  ReceiveChunk(1, "a");
+  SetLinkState(wire::LinkState::Lost);
+  AdvanceTime(100ms);
+  SetLinkState(wire::LinkState::Up);
+  const auto attached = DrainSent<wire::AttachRun>();
   REQUIRE(attached.size() == 1);
   CHECK(attached.front().receivedSequence_ == 1);
-  Wait(OnlineRequest::kEndpointGrace);
-  Chunk(3, "c");
-  Chunk(1, "a");
-  Ended(ResultCode::Ok, Ran::Ran, 4);
-  Chunk(4, "d");
-  Chunk(2, "b");
+  AdvanceTime(OnlineRequest::kEndpointGracePeriod);
+  ReceiveChunk(3, "c");
+  ReceiveChunk(1, "a");
+  ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 4);
+  ReceiveChunk(4, "d");
+  ReceiveChunk(2, "b");
   CHECK(StreamedText() == "abcd");
-  CHECK(TakeSent<wire::RecordResult>().size() == 1);
-  CHECK(TakeSent<wire::CancelRun>().empty());
+  CHECK(DrainSent<wire::RecordResult>().size() == 1);
+  CHECK(DrainSent<wire::CancelRun>().empty());
 }
 
-// Story: the engine finished and the answer was on its way when the link fell
-// silent for good; a host in between has lost track of it. After the grace the
-// request runs elsewhere. The old connection comes back with the old answer:
-// it belongs to an abandoned run and is not mixed in.
+// Guards against mixing in the answer of an abandoned run after the request was
+// rerun elsewhere.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_AnswerLostAfterRun_RunsElsewhereAndIgnoresOld")
+                 "OnlineRequest_AnswerLostAfterRun_RerunsAndIgnoresOldAnswer")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
   const wire::RunId old = run_;
-  Link(wire::LinkState::Lost);
-  Wait(OnlineRequest::kEndpointGrace);
-  CHECK(TakeSent<wire::CancelRun>().size() == 1);
-  Wait(20ms);
-  Endpoint("e2");
+  SetLinkState(wire::LinkState::Lost);
+  AdvanceTime(OnlineRequest::kEndpointGracePeriod);
+  CHECK(DrainSent<wire::CancelRun>().size() == 1);
+  AdvanceTime(20ms);
+  AssignEndpoint("e2");
   const wire::RunId current = run_;
   run_ = old;
-  Chunk(1, "old");
+  ReceiveChunk(1, "old");
   run_ = current;
-  Chunk(1, "new");
-  Ended(ResultCode::Ok, Ran::Ran, 1);
+  ReceiveChunk(1, "new");
+  ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 1);
   CHECK(StreamedText() == "new");
 }
 
-// Story: a request crashes the engine and is run once more elsewhere; that
-// engine crashes too. It is answered as quarantined and every entry is told.
-TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_SecondCrash_IsRecordedAsQuarantined")
+// Guards against a third run of content that crashed two endpoints.
+TEST_CASE_METHOD(OnlineFixture, "OnlineRequest_SecondCrash_RecordsQuarantined")
 {
   description_.maxAttempts_ = 5;
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Ended(ResultCode::EndpointCrashed, Ran::Ran);
-  CHECK(Take<BlameContent>().empty());
-  Wait(20ms);
-  Endpoint("e2");
-  Ended(ResultCode::EndpointCrashed, Ran::Ran);
-  CHECK(Take<BlameContent>().size() == 1);
-  ResultRecorded();
-  const EmitFinished finished = TakeFinished();
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  ReceiveRunEnded(ResultCode::EndpointCrashed, Ran::Ran);
+  CHECK(Drain<QuarantineContent>().empty());
+  AdvanceTime(20ms);
+  AssignEndpoint("e2");
+  ReceiveRunEnded(ResultCode::EndpointCrashed, Ran::Ran);
+  CHECK(Drain<QuarantineContent>().size() == 1);
+  ReceiveResultReply();
+  const EmitFinished finished = DrainFinished();
   CHECK(finished.result_.code_ == ResultCode::Quarantined);
   CHECK(finished.result_.ran_ == Ran::Ran);
 }
 
-// Story: the caller sends the poison again through another entry, which knows
-// the fingerprint from heartbeats. Nothing reaches an endpoint, the record is
-// withdrawn, and "not run" is said only when that is durable.
+// Guards against running quarantined content, and against reporting NotRun
+// before the withdrawal is durable.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_PoisonThroughAnotherEntry_IsRefusedNotRun")
+                 "OnlineRequest_QuarantinedContent_IsRefusedNotRun")
 {
   description_.quarantined_ = true;
   Begin();
-  CHECK(Take<ChooseEndpoint>().empty());
-  Recorded();
-  CHECK(Take<EmitFailed>().empty());
-  const auto withdrawn = TakeSent<wire::RecordResult>();
+  CHECK(Drain<ChooseEndpoint>().empty());
+  ReceiveRecordReply();
+  CHECK(Drain<EmitFailed>().empty());
+  const auto withdrawn = DrainSent<wire::RecordResult>();
   REQUIRE(withdrawn.size() == 1);
   CHECK(withdrawn.front().result_.ran_ == Ran::NotRun);
-  ResultRecorded();
-  const EmitFailed failed = TakeFailed();
+  ReceiveResultReply();
+  const EmitFailed failed = DrainFailed();
   CHECK(failed.code_ == ResultCode::Quarantined);
   CHECK(failed.ran_ == Ran::NotRun);
-  CHECK(Take<ChooseEndpoint>().empty());
+  CHECK(Drain<ChooseEndpoint>().empty());
 }
 
-// Story: the caller resends while its first call still runs through another
-// entry. What this entry started is cancelled, and the caller gets the first
-// call's answer, marked as a duplicate.
+// Guards against a second answer when a call is resent while the first one is
+// running.
 TEST_CASE_METHOD(OnlineFixture,
                  "OnlineRequest_ResendWhileFirstRuns_AnswersFromFirst")
 {
   Begin();
-  Endpoint("e1");
-  Chunk(1, "mine");
-  Recorded(wire::RecordState::Running);
-  CHECK(TakeSent<wire::CancelRun>().size() == 1);
-  const auto accepted = Take<EmitAccepted>();
+  AssignEndpoint("e1");
+  ReceiveChunk(1, "mine");
+  ReceiveRecordReply(wire::RecordState::Running);
+  CHECK(DrainSent<wire::CancelRun>().size() == 1);
+  const auto accepted = Drain<EmitAccepted>();
   REQUIRE(accepted.size() == 1);
   CHECK(accepted.front().duplicate_);
-  Recorded(wire::RecordState::Finished,
-           MakeResult(ResultCode::Ok, Ran::Ran, "theirs"));
+  ReceiveRecordReply(wire::RecordState::Finished,
+                     MakeResult(ResultCode::Ok, Ran::Ran, "theirs"));
   CHECK(StreamedText().empty());
-  const EmitFinished finished = TakeFinished();
+  const EmitFinished finished = DrainFinished();
   CHECK(finished.duplicate_);
   CHECK(finished.result_.text_ == "theirs");
-  CHECK_FALSE(finished.streamedWhole_);
+  CHECK_FALSE(finished.isTextStreamed_);
 }
 
-// Story: the first call, which the resent one waits for, is refused and
-// withdrawn. The resent call is the only one now and runs.
+// Guards against a duplicate that waits forever after the first call was
+// withdrawn.
 TEST_CASE_METHOD(OnlineFixture, "OnlineRequest_FirstCallWithdrawn_RunsItself")
 {
   Begin();
-  Endpoint("e1");
-  Recorded(wire::RecordState::Running);
-  Take<ChooseEndpoint>();
-  TakeSent<wire::RecordRequest>();
-  Wait(1s);
-  CHECK(TakeSent<wire::RecordRequest>().size() == 1);
-  Recorded(wire::RecordState::New);
-  CHECK(Take<ChooseEndpoint>().size() == 1);
-  Endpoint("e2");
-  Chunk(1, "now");
+  AssignEndpoint("e1");
+  ReceiveRecordReply(wire::RecordState::Running);
+  Drain<ChooseEndpoint>();
+  DrainSent<wire::RecordRequest>();
+  AdvanceTime(1s);
+  CHECK(DrainSent<wire::RecordRequest>().size() == 1);
+  ReceiveRecordReply(wire::RecordState::New);
+  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  AssignEndpoint("e2");
+  ReceiveChunk(1, "now");
   CHECK(StreamedText() == "now");
 }
 
-// Story: the partition's owner dies between the record and the result, and
-// another keeper takes over in the middle of the call. The result is offered
-// to the new owner; the caller sees nothing of it.
-TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_OwnerTakenOverMidCall_ResultGoesToNewOwner")
+// Guards against losing the result when another keeper takes over the partition
+// during the call.
+TEST_CASE_METHOD(
+  OnlineFixture,
+  "OnlineRequest_PartitionTakenOverDuringCall_SendsResultToNewOwner")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Chunk(1, "x");
-  ownerIsUp_ = false;
-  Ended(ResultCode::Ok, Ran::Ran, 1);
-  CHECK(TakeSent<wire::RecordResult>().size() == 1);
-  CHECK(Take<EmitFinished>().empty());
-  ownerIsUp_ = true;
-  On([](OnlineRequest& aRequest) { aRequest.OnOwnerChanged(); });
-  CHECK(TakeSent<wire::RecordResult>().size() == 1);
-  ResultRecorded();
-  CHECK(TakeFinished().result_.text_ == "x");
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  ReceiveChunk(1, "x");
+  isOwnerUp_ = false;
+  ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 1);
+  CHECK(DrainSent<wire::RecordResult>().size() == 1);
+  CHECK(Drain<EmitFinished>().empty());
+  isOwnerUp_ = true;
+  Apply([](OnlineRequest& aRequest) { aRequest.OnOwnerChanged(); });
+  CHECK(DrainSent<wire::RecordResult>().size() == 1);
+  ReceiveResultReply();
+  CHECK(DrainFinished().result_.text_ == "x");
 }
 
-// Story: owner and endpoint are lost together in the middle of an answer. Both
-// halves recover on their own, and the text stays whole.
+// Guards against a lost or mixed answer when owner and endpoint fail at the
+// same time.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_OwnerAndAgentLostTogether_IsStillWhole")
+                 "OnlineRequest_OwnerAndAgentLostTogether_AnswerIsComplete")
 {
   Begin();
-  Endpoint("e1");
-  Chunk(1, "half");
-  ownerIsUp_ = false;
-  Link(wire::LinkState::Replaced);
+  AssignEndpoint("e1");
+  ReceiveChunk(1, "half");
+  isOwnerUp_ = false;
+  SetLinkState(wire::LinkState::Replaced);
   wire::RecordReply moved;
   moved.code_ = ResultCode::NotOwner;
   moved.ownerHint_ = "k2";
-  On([&](OnlineRequest& aRequest) { aRequest.OnRecordReply(moved, now_); });
-  Wait(20ms);
-  Endpoint("e2");
-  Chunk(1, "half and half");
-  Ended(ResultCode::Ok, Ran::Ran, 1);
-  ownerIsUp_ = true;
-  Wait(OnlineRequest::kLongestResend);
-  Recorded();
+  Apply([&](OnlineRequest& aRequest) { aRequest.OnRecordReply(moved, now_); });
+  AdvanceTime(20ms);
+  AssignEndpoint("e2");
+  ReceiveChunk(1, "half and half");
+  ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 1);
+  isOwnerUp_ = true;
+  AdvanceTime(OnlineRequest::kMaxResendDelay);
+  ReceiveRecordReply();
   CHECK(StreamedText() == "half and half");
-  ResultRecorded();
-  CHECK(TakeFinished().streamedWhole_);
+  ReceiveResultReply();
+  CHECK(DrainFinished().isTextStreamed_);
 }
 
-// Story: the caller hangs up. The engine must not go on for nobody, and the
-// record must not be left open for its owner to run.
+// Guards against runs that continue, and records that stay open, after the
+// caller disconnected.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_CallerGone_CancelsRunAndRecordsIt")
+                 "OnlineRequest_CallerDisconnects_CancelsRunAndRecordsIt")
 {
   Begin();
-  Endpoint("e1");
-  On([&](OnlineRequest& aRequest) { aRequest.OnCallerGone(now_); });
-  CHECK(TakeSent<wire::CancelRun>().size() == 1);
+  AssignEndpoint("e1");
+  Apply([&](OnlineRequest& aRequest) { aRequest.OnCallerGone(now_); });
+  CHECK(DrainSent<wire::CancelRun>().size() == 1);
   CHECK_FALSE(request_->IsDone());
-  Recorded();
-  const auto results = TakeSent<wire::RecordResult>();
+  ReceiveRecordReply();
+  const auto results = DrainSent<wire::RecordResult>();
   REQUIRE(results.size() == 1);
   CHECK(results.front().result_.code_ == ResultCode::Cancelled);
   CHECK(results.front().result_.ran_ == Ran::Unknown);
-  ResultRecorded();
+  ReceiveResultReply();
   CHECK(request_->IsDone());
-  CHECK(Take<EmitFinished>().empty());
+  CHECK(Drain<EmitFinished>().empty());
 }
 
-// Story: a burst fills the fleet. One more endpoint is tried, then the caller
-// is told at once when to come back, and "not run" is true.
+// Guards against trying more endpoints in an overloaded fleet instead of
+// refusing with a retry delay.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_TwoEndpointsOverloaded_RefusesAtOnceWithAdvice")
+                 "OnlineRequest_TwoEndpointsOverloaded_RefusesWithRetryDelay")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Take<ChooseEndpoint>();
-  Ended(ResultCode::Overloaded, Ran::NotRun, 0, 900);
-  CHECK(Take<ChooseEndpoint>().size() == 1);
-  Endpoint("e2");
-  Ended(ResultCode::Overloaded, Ran::NotRun, 0, 400);
-  CHECK(Take<ChooseEndpoint>().empty());
-  ResultRecorded();
-  const EmitFailed failed = TakeFailed();
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  Drain<ChooseEndpoint>();
+  ReceiveRunEnded(ResultCode::Overloaded, Ran::NotRun, 0, 900);
+  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  AssignEndpoint("e2");
+  ReceiveRunEnded(ResultCode::Overloaded, Ran::NotRun, 0, 400);
+  CHECK(Drain<ChooseEndpoint>().empty());
+  ReceiveResultReply();
+  const EmitFailed failed = DrainFailed();
   CHECK(failed.code_ == ResultCode::Overloaded);
   CHECK(failed.ran_ == Ran::NotRun);
   CHECK(failed.retryAfterMs_ == 400);
 }
 
-// Story: overload, and the owner of the record hangs at the same moment. The
-// refusal is not held back for it; but since the record may stand and be run
-// by its next owner, it does not claim "not run".
+// Guards against a delayed refusal, and against reporting NotRun, while the
+// owner doesn't answer.
 TEST_CASE_METHOD(OnlineFixture,
                  "OnlineRequest_OverloadedAndOwnerSilent_RefusesAsUnknown")
 {
   Begin();
-  Endpoint("e1");
-  Ended(ResultCode::Overloaded, Ran::NotRun, 0, 300);
-  On([&](OnlineRequest& aRequest) {
+  AssignEndpoint("e1");
+  ReceiveRunEnded(ResultCode::Overloaded, Ran::NotRun, 0, 300);
+  Apply([&](OnlineRequest& aRequest) {
     aRequest.OnNoEndpoint(ResultCode::RetryBudgetSpent, 0, now_);
   });
-  Wait(OnlineRequest::kWithdrawalWait);
-  const EmitFailed failed = TakeFailed();
+  AdvanceTime(OnlineRequest::kWithdrawalTimeout);
+  const EmitFailed failed = DrainFailed();
   CHECK(failed.code_ == ResultCode::Overloaded);
   CHECK(failed.ran_ == Ran::Unknown);
   CHECK(failed.retryAfterMs_ == 300);
-  Recorded();
-  CHECK(TakeSent<wire::RecordResult>().front().result_.ran_ == Ran::NotRun);
+  ReceiveRecordReply();
+  CHECK(DrainSent<wire::RecordResult>().front().result_.ran_ == Ran::NotRun);
 }
 
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_NoOwnerReachable_RefusesNotRunWithinPatience")
+                 "OnlineRequest_NoOwnerReachable_RefusesNotRunAfterTimeout")
 {
-  ownerIsUp_ = false;
+  isOwnerUp_ = false;
   Begin();
-  CHECK(Take<ChooseEndpoint>().empty());
-  Wait(OnlineRequest::kOwnerPatience);
-  const EmitFailed failed = TakeFailed();
+  CHECK(Drain<ChooseEndpoint>().empty());
+  AdvanceTime(OnlineRequest::kOwnerTimeout);
+  const EmitFailed failed = DrainFailed();
   CHECK(failed.code_ == ResultCode::NotRecorded);
   CHECK(failed.ran_ == Ran::NotRun);
   CHECK(failed.retryAfterMs_ > 0);
 }
 
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_DeadlinePasses_CancelsAndDoesNotClaimNotRun")
+                 "OnlineRequest_DeadlineExceeded_CancelsAndReportsUnknown")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Wait(10s);
-  CHECK(TakeSent<wire::CancelRun>().size() == 1);
-  const EmitFailed failed = TakeFailed();
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  AdvanceTime(10s);
+  CHECK(DrainSent<wire::CancelRun>().size() == 1);
+  const EmitFailed failed = DrainFailed();
   CHECK(failed.code_ == ResultCode::DeadlineExceeded);
   CHECK(failed.ran_ == Ran::Unknown);
-  CHECK(TakeSent<wire::RecordResult>().size() == 1);
+  CHECK(DrainSent<wire::RecordResult>().size() == 1);
 }
 
-// Story: the first call's client lost its connection before anything ran, and
-// its call was cancelled. The same client is back with the same key and waits
-// for that call: it must get an answer, not the old call's cancellation.
+// Guards against answering a retry with the cancellation of the earlier call
+// that it waited for.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_FirstCallCancelledUnrun_RunsItself")
+                 "OnlineRequest_FirstCallCancelledBeforeRun_RunsItself")
 {
   Begin();
-  Endpoint("e1");
-  Recorded(wire::RecordState::Running);
+  AssignEndpoint("e1");
+  ReceiveRecordReply(wire::RecordState::Running);
   wire::RecordReply cancelled;
   cancelled.code_ = ResultCode::Cancelled;
-  On([&](OnlineRequest& aRequest) { aRequest.OnRecordReply(cancelled, now_); });
-  CHECK(Take<EmitFailed>().empty());
-  Take<ChooseEndpoint>();
-  Wait(OnlineRequest::kShortestResend);
-  Recorded(wire::RecordState::New);
-  CHECK(Take<ChooseEndpoint>().size() == 1);
+  Apply(
+    [&](OnlineRequest& aRequest) { aRequest.OnRecordReply(cancelled, now_); });
+  CHECK(Drain<EmitFailed>().empty());
+  Drain<ChooseEndpoint>();
+  AdvanceTime(OnlineRequest::kMinResendDelay);
+  ReceiveRecordReply(wire::RecordState::New);
+  CHECK(Drain<ChooseEndpoint>().size() == 1);
 }
 
-// Story: the owner took this entry for lost, and runs the request itself. The
-// entry's run breaks off as well; its verdict must not end what still runs.
+// Guards against ending a request that its owner is running because this
+// entry's own run failed.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_OwnerRunsItItself_WaitsForItsResult")
+                 "OnlineRequest_OwnerRunsRequest_WaitsForItsResult")
 {
   description_.maxAttempts_ = 1;
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Ended(ResultCode::EndpointCrashed, Ran::Ran);
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  ReceiveRunEnded(ResultCode::EndpointCrashed, Ran::Ran);
   wire::RecordResultReply refused;
   refused.code_ = ResultCode::StillRunning;
-  TakeSent<wire::RecordRequest>();
-  On([&](OnlineRequest& aRequest) {
+  DrainSent<wire::RecordRequest>();
+  Apply([&](OnlineRequest& aRequest) {
     aRequest.OnRecordResultReply(refused, now_);
   });
-  CHECK(TakeSent<wire::RecordRequest>().size() == 1);
-  Recorded(wire::RecordState::Finished,
-           MakeResult(ResultCode::Ok, Ran::Ran, "by the owner"));
-  CHECK(TakeFinished().result_.text_ == "by the owner");
+  CHECK(DrainSent<wire::RecordRequest>().size() == 1);
+  ReceiveRecordReply(wire::RecordState::Finished,
+                     MakeResult(ResultCode::Ok, Ran::Ran, "by the owner"));
+  CHECK(DrainFinished().result_.text_ == "by the owner");
 }
 
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_CancelledByItsKey_StopsRunAndTellsCaller")
+                 "OnlineRequest_CancelledByKey_StopsRunAndNotifiesCaller")
 {
   Begin();
-  Endpoint("e1");
-  Recorded();
-  Chunk(1, "x");
-  Recorded(wire::RecordState::Finished,
-           MakeResult(ResultCode::Cancelled, Ran::Unknown, {}));
-  CHECK(TakeSent<wire::CancelRun>().size() == 1);
-  CHECK(TakeFinished().result_.code_ == ResultCode::Cancelled);
+  AssignEndpoint("e1");
+  ReceiveRecordReply();
+  ReceiveChunk(1, "x");
+  ReceiveRecordReply(wire::RecordState::Finished,
+                     MakeResult(ResultCode::Cancelled, Ran::Unknown, {}));
+  CHECK(DrainSent<wire::CancelRun>().size() == 1);
+  CHECK(DrainFinished().result_.code_ == ResultCode::Cancelled);
 }
 
-TEST_CASE_METHOD(OnceOnlyFixture,
+TEST_CASE_METHOD(AtMostOnceFixture,
                  "OnlineRequest_NonIdempotent_StartsOnlyAfterItsRecord")
 {
   Begin();
-  CHECK(Take<ChooseEndpoint>().empty());
-  Recorded();
-  CHECK(Take<ChooseEndpoint>().size() == 1);
+  CHECK(Drain<ChooseEndpoint>().empty());
+  ReceiveRecordReply();
+  CHECK(Drain<ChooseEndpoint>().size() == 1);
 }
 
-// Story: a plain service that counts is called once, and its host goes before
-// the answer. It may have counted: running it again could count twice, so the
-// caller hears that the outcome is unknown, and nothing else is tried.
-TEST_CASE_METHOD(OnceOnlyFixture,
+// Guards against a rerun of a non-idempotent request whose outcome is unknown.
+TEST_CASE_METHOD(AtMostOnceFixture,
                  "OnlineRequest_NonIdempotentAgentLost_IsUnknownAndNeverRerun")
 {
   Begin();
-  Recorded();
-  Endpoint("e1");
-  Take<ChooseEndpoint>();
-  Link(wire::LinkState::Lost);
-  Wait(2s);
-  CHECK(Take<ChooseEndpoint>().empty());
-  Link(wire::LinkState::Replaced);
-  Wait(1s);
-  CHECK(Take<ChooseEndpoint>().empty());
-  ResultRecorded();
-  const EmitFinished finished = TakeFinished();
+  ReceiveRecordReply();
+  AssignEndpoint("e1");
+  Drain<ChooseEndpoint>();
+  SetLinkState(wire::LinkState::Lost);
+  AdvanceTime(2s);
+  CHECK(Drain<ChooseEndpoint>().empty());
+  SetLinkState(wire::LinkState::Replaced);
+  AdvanceTime(1s);
+  CHECK(Drain<ChooseEndpoint>().empty());
+  ReceiveResultReply();
+  const EmitFinished finished = DrainFinished();
   CHECK(finished.result_.code_ == ResultCode::OutcomeUnknown);
   CHECK(finished.result_.ran_ == Ran::Unknown);
 }
 
-// Story: the reply to a once-only record is lost with the owner's link. The
-// record is sent again and the owner says "running": that may be this call's
-// own record or another call's run. Starting it could run it twice.
-TEST_CASE_METHOD(OnceOnlyFixture,
+// Guards against a second run of a non-idempotent request when the reply to its
+// record was lost.
+TEST_CASE_METHOD(AtMostOnceFixture,
                  "OnlineRequest_NonIdempotentReplyLost_DoesNotStart")
 {
   Begin();
-  On([](OnlineRequest& aRequest) { aRequest.OnOwnerChanged(); });
-  Recorded(wire::RecordState::Running);
-  CHECK(Take<ChooseEndpoint>().empty());
-  Wait(10s);
-  CHECK(TakeFailed().ran_ == Ran::Unknown);
+  Apply([](OnlineRequest& aRequest) { aRequest.OnOwnerChanged(); });
+  ReceiveRecordReply(wire::RecordState::Running);
+  CHECK(Drain<ChooseEndpoint>().empty());
+  AdvanceTime(10s);
+  CHECK(DrainFailed().ran_ == Ran::Unknown);
 }
 
-TEST_CASE_METHOD(OnceOnlyFixture,
-                 "OnlineRequest_NonIdempotentRefusedNotRun_MayGoElsewhere")
+TEST_CASE_METHOD(
+  AtMostOnceFixture,
+  "OnlineRequest_NonIdempotentRefusedNotRun_TriesAnotherEndpoint")
 {
   Begin();
-  Recorded();
-  Endpoint("e1");
-  Take<ChooseEndpoint>();
-  Ended(ResultCode::Draining, Ran::NotRun);
-  CHECK(Take<ChooseEndpoint>().size() == 1);
+  ReceiveRecordReply();
+  AssignEndpoint("e1");
+  Drain<ChooseEndpoint>();
+  ReceiveRunEnded(ResultCode::Draining, Ran::NotRun);
+  CHECK(Drain<ChooseEndpoint>().size() == 1);
 }
 
 } // namespace pumiceturn::entry
--- a/Tests/LibRouting/EndpointChooserTest.cpp
+++ b/Tests/LibRouting/EndpointChooserTest.cpp
@@ -12,9 +12,9 @@
 
 using namespace std::chrono_literals;
 
-struct ChooserFixture
+struct EndpointChooserFixture
 {
-  ChooserFixture()
+  EndpointChooserFixture()
   {
     for (int index = 0; index < 6; ++index) {
       descriptions_.push_back(EndpointDescription{
@@ -26,7 +26,7 @@
     }
   }
 
-  std::set<std::string> Reachable(const ChoiceRequest& aRequest = {})
+  std::set<std::string> ChosenEndpoints(const ChoiceRequest& aRequest = {})
   {
     std::set<std::string> names;
     for (int draw = 0; draw < 300; ++draw) {
@@ -44,33 +44,33 @@
   std::vector<EndpointDescription> descriptions_;
   base::Instant now_{ 100s };
   std::mt19937_64 random_{ 1 };
-  EndpointChooser chooser_{ "d0", LeastOfTwo{} };
+  EndpointChooser chooser_{ "d0", PowerOfTwoChoices{} };
 };
 
 } // namespace
 
-// Story: an operator drains e1, e2 says on its heartbeat that it leaves, e3's
-// link fell silent and the request was refused by e4 before. None of them may
-// be given the request.
-TEST_CASE_METHOD(ChooserFixture,
-                 "EndpointChooser_LeavingSilentOrTried_AreNotChosen")
+// Guards against routing to endpoints that are drained, draining, disconnected
+// or excluded by the request.
+TEST_CASE_METHOD(EndpointChooserFixture,
+                 "EndpointChooser_DrainedDisconnectedOrExcluded_AreNotChosen")
 {
   chooser_.SetDrained("e1", true);
-  wire::Heartbeat leaving;
-  leaving.draining_ = true;
-  Report("e2", leaving);
+  wire::Heartbeat draining;
+  draining.draining_ = true;
+  Report("e2", draining);
   chooser_.SetLinked("e3", false);
-  const std::vector<std::string> tried{ "e4" };
+  const std::vector<std::string> excluded{ "e4" };
   ChoiceRequest request;
-  request.excluded_ = tried;
-  // e0 shares the chooser's failure domain, so it wins while both are idle.
-  CHECK(Reachable(request) == std::set<std::string>{ "e0" });
+  request.excluded_ = excluded;
+  // e0 is in the chooser's own failure domain, so it is preferred while both
+  // are idle.
+  CHECK(ChosenEndpoints(request) == std::set<std::string>{ "e0" });
   chooser_.OnStarted("e0", 0, false);
-  CHECK(Reachable(request) == std::set<std::string>{ "e5" });
+  CHECK(ChosenEndpoints(request) == std::set<std::string>{ "e5" });
 }
 
-TEST_CASE_METHOD(ChooserFixture,
-                 "EndpointChooser_EveryEndpointExcluded_GivesNothing")
+TEST_CASE_METHOD(EndpointChooserFixture,
+                 "EndpointChooser_NoEndpointLinked_ReturnsNothing")
 {
   for (const EndpointDescription& description : descriptions_) {
     chooser_.SetLinked(description.name_, false);
@@ -79,100 +79,98 @@
   CHECK_FALSE(chooser_.HasEligible());
 }
 
-TEST_CASE_METHOD(ChooserFixture,
-                 "EndpointChooser_OneLoadedByOthers_IsNeverTheBetterOfTwo")
+TEST_CASE_METHOD(EndpointChooserFixture,
+                 "EndpointChooser_LoadedByOtherHosts_IsNotChosen")
 {
   wire::Heartbeat busy;
   busy.running_ = 8;
   busy.capacity_ = 8;
   Report("e3", busy);
-  CHECK(Reachable().count("e3") == 0);
+  CHECK(ChosenEndpoints().count("e3") == 0);
 
   wire::Heartbeat idle;
   idle.capacity_ = 8;
   Report("e3", idle);
-  CHECK(Reachable().count("e3") == 1);
+  CHECK(ChosenEndpoints().count("e3") == 1);
 }
 
-TEST_CASE_METHOD(ChooserFixture,
-                 "EndpointChooser_PrefixHolderWithinBound_IsTaken")
+TEST_CASE_METHOD(EndpointChooserFixture,
+                 "EndpointChooser_PrefixHolderWithinBound_IsChosen")
 {
   ChoiceRequest request;
   request.prefix_ = 42;
   wire::Heartbeat cached;
   cached.prefixesAdded_ = { 42 };
   Report("e5", cached);
-  CHECK(Reachable(request) == std::set<std::string>{ "e5" });
+  CHECK(ChosenEndpoints(request) == std::set<std::string>{ "e5" });
 
   wire::Heartbeat dropped;
   dropped.prefixesDropped_ = { 42 };
   Report("e5", dropped);
-  CHECK(Reachable(request).size() > 1);
+  CHECK(ChosenEndpoints(request).size() > 1);
 }
 
-// Story: all callers ask with the same prompt prefix. Following the cache alone
-// would send every request to one endpoint while five stand idle.
-TEST_CASE_METHOD(ChooserFixture,
-                 "EndpointChooser_PopularPrefix_SpreadsBeyondItsHolder")
+// Guards against overloading one endpoint when all prompts share a prefix.
+TEST_CASE_METHOD(EndpointChooserFixture,
+                 "EndpointChooser_PopularPrefix_SpreadsOverEndpoints")
 {
-  std::map<std::string, int> taken;
+  std::map<std::string, int> choiceCounts;
   for (int request = 0; request < 24; ++request) {
-    ChoiceRequest asked;
-    asked.prefix_ = 42;
-    const auto choice = chooser_.Choose(asked, now_, random_);
+    ChoiceRequest choiceRequest;
+    choiceRequest.prefix_ = 42;
+    const auto choice = chooser_.Choose(choiceRequest, now_, random_);
     REQUIRE(choice.has_value());
     chooser_.OnStarted(choice->endpoint_, 42, false);
-    ++taken[choice->endpoint_];
+    ++choiceCounts[choice->endpoint_];
   }
-  CHECK(taken.size() >= 4);
-  for (const auto& [name, count] : taken) {
+  CHECK(choiceCounts.size() >= 4);
+  for (const auto& [name, count] : choiceCounts) {
     CHECK(count <= 8);
   }
 }
 
-TEST_CASE_METHOD(ChooserFixture,
+TEST_CASE_METHOD(EndpointChooserFixture,
                  "EndpointChooser_SuspectRequest_AvoidsEndpointWithSuspect")
 {
   chooser_.OnStarted("e2", 0, true);
   ChoiceRequest request;
   request.suspect_ = true;
-  CHECK(Reachable(request).count("e2") == 0);
-  chooser_.OnEnded("e2", true, RunEnd::GivenUp, now_);
-  CHECK(Reachable(request).count("e2") == 1);
+  CHECK(ChosenEndpoints(request).count("e2") == 0);
+  chooser_.OnEnded("e2", true, RunOutcome::Abandoned, now_);
+  CHECK(ChosenEndpoints(request).count("e2") == 1);
 }
 
-// Story: an engine fails each request at once. It never has anything in flight,
-// so it looks idle and would draw most of the traffic. It is left alone for a
-// while, longer each time, and takes requests again once one was answered.
-TEST_CASE_METHOD(ChooserFixture,
-                 "EndpointChooser_EndpointThatFailsAtOnce_DrawsNoTraffic")
+// Guards against an endpoint that fails immediately, looks idle and attracts
+// most requests.
+TEST_CASE_METHOD(EndpointChooserFixture,
+                 "EndpointChooser_EndpointFailsImmediately_IsAvoided")
 {
   for (const EndpointDescription& description : descriptions_) {
     chooser_.OnStarted(description.name_, 0, false);
   }
-  chooser_.OnEnded("e3", false, RunEnd::Broken, now_);
-  CHECK(Reachable().count("e3") == 0);
-  now_ += EndpointChooser::kShortestAvoidance;
-  CHECK(Reachable().count("e3") == 1);
+  chooser_.OnEnded("e3", false, RunOutcome::Failed, now_);
+  CHECK(ChosenEndpoints().count("e3") == 0);
+  now_ += EndpointChooser::kMinAvoidance;
+  CHECK(ChosenEndpoints().count("e3") == 1);
 
   chooser_.OnStarted("e3", 0, false);
-  chooser_.OnEnded("e3", false, RunEnd::Broken, now_);
-  now_ += EndpointChooser::kShortestAvoidance;
-  CHECK(Reachable().count("e3") == 0);
-  now_ += EndpointChooser::kShortestAvoidance;
+  chooser_.OnEnded("e3", false, RunOutcome::Failed, now_);
+  now_ += EndpointChooser::kMinAvoidance;
+  CHECK(ChosenEndpoints().count("e3") == 0);
+  now_ += EndpointChooser::kMinAvoidance;
   chooser_.OnStarted("e3", 0, false);
-  chooser_.OnEnded("e3", false, RunEnd::Answered, now_);
-  CHECK(Reachable().count("e3") == 1);
+  chooser_.OnEnded("e3", false, RunOutcome::Answered, now_);
+  CHECK(ChosenEndpoints().count("e3") == 1);
 }
 
-TEST_CASE_METHOD(ChooserFixture,
-                 "EndpointChooser_AllFailedLately_StillChoosesOne")
+TEST_CASE_METHOD(EndpointChooserFixture,
+                 "EndpointChooser_AllRecentlyFailed_StillChoosesOne")
 {
   for (const EndpointDescription& description : descriptions_) {
     chooser_.OnStarted(description.name_, 0, false);
-    chooser_.OnEnded(description.name_, false, RunEnd::Broken, now_);
+    chooser_.OnEnded(description.name_, false, RunOutcome::Failed, now_);
   }
-  CHECK(Reachable().count("none") == 0);
+  CHECK(ChosenEndpoints().count("none") == 0);
 }
 
 TEST_CASE("ChooseSubset_ManyHosts_SpreadsOverDomainsAndEndpoints")
@@ -205,7 +203,7 @@
   CHECK(links.size() == candidates.size());
 }
 
-TEST_CASE("ChooseSubset_OneEndpointGone_MovesOneLinkOnly")
+TEST_CASE("ChooseSubset_EndpointRemoved_MovesOneLink")
 {
   const std::vector<std::string> names{ "a", "b", "c", "d", "e", "f", "g" };
   std::vector<SubsetCandidate> candidates;
@@ -218,10 +216,10 @@
   for (const std::size_t position : before) {
     kept.insert(names[position]);
   }
-  const std::string_view gone = names[before.front()];
-  kept.erase(gone);
-  std::erase_if(candidates, [gone](const SubsetCandidate& aCandidate) {
-    return aCandidate.name_ == gone;
+  const std::string_view removed = names[before.front()];
+  kept.erase(removed);
+  std::erase_if(candidates, [removed](const SubsetCandidate& aCandidate) {
+    return aCandidate.name_ == removed;
   });
   std::set<std::string_view> after;
   for (const std::size_t position : ChooseSubset("host", candidates, 3)) {
--- a/Tests/LibRouting/RunAssemblerTest.cpp
+++ b/Tests/LibRouting/RunAssemblerTest.cpp
@@ -22,10 +22,8 @@
 
 } // namespace
 
-// Story: a link is replaced in the middle of an answer. The agent sends again
-// from where the entry says it was, while older chunks still arrive, so chunks
-// come late, twice and out of order. The caller must see the text once.
-TEST_CASE("RunAssembler_LateRepeatedReordered_GivesTextOnce")
+// Guards against scrambled or repeated text after a link was replaced.
+TEST_CASE("RunAssembler_DelayedRepeatedReordered_AssemblesTextOnce")
 {
   RunAssembler assembler;
   CHECK(assembler.Add(MakeChunk(1, "Ras")));
@@ -33,37 +31,37 @@
   CHECK(assembler.HasGap());
   CHECK_FALSE(assembler.Add(MakeChunk(1, "Ras")));
   assembler.SetEnd(4);
-  CHECK_FALSE(assembler.IsWhole());
+  CHECK_FALSE(assembler.IsComplete());
   CHECK_FALSE(assembler.Add(MakeChunk(4, "of Fyn")));
   CHECK(assembler.Add(MakeChunk(2, "mus")));
   CHECK(assembler.Text() == "Rasmussen of Fyn");
   CHECK(assembler.Tokens() == 4);
-  CHECK(assembler.IsWhole());
+  CHECK(assembler.IsComplete());
   CHECK_FALSE(assembler.HasGap());
 }
 
-TEST_CASE("RunAssembler_EndBeforeLastChunk_IsNotWhole")
+TEST_CASE("RunAssembler_EndBeforeLastChunk_IsNotComplete")
 {
   RunAssembler assembler;
   assembler.Add(MakeChunk(1, "a"));
   assembler.SetEnd(2);
-  CHECK_FALSE(assembler.IsWhole());
+  CHECK_FALSE(assembler.IsComplete());
   CHECK(assembler.ReceivedSequence() == 1);
 }
 
-TEST_CASE("RetryBudget_AllAttemptsFail_AllowsShareOfThem")
+TEST_CASE("RetryBudget_AllAttemptsFail_AllowsShare")
 {
   RetryBudget budget(RetryBudget::Limits{ 0.1, 2.0 });
   int retries = 0;
   for (int attempt = 0; attempt < 1000; ++attempt) {
     budget.RecordAttempt();
-    retries += budget.TryTake() ? 1 : 0;
+    retries += budget.TryConsume() ? 1 : 0;
   }
   CHECK(retries >= 100);
   CHECK(retries <= 102);
 }
 
-TEST_CASE("Backoff_AnyRandom_StaysBetweenHalfAndWhole")
+TEST_CASE("Backoff_AnyRandom_StaysBetweenHalfAndFullDelay")
 {
   const Backoff backoff{ 20ms, 1s };
   CHECK(backoff.Delay(0, 0) == 10ms);
--- a/Tests/Scenarios/EntryStage.cpp
+++ b/Tests/Scenarios/EntryStage.cpp
@@ -185,8 +185,8 @@
 EntryStage::Collect(const std::string& aName)
 {
   entry::OnlineRequest& request = *calls_.at(aName).request_;
-  for (auto actions = request.TakeActions(); !actions.empty();
-       actions = request.TakeActions()) {
+  for (auto actions = request.DrainActions(); !actions.empty();
+       actions = request.DrainActions()) {
     for (const entry::OnlineAction& action : actions) {
       std::visit([&](const auto& aOne) { Do(aName, aOne); }, action);
     }
@@ -363,9 +363,9 @@
 }
 
 void
-EntryStage::Do(const std::string& /*aName*/, const entry::RunLeft& aAction)
+EntryStage::Do(const std::string& /*aName*/, const entry::RunReleased& aAction)
 {
-  router_.OnEnded(kService, aAction.endpoint_, false, aAction.end_, now_);
+  router_.OnEnded(kService, aAction.endpoint_, false, aAction.outcome_, now_);
 }
 
 void
@@ -386,7 +386,7 @@
   CallState& call = calls_.at(aName);
   call.ended_ = base::NameOf(aAction.result_.code_);
   call.ran_ = NameOf(aAction.result_.ran_);
-  call.streamedWhole_ = aAction.streamedWhole_;
+  call.streamedWhole_ = aAction.isTextStreamed_;
   call.final_ = aAction.result_.text_;
 }
 
--- a/Tests/Scenarios/EntryStage.h
+++ b/Tests/Scenarios/EntryStage.h
@@ -63,12 +63,14 @@
   void Do(const std::string& aName, const entry::SendToOwner& aAction);
   void Do(const std::string& aName, const entry::SendToEndpoint& aAction);
   void Do(const std::string& aName, const entry::ChooseEndpoint& aAction);
-  void Do(const std::string& aName, const entry::RunLeft& aAction);
+  void Do(const std::string& aName, const entry::RunReleased& aAction);
   void Do(const std::string& aName, const entry::EmitAccepted& aAction);
   void Do(const std::string& aName, const entry::EmitChunk& aAction);
   void Do(const std::string& aName, const entry::EmitFinished& aAction);
   void Do(const std::string& aName, const entry::EmitFailed& aAction);
-  static void Do(const std::string& /*aName*/, const entry::BlameContent&) {}
+  static void Do(const std::string& /*aName*/, const entry::QuarantineContent&)
+  {
+  }
   void AnswerOwner(const std::string& aName, const wire::Message& aMessage);
   void StartRun(const std::string& aName,
                 const std::string& aEndpoint,
