--- a/Libraries/LibAgent/AgentCore.cpp
+++ b/Libraries/LibAgent/AgentCore.cpp
@@ -65,9 +65,9 @@
                    settings::FUNCTION_KEEPER) != aHost.functions().end();
 }
 
-/// Delay between the loads of a service's endpoints, so that a roll-out stays
-/// within the bandwidth of the weight store.
-constexpr base::Duration kLoadInterval{ std::chrono::seconds{ 2 } };
+/// Delay between the endpoints of a service when they load a model, so that a
+/// roll-out stays within the bandwidth of the store of the models.
+constexpr base::Duration kModelLoadInterval{ std::chrono::seconds{ 2 } };
 
 EngineReconciler::DesiredState
 DesiredStateOf(const declarations::Service& aService,
@@ -90,14 +90,14 @@
     if (endpoint.name() == aEndpoint) {
       break;
     }
-    desired.delay_ += kLoadInterval;
+    desired.delay_ += kModelLoadInterval;
   }
   return desired;
 }
 
 /// @return an id unique to this process, by which it recognises its own writes.
 std::string
-MakeWriteId(const settings::Settings& aSettings)
+MakeProcessId(const settings::Settings& aSettings)
 {
   std::random_device random;
   return fmt::format("{}-{:08x}{:08x}", aSettings.host(), random(), random());
@@ -118,7 +118,7 @@
   , reconciler_(aContext.keyValue_,
                 aContext.settings_.platform().key_prefix() + "fence/" +
                   endpoint_,
-                MakeWriteId(aContext.settings_))
+                MakeProcessId(aContext.settings_))
 {
 }
 
@@ -135,7 +135,7 @@
   options.maxQueuedOnline_ =
     OrDefault(agent.max_queued_online(), kDefaultQueuedOnline);
   options.partitionCount_ = context_.partitions_.Count();
-  options.engineStartsUp_ = false;
+  options.isEngineInitiallyUp_ = false;
   return options;
 }
 
@@ -166,12 +166,12 @@
 void
 AgentCore::AddMetrics()
 {
-  using Read = std::uint32_t dispatch::SchedulerLoad::*;
+  using LoadField = std::uint32_t dispatch::SchedulerLoad::*;
   struct Gauge
   {
     const char* name_;
     const char* help_;
-    Read read_;
+    LoadField field_;
   };
   static constexpr Gauge kGauges[] = {
     { "pumiceturn_agent_online_running",
@@ -188,24 +188,24 @@
       &dispatch::SchedulerLoad::batchWaiting_ },
     { "pumiceturn_agent_places",
       "Maximum number of concurrent requests at the engine.",
-      &dispatch::SchedulerLoad::limit_ },
+      &dispatch::SchedulerLoad::places_ },
     { "pumiceturn_agent_headroom",
       "Places kept free of batch.",
       &dispatch::SchedulerLoad::headroom_ },
     { "pumiceturn_agent_unrecorded_results",
       "Finished results that are not recorded yet.",
-      &dispatch::SchedulerLoad::unrecorded_ },
+      &dispatch::SchedulerLoad::unrecordedResults_ },
   };
   const std::weak_ptr<AgentCore> weak = weak_from_this();
   for (const Gauge& gauge : kGauges) {
-    const Read read = gauge.read_;
-    context_.metrics_.AddGauge(gauge.name_, gauge.help_, {}, [weak, read] {
+    const LoadField field = gauge.field_;
+    context_.metrics_.AddGauge(gauge.name_, gauge.help_, {}, [weak, field] {
       const auto core = weak.lock();
       if (!core) {
         return 0.0;
       }
       const std::scoped_lock lock(core->loadMutex_);
-      return static_cast<double>(core->load_.*read);
+      return static_cast<double>(core->load_.*field);
     });
   }
 }
@@ -227,8 +227,8 @@
     ExecuteActions(scheduler_.OnCancelRun(aPeer, *cancel, now));
   } else if (const auto* attach = std::get_if<wire::AttachRun>(&aMessage)) {
     ExecuteActions(scheduler_.OnAttachRun(aPeer, *attach, now));
-  } else if (const auto* done = std::get_if<wire::RunRecorded>(&aMessage)) {
-    ExecuteActions(scheduler_.OnRunRecorded(*done, now));
+  } else if (const auto* recorded = std::get_if<wire::RunRecorded>(&aMessage)) {
+    ExecuteActions(scheduler_.OnRunRecorded(*recorded, now));
   } else if (const auto* demand = std::get_if<wire::BatchDemand>(&aMessage)) {
     ExecuteActions(scheduler_.OnBatchDemand(aPeer, *demand, now));
   }
@@ -265,12 +265,12 @@
   aHeartbeat.running_ =
     load.onlineRunning_ + load.batchRunning_ + load.cancelling_;
   aHeartbeat.queuedOnline_ = load.onlineWaiting_;
-  aHeartbeat.capacity_ = load.engineDown_ ? 0 : load.limit_;
+  aHeartbeat.capacity_ = load.engineDown_ ? 0 : load.places_;
   aHeartbeat.expectedWaitMs_ = load.expectedWaitMs_;
   dispatch::PrefixCacheTracker::Changes changes =
-    prefixes_.DrainChangesFor(aPeer);
-  aHeartbeat.prefixesAdded_ = std::move(changes.added_);
-  aHeartbeat.prefixesDropped_ = std::move(changes.dropped_);
+    prefixes_.TakeChangesFor(aPeer);
+  aHeartbeat.prefixesAdded_ = std::move(changes.stored_);
+  aHeartbeat.prefixesDropped_ = std::move(changes.evicted_);
 }
 
 void
@@ -294,7 +294,7 @@
   const declarations::Service* service = aSnapshot->FindService(service_);
   const declarations::Endpoint* endpoint = aSnapshot->FindEndpoint(endpoint_);
   if (service == nullptr || endpoint == nullptr) {
-    base::Log(kServiceUnknown,
+    base::Log(kEndpointNotDeclared,
               { { "service", service_ },
                 { "endpoint", endpoint_ },
                 { "version", aSnapshot->Version() } });
@@ -330,12 +330,12 @@
 std::uint32_t
 AgentCore::PlacesOf(const declarations::Endpoint& aEndpoint) const
 {
-  const std::uint32_t declared = aEndpoint.max_running();
-  const std::uint32_t set = context_.settings_.agent().max_running();
-  if (declared != 0 && set != 0) {
-    return std::min(declared, set);
+  const std::uint32_t fromDeclaration = aEndpoint.max_running();
+  const std::uint32_t fromSettings = context_.settings_.agent().max_running();
+  if (fromDeclaration != 0 && fromSettings != 0) {
+    return std::min(fromDeclaration, fromSettings);
   }
-  return OrDefault(std::max(declared, set), kDefaultPlaces);
+  return OrDefault(std::max(fromDeclaration, fromSettings), kDefaultPlaces);
 }
 
 void
@@ -345,21 +345,21 @@
     return; // The type of a service does not change while it is served.
   }
   const std::string& address = context_.settings_.agent().engine_address();
-  auto made = base::Capture([&]() -> base::Result<Backend> {
+  auto made = base::Capture([&]() -> base::Result<EndpointClient> {
     if (aType == declarations::SERVICE_TYPE_PLAIN) {
       endpoint::PlainServiceClient::Options options;
       options.address_ = address;
       BOOST_LEAF_AUTO(client, endpoint::PlainServiceClient::Make(options));
-      return Backend{ std::move(client) };
+      return EndpointClient{ std::move(client) };
     }
     endpoint::EngineClient::Options options;
     options.address_ = address;
     BOOST_LEAF_AUTO(client, endpoint::EngineClient::Make(options));
     engine_ = std::move(client);
-    return Backend{ engine_ };
+    return EndpointClient{ engine_ };
   });
-  auto* backend = std::get_if<Backend>(&made);
-  if (backend == nullptr) {
+  auto* endpointClient = std::get_if<EndpointClient>(&made);
+  if (endpointClient == nullptr) {
     return; // Cannot happen: settings with a malformed address are rejected.
   }
   scheduler_.SetResumption(aType == declarations::SERVICE_TYPE_PLAIN
@@ -377,8 +377,8 @@
     const std::scoped_lock lock(mutex_);
     ExecuteActions(scheduler_.OnStreamEnded(aStream, aEnd, Now()));
   };
-  runner_ =
-    std::make_unique<StreamRunner>(std::move(*backend), std::move(handlers));
+  runner_ = std::make_unique<StreamRunner>(std::move(*endpointClient),
+                                           std::move(handlers));
 }
 
 void
@@ -392,7 +392,7 @@
     isLeaving = isLeaving || (host.name() == context_.settings_.host() &&
                               host.state() == settings::HOST_STATE_LEAVING);
   }
-  SetDrain(DrainCause::HostList, isLeaving);
+  SetDrain(DrainCause::HostLeaving, isLeaving);
 }
 
 void
@@ -415,7 +415,7 @@
 AgentCore::ReconcileEngine()
 {
   if (engine_ && reconciler_.IsDue()) {
-    runner_->Run([this] { reconciler_.Run(*engine_); });
+    runner_->Post([this] { reconciler_.ExecuteDueSteps(*engine_); });
   }
 }
 
@@ -425,7 +425,7 @@
   if (!engine_) {
     return;
   }
-  runner_->Run([this] {
+  runner_->Post([this] {
     std::uint64_t after = 0;
     {
       const std::scoped_lock lock(loadMutex_);
@@ -441,8 +441,8 @@
     lastCacheEvent_ = page->lastSequence_;
     for (const endpoint::CacheEvent& event : page->events_) {
       const bool isStored = event.change_ == endpoint::CacheChange::Stored;
-      prefixes_.OnCacheEvent(isStored ? dispatch::CacheUpdate::Stored
-                                      : dispatch::CacheUpdate::Evicted,
+      prefixes_.OnCacheEvent(isStored ? dispatch::CacheChange::Stored
+                                      : dispatch::CacheChange::Evicted,
                              event.prefixHash_,
                              event.prefixBytes_);
     }
@@ -472,7 +472,7 @@
     std::visit([this](auto& aAction) { Execute(aAction); }, action);
   }
   const dispatch::SchedulerLoad load = scheduler_.Load(base::MonotonicNow());
-  wasUp_ = wasUp_ || !load.engineDown_;
+  engineHasBeenUp_ = engineHasBeenUp_ || !load.engineDown_;
   const std::scoped_lock lock(loadMutex_);
   load_ = load;
 }
@@ -528,7 +528,7 @@
   if (!runner_) {
     return;
   }
-  runner_->Run([this] {
+  runner_->Post([this] {
     if (!runner_->IsHealthy()) {
       return;
     }
@@ -554,13 +554,13 @@
             { { "run", base::ToString(aDecision.run_) },
               { "peer", aDecision.peer_ },
               { "code", base::NameOf(aDecision.code_) },
-              { "weighed_ms", base::ToMs(aDecision.waitOrSlack_) },
+              { "weighed_ms", base::ToMs(aDecision.duration_) },
               { "online", load.onlineRunning_ },
               { "batch", load.batchRunning_ },
               { "yielding", load.cancelling_ },
               { "online_waiting", load.onlineWaiting_ },
               { "batch_waiting", load.batchWaiting_ },
-              { "places", load.limit_ },
+              { "places", load.places_ },
               { "headroom", load.headroom_ },
               { "credits", load.creditsOutstanding_ } });
 }
@@ -579,7 +579,7 @@
   if (scheduler_.Load(base::MonotonicNow()).draining_) {
     return node::Readiness::Draining;
   }
-  return wasUp_ ? node::Readiness::Ready : node::Readiness::Starting;
+  return engineHasBeenUp_ ? node::Readiness::Ready : node::Readiness::Starting;
 }
 
 void
@@ -592,7 +592,7 @@
     }
     stopped_ = true;
   }
-  // Must not hold the mutex: cancelled streams report their ends.
+  // Must not hold the mutex: Stop() joins threads whose handlers lock it.
   if (runner_) {
     runner_->Stop();
   }
--- a/Libraries/LibAgent/AgentCore.h
+++ b/Libraries/LibAgent/AgentCore.h
@@ -21,14 +21,14 @@
 enum class DrainCause : std::uint8_t
 {
   Operator,
-  HostList,
+  HostLeaving, ///< The host list shows this host as leaving.
   Shutdown,
 };
 
 /// Connects the endpoint scheduler with links, engine, configuration and clock.
 /// Timers and subscriptions hold weak references to it. Thread-safe: one mutex
 /// guards the scheduler, and its actions are executed under that mutex to keep
-/// their order. No action blocks or calls back.
+/// their order. Executing an action neither blocks nor calls into this class.
 class AgentCore : public std::enable_shared_from_this<AgentCore>
 {
 public:
@@ -97,7 +97,7 @@
   std::string model_;
   std::array<bool, kDrainCauses> drainRequested_{};
   std::uint32_t tickCount_ = 0;
-  bool wasUp_ = false;
+  bool engineHasBeenUp_ = false;
   bool stopped_ = false;
 
   /// Guards the members below, which heartbeats read; heartbeats must not wait
--- a/Libraries/LibAgent/AgentFunction.h
+++ b/Libraries/LibAgent/AgentFunction.h
@@ -9,8 +9,8 @@
 
 namespace pumiceturn::agent {
 
-/// The agent function: the only component that sends requests to its endpoint.
-/// Thread-safe.
+/// The Agent role of a process: the only component that sends requests to its
+/// endpoint. Thread-safe.
 class AgentFunction
 {
 public:
@@ -22,12 +22,12 @@
   AgentFunction(const AgentFunction&) = delete;
   AgentFunction& operator=(const AgentFunction&) = delete;
 
-  /// Handles a message for this function. Called on pool threads, in order for
+  /// Handles a message for the Agent role. Called on pool threads, in order for
   /// each peer.
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
   void OnLinkState(const std::string& aPeer, wire::LinkState aState);
 
-  /// Adds this function's fields to the next heartbeat to a peer.
+  /// Adds the Agent's fields to the next heartbeat to a peer.
   void FillHeartbeat(const std::string& aPeer,
                      wire::Heartbeat& aHeartbeat) const;
 
--- a/Libraries/LibAgent/EngineReconciler.cpp
+++ b/Libraries/LibAgent/EngineReconciler.cpp
@@ -28,10 +28,11 @@
 } // namespace
 
 std::string
-WriteFenceRecord(const FenceRecord& aRecord)
+FormatFenceRecord(const FenceRecord& aRecord)
 {
   return std::to_string(aRecord.fence_) + " " +
-         std::to_string(aRecord.configurationVersion_) + " " + aRecord.writeId_;
+         std::to_string(aRecord.configurationVersion_) + " " +
+         aRecord.processId_;
 }
 
 base::Result<FenceRecord>
@@ -41,7 +42,7 @@
   FenceRecord record;
   std::string rest;
   const bool isComplete = static_cast<bool>(
-    text >> record.fence_ >> record.configurationVersion_ >> record.writeId_);
+    text >> record.fence_ >> record.configurationVersion_ >> record.processId_);
   if (!isComplete || (text >> rest)) {
     return base::Fail(ResultCode::CorruptRecord, "malformed fence record");
   }
@@ -54,18 +55,18 @@
   if (aDesired.version_ < desired_.version_) {
     return;
   }
-  const bool isUnchanged =
+  const bool hasSameCommands =
     stage_ != Stage::Idle &&
     HaveEqualCommands(aDesired.commands_, desired_.commands_);
   desired_ = std::move(aDesired);
   const bool canResume =
     stage_ == Stage::Superseded &&
     desired_.version_ > lastRead_.record_.configurationVersion_;
-  if (isUnchanged && !canResume) {
+  if (hasSameCommands && !canResume) {
     return;
   }
   failures_ = 0;
-  ownFence_ = {}; // A changed state needs a new fence.
+  ownFence_ = {}; // A changed state needs a new fencing number.
   stage_ = Stage::NeedsRead;
   notBefore_ = hasSettled_ ? aNow + desired_.delay_ : aNow;
 }
@@ -95,7 +96,7 @@
     case Stage::NeedsSwap: {
       const FenceRecord next{ lastRead_.record_.fence_ + 1,
                               desired_.version_,
-                              writeId_ };
+                              processId_ };
       return SwapFence{ next, lastRead_.revision_ };
     }
     case Stage::NeedsCommand: {
@@ -118,24 +119,25 @@
   }
   lastRead_ = *reading;
   const FenceRecord& record = lastRead_.record_;
-  const bool isOwn = record.writeId_ == writeId_;
+  const bool isOwn = record.processId_ == processId_;
   if (record.configurationVersion_ > desired_.version_ ||
       (ownFence_.fence_ != 0 && !isOwn)) {
     stage_ = Stage::Superseded;
     return;
   }
-  // A fence that this process took for an older declaration does not cover this
-  // one, for example after a swap whose response was lost.
+  // A fencing number that this process acquired for an older configuration is
+  // not valid for the current one. This occurs after a swap whose response was
+  // lost.
   const bool isOwnFence =
     isOwn && (ownFence_.fence_ == record.fence_ ||
               record.configurationVersion_ == desired_.version_);
   if (!isOwnFence) {
-    EnterStage(Stage::NeedsSwap);
+    EnterStageOrIdle(Stage::NeedsSwap);
     return;
   }
   ownFence_ = record;
   nextCommand_ = 0;
-  EnterStage(Stage::NeedsCommand);
+  EnterStageOrIdle(Stage::NeedsCommand);
 }
 
 void
@@ -149,10 +151,10 @@
     RetryAfterBackoff(aNow);
     return;
   }
-  ownFence_ = { lastRead_.record_.fence_ + 1, desired_.version_, writeId_ };
+  ownFence_ = { lastRead_.record_.fence_ + 1, desired_.version_, processId_ };
   lastRead_ = { ownFence_, aRevision };
   nextCommand_ = 0;
-  EnterStage(Stage::NeedsCommand);
+  EnterStageOrIdle(Stage::NeedsCommand);
 }
 
 void
@@ -182,7 +184,7 @@
 }
 
 void
-EngineReconciler::EnterStage(Stage aStage)
+EngineReconciler::EnterStageOrIdle(Stage aStage)
 {
   // Without commands no fence is needed.
   if (desired_.commands_.empty()) {
--- a/Libraries/LibAgent/EngineReconciler.h
+++ b/Libraries/LibAgent/EngineReconciler.h
@@ -18,16 +18,18 @@
 /// KEYPREFIX + "fence/" + endpoint.
 struct FenceRecord
 {
+  /// Fencing number; incremented by each process before it sends commands.
   std::uint64_t fence_ = 0;
-  std::uint64_t configurationVersion_ = 0; ///< Source of the commands.
-  std::string writeId_; ///< Id of the agent process that may send commands.
+  /// Version of the configuration that the commands implement.
+  std::uint64_t configurationVersion_ = 0;
+  std::string processId_; ///< Id of the agent process that may send commands.
 
   bool operator==(const FenceRecord&) const = default;
 };
 
 /// @return the record as one line of text.
 std::string
-WriteFenceRecord(const FenceRecord& aRecord);
+FormatFenceRecord(const FenceRecord& aRecord);
 
 /// @return the record, or CorruptRecord if the text is malformed.
 base::Result<FenceRecord>
@@ -36,7 +38,7 @@
 /// The fence record as read, with its revision for a compare-and-swap.
 struct FenceReading
 {
-  /// Fence 0 if the key does not exist.
+  /// Its fencing number is 0 if the key does not exist.
   FenceRecord record_;
   std::uint64_t revision_ = 0; ///< 0 if the key does not exist.
 };
@@ -63,8 +65,8 @@
 ///
 /// Commands of a former agent process may still be in transit, and some engines
 /// ignore fencing numbers. A process therefore sends commands only after it has
-/// incremented the fence in the platform's record by compare-and-swap, and
-/// stops when the record names another process or a newer configuration.
+/// incremented the fencing number in the platform's record by compare-and-swap,
+/// and stops when the record names another process or a newer configuration.
 /// Commands are repeated periodically, because an engine that ignores fencing
 /// numbers may have executed a late command of a former process. While the
 /// platform is unavailable no commands are sent and the engine keeps its state.
@@ -79,12 +81,14 @@
     /// Configuration version.
     std::uint64_t version_ = 0;
     std::vector<endpoint::EngineCommand> commands_;
-    base::Duration delay_{}; ///< Staggers the loads of a service's endpoints.
+    /// Delay before the models are loaded, so that a service's endpoints do not
+    /// load them at the same time.
+    base::Duration delay_{};
   };
 
-  /// @param aWriteId Unique to this process.
-  explicit EngineReconciler(std::string aWriteId)
-    : writeId_(std::move(aWriteId))
+  /// @param aProcessId Unique to this process.
+  explicit EngineReconciler(std::string aProcessId)
+    : processId_(std::move(aProcessId))
   {
   }
 
@@ -127,9 +131,9 @@
   };
 
   void RetryAfterBackoff(base::Instant aNow);
-  void EnterStage(Stage aStage);
+  void EnterStageOrIdle(Stage aStage);
 
-  std::string writeId_;
+  std::string processId_;
   DesiredState desired_;
   Stage stage_ = Stage::Idle;
   base::Instant notBefore_;
--- a/Libraries/LibAgent/EngineReconcilerRunner.cpp
+++ b/Libraries/LibAgent/EngineReconcilerRunner.cpp
@@ -32,7 +32,7 @@
 }
 
 void
-EngineReconcilerRunner::Run(endpoint::EngineClient& aEngine)
+EngineReconcilerRunner::ExecuteDueSteps(endpoint::EngineClient& aEngine)
 {
   std::unique_lock lock(mutex_);
   if (isRunning_) {
@@ -62,7 +62,7 @@
   const std::scoped_lock lock(mutex_);
   reconciler_.OnFenceRead(reading, base::MonotonicNow());
   if (reconciler_.IsSuperseded()) {
-    base::Log(kOrdersSuperseded, { { "key", key_ } });
+    base::Log(kCommandsSuperseded, { { "key", key_ } });
   }
 }
 
@@ -72,7 +72,7 @@
 {
   const auto swapped = base::Capture([&] {
     return keyValue_.CompareAndSwap({ platform::Swap{
-      key_, WriteFenceRecord(aStep.record_), aStep.expectedRevision_ } });
+      key_, FormatFenceRecord(aStep.record_), aStep.expectedRevision_ } });
   });
   const auto* failure = std::get_if<base::Failure>(&swapped);
   const ResultCode code = failure == nullptr ? ResultCode::Ok : failure->code_;
@@ -89,7 +89,7 @@
     base::Capture([&] { return aEngine.SendCommand(aStep.command_); });
   const auto* failure = std::get_if<base::Failure>(&sent);
   const ResultCode code = failure == nullptr ? ResultCode::Ok : failure->code_;
-  base::Log(kOrderSent,
+  base::Log(kCommandSent,
             { { "name", aStep.command_.name_ },
               { "version", aStep.command_.version_ },
               { "fence", aStep.command_.fence_ },
--- a/Libraries/LibAgent/EngineReconcilerRunner.h
+++ b/Libraries/LibAgent/EngineReconcilerRunner.h
@@ -16,22 +16,22 @@
 public:
   EngineReconcilerRunner(platform::KeyValueClient& aKeyValue,
                          std::string aKey,
-                         std::string aWriteId)
+                         std::string aProcessId)
     : keyValue_(aKeyValue)
     , key_(std::move(aKey))
-    , reconciler_(std::move(aWriteId))
+    , reconciler_(std::move(aProcessId))
   {
   }
 
   void SetDesiredState(EngineReconciler::DesiredState aDesired);
   void OnEngineRestarted();
 
-  /// @return whether Run() has something to do.
+  /// @return whether ExecuteDueSteps() has something to do.
   [[nodiscard]] bool IsDue() const;
 
   /// Executes all steps that are due. Blocks. Returns at once if another call
   /// is in progress.
-  void Run(endpoint::EngineClient& aEngine);
+  void ExecuteDueSteps(endpoint::EngineClient& aEngine);
 
 private:
   void Execute(const ReadFence& aStep, endpoint::EngineClient& aEngine);
--- a/Libraries/LibAgent/Events.h
+++ b/Libraries/LibAgent/Events.h
@@ -5,25 +5,27 @@
 /// Events of the agent's configuration and engine commands, 8101 to 8199.
 namespace pumiceturn::agent {
 
-inline constexpr base::Event kServiceUnknown{
+inline constexpr base::Event kEndpointNotDeclared{
   8101,
   "service_unknown",
   base::LogLevel::Warning,
-  "The current configuration does not declare this agent's endpoint."
+  "The current configuration does not declare this agent's service or "
+  "endpoint."
 };
 inline constexpr base::Event kEndpointDeclared{
   8102,
   "endpoint_declared",
   base::LogLevel::Info,
-  "The agent serves its endpoint as the configuration declares it."
+  "The agent applied the declaration of its endpoint."
 };
-inline constexpr base::Event kOrderSent{
+inline constexpr base::Event kCommandSent{
   8103,
   "order_sent",
   base::LogLevel::Info,
-  "A command to load a declared model or adapter was sent to the engine."
+  "The agent tried to send a command to load a declared model or adapter to "
+  "the engine; the code shows the result."
 };
-inline constexpr base::Event kOrdersSuperseded{
+inline constexpr base::Event kCommandsSuperseded{
   8104,
   "orders_superseded",
   base::LogLevel::Warning,
--- a/Libraries/LibAgent/StreamRunner.cpp
+++ b/Libraries/LibAgent/StreamRunner.cpp
@@ -15,9 +15,10 @@
 constexpr base::Duration kMaxPlainCallTime{ std::chrono::seconds{ 60 } };
 
 /// @return the stream's id at the engine. It contains the generation, so that a
-/// late cancellation of a preempted stream does not hit the resumed one.
+/// late cancellation of a preempted stream does not cancel the
+/// resumed one.
 std::string
-StreamNameOf(const dispatch::StreamId& aStream)
+EngineStreamIdOf(const dispatch::StreamId& aStream)
 {
   return base::ToString(aStream.run_) + "/" +
          std::to_string(aStream.generation_);
@@ -53,7 +54,7 @@
     const std::shared_ptr<endpoint::EngineClient>& aEngine) const
   {
     endpoint::CompletionRequest request;
-    request.id_ = StreamNameOf(start_.stream_);
+    request.id_ = EngineStreamIdOf(start_.stream_);
     request.model_ = model_;
     request.prompt_ = start_.payload_;
     request.maxTokens_ = start_.maxTokens_;
@@ -111,8 +112,8 @@
 
 } // namespace
 
-StreamRunner::StreamRunner(Backend aBackend, Handlers aHandlers)
-  : backend_(std::move(aBackend))
+StreamRunner::StreamRunner(EndpointClient aEndpointClient, Handlers aHandlers)
+  : endpointClient_(std::move(aEndpointClient))
   , handlers_(std::move(aHandlers))
 {
 }
@@ -128,9 +129,9 @@
   auto cancelled = std::make_shared<std::atomic<bool>>(false);
   {
     const std::scoped_lock lock(mutex_);
-    streams_[StreamNameOf(aStart.stream_)] = cancelled;
+    streams_[EngineStreamIdOf(aStart.stream_)] = cancelled;
   }
-  Run(
+  Post(
     [this,
      start = std::move(aStart),
      model = std::move(aModel),
@@ -143,10 +144,10 @@
                         const CancelFlag& aCancelled)
 {
   const StreamEnd end = std::visit(
-    StreamVisitor{ aStart, aModel, *aCancelled, handlers_ }, backend_);
+    StreamVisitor{ aStart, aModel, *aCancelled, handlers_ }, endpointClient_);
   {
     const std::scoped_lock lock(mutex_);
-    streams_.erase(StreamNameOf(aStart.stream_));
+    streams_.erase(EngineStreamIdOf(aStart.stream_));
   }
   handlers_.ended_(aStart.stream_, end);
 }
@@ -154,7 +155,7 @@
 void
 StreamRunner::Cancel(const dispatch::StreamId& aStream)
 {
-  const std::string name = StreamNameOf(aStream);
+  const std::string name = EngineStreamIdOf(aStream);
   {
     const std::scoped_lock lock(mutex_);
     const auto found = streams_.find(name);
@@ -165,11 +166,11 @@
     found->second->store(true);
   }
   const auto* engine =
-    std::get_if<std::shared_ptr<endpoint::EngineClient>>(&backend_);
+    std::get_if<std::shared_ptr<endpoint::EngineClient>>(&endpointClient_);
   if (engine == nullptr) {
     return;
   }
-  Run([engine = *engine, name] {
+  Post([engine = *engine, name] {
     // If the engine does not confirm, Cancel() closes the connection, which
     // ends the stream.
     static_cast<void>(base::Capture([&] { return engine->Cancel(name); }));
@@ -177,7 +178,7 @@
 }
 
 void
-StreamRunner::Run(std::function<void()> aTask)
+StreamRunner::Post(std::function<void()> aTask)
 {
   const std::scoped_lock lock(mutex_);
   if (stopping_) {
@@ -193,7 +194,7 @@
 bool
 StreamRunner::IsHealthy() const
 {
-  return std::visit(HealthVisitor{}, backend_);
+  return std::visit(HealthVisitor{}, endpointClient_);
 }
 
 void
@@ -232,7 +233,7 @@
   }
   wake_.notify_all();
   const auto* engine =
-    std::get_if<std::shared_ptr<endpoint::EngineClient>>(&backend_);
+    std::get_if<std::shared_ptr<endpoint::EngineClient>>(&endpointClient_);
   for (const std::string& name : running) {
     if (engine != nullptr) {
       static_cast<void>(base::Capture([&] { return (*engine)->Cancel(name); }));
--- a/Libraries/LibAgent/StreamRunner.h
+++ b/Libraries/LibAgent/StreamRunner.h
@@ -21,13 +21,12 @@
 namespace pumiceturn::agent {
 
 /// Client of the endpoint.
-using Backend = std::variant<std::shared_ptr<endpoint::EngineClient>,
-                             endpoint::PlainServiceClient>;
+using EndpointClient = std::variant<std::shared_ptr<endpoint::EngineClient>,
+                                    endpoint::PlainServiceClient>;
 
 /// Growing thread pool for the blocking HTTP exchanges with the endpoint: one
-/// thread for each running stream, cancellation and probe. Idle threads are
-/// reused. Thread-safe; handlers are called on these threads without a lock
-/// held.
+/// thread for each blocking task. Idle threads are reused. Thread-safe;
+/// handlers are called on these threads without a lock held.
 class StreamRunner
 {
 public:
@@ -39,7 +38,7 @@
       ended_;
   };
 
-  StreamRunner(Backend aBackend, Handlers aHandlers);
+  StreamRunner(EndpointClient aEndpointClient, Handlers aHandlers);
   ~StreamRunner();
   StreamRunner(const StreamRunner&) = delete;
   StreamRunner& operator=(const StreamRunner&) = delete;
@@ -52,7 +51,7 @@
   void Cancel(const dispatch::StreamId& aStream);
 
   /// Runs a blocking task on a thread of the pool. Does nothing after Stop().
-  void Run(std::function<void()> aTask);
+  void Post(std::function<void()> aTask);
 
   /// @return whether the endpoint responds to a health check. Blocks.
   [[nodiscard]] bool IsHealthy() const;
@@ -69,7 +68,7 @@
                  const std::string& aModel,
                  const CancelFlag& aCancelled);
 
-  const Backend backend_;
+  const EndpointClient endpointClient_;
   const Handlers handlers_;
   std::mutex mutex_; ///< Guards the members below.
   std::condition_variable wake_;
--- a/Libraries/LibDispatch/Action.h
+++ b/Libraries/LibDispatch/Action.h
@@ -68,10 +68,11 @@
   std::uint32_t cancelling_ = 0;
   std::uint32_t onlineWaiting_ = 0;
   std::uint32_t batchWaiting_ = 0;
-  std::uint32_t limit_ = 0;
+  /// Maximum number of concurrent requests at the engine.
+  std::uint32_t places_ = 0;
   std::uint32_t headroom_ = 0;
   std::uint32_t creditsOutstanding_ = 0;
-  std::uint32_t unrecorded_ = 0;
+  std::uint32_t unrecordedResults_ = 0;
   std::uint32_t expectedWaitMs_ = 0;
   bool draining_ = false;
   bool engineDown_ = false;
@@ -124,10 +125,12 @@
 {
   const base::Event* event_ = nullptr;
   wire::RunId run_;
+  /// Receiver of the run; for a preemption, that of the online run that caused
+  /// it.
   std::string peer_;
   wire::ResultCode code_ = wire::ResultCode::Ok;
-  base::Duration waitOrSlack_{}; ///< Expected or actual wait, or the slack of a
-                                 ///< preempted run.
+  base::Duration duration_{}; ///< Depends on the event: expected or actual
+                              ///< wait, slack, run time, downtime or age.
   SchedulerLoad load_;
 };
 
--- a/Libraries/LibDispatch/BurstTracker.cpp
+++ b/Libraries/LibDispatch/BurstTracker.cpp
@@ -9,8 +9,8 @@
 
 constexpr double kSampleWeight = 0.1;
 
-// Share of a preemption's latency until the cancel reaches the engine. The rest
-// is the time until the end of the stream is reported.
+// Share of the preemption latency that passes before the cancel reaches the
+// engine. The rest is the time until the end of the stream is reported.
 constexpr double kCancelShare = 0.5;
 
 double
@@ -26,22 +26,22 @@
 BurstTracker::OnArrival(base::Instant aNow)
 {
   const base::Duration window{ static_cast<std::int64_t>(
-    PreemptionTime(aNow)) };
+    PreemptionLatency(aNow)) };
   if (aNow - windowStart_ > window) {
     windowStart_ = aNow;
     windowArrivals_ = 0;
   }
   ++windowArrivals_;
   peak_ = std::max(DecayedPeak(aNow), static_cast<double>(windowArrivals_));
-  peakTime_ = aNow;
+  peakAt_ = aNow;
 }
 
 void
 BurstTracker::OnPreempted(base::Duration aLatency, base::Instant aNow)
 {
   const auto latency = static_cast<double>(aLatency.count());
-  const double average = PreemptionTime(aNow);
-  preemptionTime_ =
+  const double average = PreemptionLatency(aNow);
+  preemptionLatency_ =
     average == 0.0 ? latency : average + (latency - average) * kSampleWeight;
   lastPreemption_ = aNow;
 }
@@ -51,7 +51,7 @@
                        base::Duration aStep,
                        base::Instant aNow) const
 {
-  const double cancelTime = PreemptionTime(aNow) * kCancelShare;
+  const double cancelTime = PreemptionLatency(aNow) * kCancelShare;
   if (cancelTime <= static_cast<double>(aStep.count())) {
     return 0;
   }
@@ -63,15 +63,15 @@
 double
 BurstTracker::DecayedPeak(base::Instant aNow) const
 {
-  return peak_ * RecencyWeight(aNow - peakTime_, options_.halfLife_);
+  return peak_ * RecencyWeight(aNow - peakAt_, options_.halfLife_);
 }
 
-// Decays with time: headroom makes preemptions rare, so one slow preemption
-// must not keep the estimate high for ever.
+// The average decays with time: while there is headroom, there are hardly any
+// preemptions, so no new sample would correct a value that is too high.
 double
-BurstTracker::PreemptionTime(base::Instant aNow) const
+BurstTracker::PreemptionLatency(base::Instant aNow) const
 {
-  return preemptionTime_ *
+  return preemptionLatency_ *
          RecencyWeight(aNow - lastPreemption_, options_.halfLife_);
 }
 
--- a/Libraries/LibDispatch/BurstTracker.h
+++ b/Libraries/LibDispatch/BurstTracker.h
@@ -8,7 +8,8 @@
 
 /// Computes the headroom for online requests from recent bursts: the largest
 /// number of arrivals within the duration of one preemption, decaying over
-/// time. Later arrivals get their place by preemption. An engine admits
+/// time. Requests that arrive after that time get the places of batch streams
+/// that have been preempted meanwhile. An engine admits
 /// requests only between two decoding steps, so no headroom is needed if a
 /// cancel reaches it within one step. Not thread-safe.
 class BurstTracker
@@ -40,16 +41,16 @@
 
 private:
   [[nodiscard]] double DecayedPeak(base::Instant aNow) const;
-  [[nodiscard]] double PreemptionTime(base::Instant aNow) const;
+  [[nodiscard]] double PreemptionLatency(base::Instant aNow) const;
 
   Options options_;
   /// Microseconds; 0 before the first preemption.
-  double preemptionTime_ = 0.0;
+  double preemptionLatency_ = 0.0;
   base::Instant lastPreemption_;
   base::Instant windowStart_;
   std::uint32_t windowArrivals_ = 0;
   double peak_ = 0.0;
-  base::Instant peakTime_;
+  base::Instant peakAt_;
 };
 
 } // namespace pumiceturn::dispatch
--- a/Libraries/LibDispatch/ConcurrencyLimit.h
+++ b/Libraries/LibDispatch/ConcurrencyLimit.h
@@ -18,6 +18,8 @@
     /// Upper bound and initial limit.
     std::uint32_t max_ = 16;
     std::uint32_t min_ = 1;
+    /// Desired time to first token. Delays below half of it never lower the
+    /// limit.
     base::Duration firstTokenTarget_{ std::chrono::milliseconds{ 700 } };
   };
 
--- a/Libraries/LibDispatch/CreditLedger.cpp
+++ b/Libraries/LibDispatch/CreditLedger.cpp
@@ -36,10 +36,10 @@
 std::uint32_t
 CreditLedger::OutstandingOf(const Owner& aOwner)
 {
-  if (aOwner.received_ >= aOwner.granted_) {
+  if (aOwner.used_ >= aOwner.granted_) {
     return 0;
   }
-  const std::uint64_t unused = aOwner.granted_ - aOwner.received_;
+  const std::uint64_t unused = aOwner.granted_ - aOwner.used_;
   return static_cast<std::uint32_t>(
     std::min<std::uint64_t>(unused, aOwner.waiting_));
 }
@@ -47,8 +47,8 @@
 double
 CreditLedger::PriorityOf(const Owner& aOwner)
 {
-  // Highest averages method: the next credit goes to the owner with the most
-  // demand per run that it has or may still send.
+  // Each credit goes to the owner with the highest ratio of demand to the sum
+  // of its active runs and its unused credits (D'Hondt method).
   const double demand =
     static_cast<double>(aOwner.waiting_) * WeightOf(aOwner.slackMs_);
   return demand / (1.0 + static_cast<double>(aOwner.activeRuns_ +
@@ -56,9 +56,9 @@
 }
 
 void
-CreditLedger::OnDemand(std::string_view aOwner,
-                       std::uint32_t aWaiting,
-                       std::int64_t aSlackMs)
+CreditLedger::SetDemand(std::string_view aOwner,
+                        std::uint32_t aWaiting,
+                        std::int64_t aSlackMs)
 {
   Owner& owner = owners_[std::string(aOwner)];
   owner.waiting_ = aWaiting;
@@ -74,7 +74,7 @@
     return;
   }
   found->second.granted_ = 0;
-  found->second.received_ = 0;
+  found->second.used_ = 0;
   found->second.waiting_ = 0;
   UpdateTotals();
 }
@@ -97,7 +97,7 @@
 CreditLedger::OnCreditUsed(std::string_view aOwner)
 {
   Owner& owner = owners_[std::string(aOwner)];
-  ++owner.received_;
+  ++owner.used_;
   owner.waiting_ -= std::min(owner.waiting_, 1U);
   UpdateTotals();
 }
--- a/Libraries/LibDispatch/CreditLedger.h
+++ b/Libraries/LibDispatch/CreditLedger.h
@@ -9,7 +9,8 @@
 
 namespace pumiceturn::dispatch {
 
-/// Tracks the batch credits of each owner: demand, credits granted and credits
+/// Tracks the batch credits of each owner (the Keeper that owns a partition of
+/// the jobs and sends its items here): demand, credits granted and credits
 /// used. Credits are split in proportion to demand, weighted towards owners
 /// with little slack. Not thread-safe.
 class CreditLedger
@@ -25,14 +26,14 @@
 
   /// @param aWaiting Number of items waiting at the owner.
   /// @param aSlackMs Smallest slack of these items in milliseconds.
-  void OnDemand(std::string_view aOwner,
-                std::uint32_t aWaiting,
-                std::int64_t aSlackMs);
+  void SetDemand(std::string_view aOwner,
+                 std::uint32_t aWaiting,
+                 std::int64_t aSlackMs);
 
   /// Resets the owner's credits; both sides count from zero on a new link.
   void OnLinkUp(std::string_view aOwner);
 
-  /// Voids the unused credits of the owner.
+  /// The owner's unused credits no longer count as outstanding.
   void OnLinkLost(std::string_view aOwner);
 
   /// A batch run arrived from the owner and used a credit.
@@ -44,12 +45,12 @@
   /// A batch run of the owner ended.
   void OnRunRemoved(std::string_view aOwner);
 
-  /// @return the number of unused credits, counted up to the number of items
-  /// waiting at each owner.
+  /// @return the number of unused credits of all owners, for each owner at most
+  /// the number of its waiting items.
   [[nodiscard]] std::uint32_t Outstanding() const { return outstanding_; }
 
   /// @return whether any owner has more items waiting than unused credits.
-  [[nodiscard]] bool HasDemand() const { return unmetDemand_ > 0; }
+  [[nodiscard]] bool HasUnmetDemand() const { return unmetDemand_ > 0; }
 
   /// Grants up to aCredits credits.
   /// @return the owners whose total changed, ordered by name.
@@ -61,7 +62,7 @@
     std::uint32_t waiting_ = 0;
     std::int64_t slackMs_ = 0;
     std::uint64_t granted_ = 0;
-    std::uint64_t received_ = 0;
+    std::uint64_t used_ = 0;
     std::uint32_t activeRuns_ = 0; ///< Runs queued or running at this endpoint.
   };
 
--- a/Libraries/LibDispatch/EndpointScheduler.cpp
+++ b/Libraries/LibDispatch/EndpointScheduler.cpp
@@ -36,7 +36,7 @@
   , contentStatusOf_(std::move(aContentStatusOf))
   , limit_(options_.limit_)
   , bursts_(options_.bursts_)
-  , engineDown_(!options_.engineStartsUp_)
+  , engineDown_(!options_.isEngineInitiallyUp_)
 {
   SetPartitionCount(options_.partitionCount_);
 }
@@ -46,14 +46,14 @@
 {
   limit_.SetOptions(aLimit);
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 void
 EndpointScheduler::SetPartitionCount(std::uint32_t aCount)
 {
-  if (epochs_.size() != aCount) {
-    epochs_.assign(aCount, 0);
+  if (highestEpochs_.size() != aCount) {
+    highestEpochs_.assign(aCount, 0);
   }
 }
 
@@ -70,18 +70,18 @@
     return {};
   }
   admissionState_ = aState;
-  RecordDecision(
+  LogEvent(
     kDrainChanged, {}, {}, ResultCode::Ok, base::Duration{}, aMoment.now_);
   actions_.emplace_back(BroadcastHeartbeat{});
   if (admissionState_ == AdmissionState::Draining) {
     // Batch runs that have not started can run elsewhere without loss; accepted
     // online runs complete here.
     EndQueuedRuns(TrafficClass::Batch, ResultCode::Draining, aMoment);
-    ScheduleUndeliveredOffers(aMoment.now_);
-    OfferDueResults(aMoment);
+    MakeResultsOfLostPeersDue(aMoment.now_);
+    ResendDueResults(aMoment);
   }
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 Actions
@@ -93,12 +93,12 @@
     creditLedger_.OnCreditUsed(aPeer);
   }
   if (ReplyIfDuplicate(aPeer, aRequest)) {
-    return DrainActions();
+    return TakeActions();
   }
   const ResultCode code = CheckAdmission(aRequest, aMoment);
   if (code != ResultCode::Ok) {
     Refuse(aPeer, aRequest, code, aMoment);
-    return DrainActions();
+    return TakeActions();
   }
   if (!aRequest.online_) {
     creditLedger_.OnRunAccepted(aPeer);
@@ -106,20 +106,20 @@
   const wire::RunId id = aRequest.run_;
   Admit(aPeer, std::move(aRequest), aMoment);
   Dispatch(aMoment);
-  RecordIfQueued(id, aPeer, aMoment);
-  return DrainActions();
+  LogIfQueued(id, aPeer, aMoment);
+  return TakeActions();
 }
 
 // A request may arrive twice, because the link was replaced or the sender
-// retried. The same run is never started twice; the sender gets its current
-// state.
+// retried. The same run is never started twice. If it has ended, its end is
+// sent again.
 bool
 EndpointScheduler::ReplyIfDuplicate(const std::string& aPeer,
                                     const wire::StartRun& aRequest)
 {
   const auto found = runs_.find(aRequest.run_);
   if (found != runs_.end()) {
-    found->second.peer_ = aPeer;
+    found->second.receiver_ = aPeer;
     if (found->second.phase_ == RunPhase::Finished) {
       SendResponse(found->second, 0);
     }
@@ -138,7 +138,7 @@
 {
   // Another attempt at a non-idempotent item may have run here. Running it
   // again could duplicate its effect.
-  if (!aRequest.idempotent_ && history_.HasItem(aRequest.run_)) {
+  if (!aRequest.idempotent_ && history_.MayHaveRun(aRequest.run_)) {
     return ResultCode::OutcomeUnknown;
   }
   if (admissionState_ == AdmissionState::Draining) {
@@ -157,7 +157,7 @@
   if (engineDown_) {
     return ResultCode::NoEndpoint;
   }
-  if (responseBytes_ > options_.maxUnrecordedBytes_) {
+  if (responseBytes_ > options_.maxResponseBytes_) {
     return ResultCode::Overloaded;
   }
   if (aRequest.online_) {
@@ -178,29 +178,30 @@
   if (aRequest.deadlineMs_ == 0) {
     return ResultCode::Ok;
   }
-  const base::Duration left = std::chrono::milliseconds{ aRequest.deadlineMs_ };
-  const base::Duration run =
-    estimate_.ExpectedRunTime(aRequest.maxTokens_) * kRunMarginPercent / 100;
+  const base::Duration timeLeft =
+    std::chrono::milliseconds{ aRequest.deadlineMs_ };
+  const base::Duration runTime =
+    estimate_.ExpectedRunTime(aRequest.maxTokens_) * kRunTimePercent / 100;
   const base::Duration wait =
     std::chrono::milliseconds{ Load(aNow).expectedWaitMs_ };
-  if (wait > base::Duration::zero() && wait + run > left) {
+  if (wait > base::Duration::zero() && wait + runTime > timeLeft) {
     return ResultCode::Overloaded;
   }
   return ResultCode::Ok;
 }
 
 // An owner that was paused during a takeover still sends runs of its old epoch.
-// Keepers refuse its records; refusing its runs here keeps them from taking
-// places from the current owner's.
+// Keepers refuse to store its records. Its runs are refused here, so that they
+// do not take places from runs of the current owner.
 bool
 EndpointScheduler::IsStaleEpoch(const wire::StartRun& aRequest)
 {
-  if (aRequest.fence_ == 0 || epochs_.empty()) {
+  if (aRequest.fence_ == 0 || highestEpochs_.empty()) {
     return false;
   }
   const std::uint32_t partition = base::PartitionOf(
-    aRequest.run_.job_, static_cast<std::uint32_t>(epochs_.size()));
-  std::uint64_t& highest = epochs_[partition];
+    aRequest.run_.job_, static_cast<std::uint32_t>(highestEpochs_.size()));
+  std::uint64_t& highest = highestEpochs_[partition];
   if (aRequest.fence_ < highest) {
     return true;
   }
@@ -215,11 +216,11 @@
 {
   Run& run = runs_[aRequest.run_];
   run.request_ = std::move(aRequest);
-  run.peer_ = aPeer;
+  run.receiver_ = aPeer;
   run.starter_ = aPeer;
-  run.arrived_ = aMoment.now_;
+  run.arrivedAt_ = aMoment.now_;
   if (!run.request_.idempotent_) {
-    history_.RecordItem(run.request_.run_);
+    history_.AddItemThatMayHaveRun(run.request_.run_);
   }
   if (run.request_.deadlineMs_ != 0) {
     run.deadline_ =
@@ -240,9 +241,9 @@
 }
 
 void
-EndpointScheduler::RecordIfQueued(const wire::RunId& aRun,
-                                  const std::string& aPeer,
-                                  Moment aMoment)
+EndpointScheduler::LogIfQueued(const wire::RunId& aRun,
+                               const std::string& aPeer,
+                               Moment aMoment)
 {
   const auto found = runs_.find(aRun);
   if (found == runs_.end() || found->second.phase_ != RunPhase::Waiting ||
@@ -251,7 +252,7 @@
   }
   const base::Duration wait =
     std::chrono::milliseconds{ Load(aMoment.now_).expectedWaitMs_ };
-  RecordDecision(kRunQueued, aRun, aPeer, ResultCode::Ok, wait, aMoment.now_);
+  LogEvent(kRunQueued, aRun, aPeer, ResultCode::Ok, wait, aMoment.now_);
 }
 
 void
@@ -267,7 +268,7 @@
   ended.code_ = aCode;
   ended.ran_ = aCode == ResultCode::OutcomeUnknown ? Ran::Unknown : Ran::NotRun;
   ended.retryAfterMs_ = RetryAfterMs(aCode, wait);
-  RecordDecision(kRunRefused, aRequest.run_, aPeer, aCode, wait, aMoment.now_);
+  LogEvent(kRunRefused, aRequest.run_, aPeer, aCode, wait, aMoment.now_);
   history_.RecordEnd(ended);
   Send(aPeer, std::move(ended));
 }
@@ -280,8 +281,8 @@
   const auto found = runs_.find(aCancel.run_);
   if (found == runs_.end()) {
     if (history_.Find(aCancel.run_) == nullptr) {
-      // The StartRun may still be in transit on an older link. Recording the
-      // end makes it be refused on arrival.
+      // The StartRun may still be in transit on an older link. With the end
+      // in the history, the StartRun is answered with it and starts nothing.
       wire::RunEnded ended;
       ended.run_ = aCancel.run_;
       ended.code_ = ResultCode::Cancelled;
@@ -289,12 +290,12 @@
       history_.RecordEnd(ended);
     }
     Send(aPeer, *history_.Find(aCancel.run_));
-    return DrainActions();
+    return TakeActions();
   }
-  found->second.peer_ = aPeer;
+  found->second.receiver_ = aPeer;
   Stop(found->second, ResultCode::Cancelled, aMoment);
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 void
@@ -336,27 +337,27 @@
 {
   const auto found = runs_.find(aAttach.run_);
   if (found != runs_.end()) {
-    found->second.peer_ = aPeer;
+    found->second.receiver_ = aPeer;
     SendResponse(found->second, aAttach.receivedSequence_);
-    return DrainActions();
+    return TakeActions();
   }
   if (const wire::RunEnded* ended = history_.Find(aAttach.run_)) {
     Send(aPeer, *ended);
-    return DrainActions();
+    return TakeActions();
   }
   wire::RunEnded ended;
   ended.run_ = aAttach.run_;
   ended.code_ = ResultCode::EndpointLost;
   ended.ran_ = Ran::Unknown;
-  RecordDecision(kRunRefused,
-                 aAttach.run_,
-                 aPeer,
-                 ResultCode::EndpointLost,
-                 base::Duration{},
-                 aMoment.now_);
+  LogEvent(kRunRefused,
+           aAttach.run_,
+           aPeer,
+           ResultCode::EndpointLost,
+           base::Duration{},
+           aMoment.now_);
   history_.RecordEnd(ended);
   Send(aPeer, std::move(ended));
-  return DrainActions();
+  return TakeActions();
 }
 
 // Sends chunks only to the peer that started the run; any other peer gets the
@@ -365,17 +366,17 @@
 EndpointScheduler::SendResponse(const Run& aRun,
                                 std::uint64_t aReceivedSequence)
 {
-  if (aRun.peer_ == aRun.starter_) {
+  if (aRun.receiver_ == aRun.starter_) {
     for (std::size_t index = aReceivedSequence; index < aRun.chunks_.size();
          ++index) {
       const ResponseChunk& chunk = aRun.chunks_[index];
-      Send(aRun.peer_,
+      Send(aRun.receiver_,
            wire::Chunk{
              aRun.request_.run_, index + 1, chunk.text_, chunk.tokens_ });
     }
   }
   if (aRun.phase_ == RunPhase::Finished) {
-    Send(aRun.peer_, MakeRunEnded(aRun, aRun.peer_));
+    Send(aRun.receiver_, MakeRunEnded(aRun, aRun.receiver_));
   }
 }
 
@@ -387,9 +388,9 @@
   if (aDemand.service_ != options_.service_) {
     return {};
   }
-  creditLedger_.OnDemand(aPeer, aDemand.waiting_, aDemand.slackMs_);
+  creditLedger_.SetDemand(aPeer, aDemand.waiting_, aDemand.slackMs_);
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 Actions
@@ -398,7 +399,7 @@
   lostPeers_.erase(aPeer);
   creditLedger_.OnLinkUp(aPeer);
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 void
@@ -413,7 +414,7 @@
 {
   DropQueuedBatchOf(aPeer, aMoment);
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 void
@@ -421,9 +422,9 @@
 {
   std::vector<Run*> dropped;
   for (auto& [id, run] : runs_) {
-    const bool hasNotStarted =
+    const bool isQueued =
       run.phase_ == RunPhase::Waiting || run.phase_ == RunPhase::Held;
-    if (run.peer_ == aPeer && hasNotStarted && !run.mayHaveRun_ &&
+    if (run.receiver_ == aPeer && isQueued && !run.mayHaveRun_ &&
         !run.IsOnline()) {
       dropped.push_back(&run);
     }
@@ -453,15 +454,16 @@
   load.cancelling_ = cancelling_;
   load.onlineWaiting_ = queue_.OnlineCount();
   load.batchWaiting_ = queue_.BatchCount();
-  load.limit_ = limit_.Current();
+  load.places_ = limit_.Current();
   load.headroom_ = Headroom(aNow);
   load.creditsOutstanding_ = creditLedger_.Outstanding();
-  load.unrecorded_ = static_cast<std::uint32_t>(offers_.size());
+  load.unrecordedResults_ =
+    static_cast<std::uint32_t>(unrecordedResults_.size());
   load.draining_ = admissionState_ == AdmissionState::Draining;
   load.engineDown_ = engineDown_;
-  if (load.onlineWaiting_ > 0 || !HasRoomForOnline()) {
+  if (load.onlineWaiting_ > 0 || !HasPlaceForOnline()) {
     const base::Duration wait =
-      estimate_.ExpectedWait(load.onlineWaiting_ + 1, load.limit_);
+      estimate_.ExpectedWait(load.onlineWaiting_ + 1, load.places_);
     load.expectedWaitMs_ = static_cast<std::uint32_t>(base::ToMs(wait));
   }
   return load;
@@ -483,19 +485,19 @@
 }
 
 void
-EndpointScheduler::RecordDecision(const base::Event& aEvent,
-                                  const wire::RunId& aRun,
-                                  const std::string& aPeer,
-                                  ResultCode aCode,
-                                  base::Duration aWaitOrSlack,
-                                  base::Instant aNow)
+EndpointScheduler::LogEvent(const base::Event& aEvent,
+                            const wire::RunId& aRun,
+                            const std::string& aPeer,
+                            ResultCode aCode,
+                            base::Duration aDuration,
+                            base::Instant aNow)
 {
   actions_.emplace_back(
-    LogDecision{ &aEvent, aRun, aPeer, aCode, aWaitOrSlack, Load(aNow) });
+    LogDecision{ &aEvent, aRun, aPeer, aCode, aDuration, Load(aNow) });
 }
 
 Actions
-EndpointScheduler::DrainActions()
+EndpointScheduler::TakeActions()
 {
   return std::exchange(actions_, {});
 }
--- a/Libraries/LibDispatch/EndpointScheduler.h
+++ b/Libraries/LibDispatch/EndpointScheduler.h
@@ -50,7 +50,8 @@
 };
 
 /// Schedules the requests of one endpoint: decides which run, wait, are refused
-/// or are preempted, and keeps results until they are recorded. Does no I/O:
+/// or are preempted, and keeps results until their owner reports that they are
+/// stored durably (recorded). Does no I/O:
 /// each input returns the resulting actions, which the caller must execute in
 /// order. Not thread-safe.
 class EndpointScheduler
@@ -64,14 +65,16 @@
     ConcurrencyLimit::Options limit_;
     BurstTracker::Options bursts_;
     std::uint32_t maxQueuedOnline_ = 256;
-    /// Bounds runs that are sent without a credit.
+    /// Maximum number of queued batch runs; reached only if owners send runs
+    /// without a credit.
     std::uint32_t maxQueuedBatch_ = 256;
-    /// New work is refused while the kept responses exceed this.
-    std::size_t maxUnrecordedBytes_ = std::size_t{ 16 } << 20U;
-    /// 0 if unknown; epochs are not checked then.
+    /// New work is refused while the partial and the unrecorded responses
+    /// together exceed this.
+    std::size_t maxResponseBytes_ = std::size_t{ 16 } << 20U;
+    /// 0 if unknown; the epochs of runs are not checked then.
     std::uint32_t partitionCount_ = 0;
     /// Whether the engine is initially assumed to be up.
-    bool engineStartsUp_ = true;
+    bool isEngineInitiallyUp_ = true;
   };
 
   /// Returns the status of the content with a fingerprint at the given time.
@@ -89,7 +92,7 @@
   void SetPartitionCount(std::uint32_t aCount);
 
   /// @param aKeepers Keepers whose link is up. Results that their receiver does
-  /// not record are offered to them.
+  /// not record are sent to one of them.
   void SetKeepers(std::vector<std::string> aKeepers);
 
   /// Starts or stops draining. Draining refuses new work and ends queued batch
@@ -97,7 +100,8 @@
   Actions SetAdmissionState(AdmissionState aState, Moment aMoment);
 
   /// Queues or starts a run, or refuses it with a RunEnded message. A duplicate
-  /// of a known run is answered with the current state and starts nothing.
+  /// of a known run starts nothing: its sender becomes the receiver of the
+  /// result, and gets the result at once if the run has ended.
   Actions OnStartRun(const std::string& aPeer,
                      wire::StartRun aRequest,
                      Moment aMoment);
@@ -108,15 +112,15 @@
                       const wire::CancelRun& aCancel,
                       Moment aMoment);
 
-  /// Makes the peer the receiver of a run's updates and sends it the part of
-  /// the response that it has yet to receive. An unknown run ends as
+  /// Makes the peer the receiver of the run's result. The peer that started the
+  /// run also gets the chunks after receivedSequence_. An unknown run ends as
   /// EndpointLost.
   Actions OnAttachRun(const std::string& aPeer,
                       const wire::AttachRun& aAttach,
                       Moment aMoment);
 
-  /// Releases the result of a run, or cancels the run if another attempt was
-  /// recorded first.
+  /// Releases the result of a run, or cancels the run if the result of another
+  /// attempt was recorded first.
   Actions OnRunRecorded(const wire::RunRecorded& aRecorded, Moment aMoment);
 
   /// Updates the number of batch items that wait at the peer.
@@ -144,12 +148,12 @@
   /// The engine responded to a probe; resumes dispatch.
   Actions OnEngineUp(Moment aMoment);
 
-  /// Handles deadlines, overdue results, lost peers, crash checks and engine
+  /// Handles deadlines, unrecorded results, lost peers, crash checks and engine
   /// probes. Must be called every kTickInterval.
   Actions OnTick(Moment aMoment);
 
-  /// Expected run time is scaled by this to allow for variance.
-  static constexpr std::int64_t kRunMarginPercent = 130;
+  /// Percentage of the expected run time that must fit before a deadline.
+  static constexpr std::int64_t kRunTimePercent = 130;
 
   static constexpr base::Duration kTickInterval{ std::chrono::milliseconds{
     50 } };
@@ -167,13 +171,14 @@
                                                 Moment aMoment);
   [[nodiscard]] wire::ResultCode CheckOnline(const wire::StartRun& aRequest,
                                              base::Instant aNow) const;
+  // The fence of a run is the epoch of the partition at the run's owner.
   [[nodiscard]] bool IsStaleEpoch(const wire::StartRun& aRequest);
   [[nodiscard]] bool ReplyIfDuplicate(const std::string& aPeer,
                                       const wire::StartRun& aRequest);
   void Admit(const std::string& aPeer, wire::StartRun aRequest, Moment aMoment);
-  void RecordIfQueued(const wire::RunId& aRun,
-                      const std::string& aPeer,
-                      Moment aMoment);
+  void LogIfQueued(const wire::RunId& aRun,
+                   const std::string& aPeer,
+                   Moment aMoment);
   void DropQueuedBatchOf(std::string_view aPeer, Moment aMoment);
   void DropQueuedBatchOfLostPeers(Moment aMoment);
   void Refuse(const std::string& aPeer,
@@ -185,7 +190,7 @@
 
   // EndpointSchedulerStreams.cpp: events from the engine.
   Run* FindStream(const StreamId& aStream);
-  void RecordToken(Run& aRun, base::Instant aNow);
+  void AddTokenSample(Run& aRun, base::Instant aNow);
   void Requeue(Run& aRun, Moment aMoment);
   void OnCancelled(Run& aRun, const StreamEnd& aEnd, Moment aMoment);
   void OnNotSent(Run& aRun, const StreamEnd& aEnd, Moment aMoment);
@@ -203,18 +208,20 @@
   // EndpointSchedulerDispatch.cpp: choice of the next run.
   void Dispatch(Moment aMoment);
   bool ScreenContent(Run& aRun, Moment aMoment);
-  bool StartHeld(Moment aMoment);
-  bool StartOnline(Moment aMoment);
+  // The HandleNext...() functions return whether a run was started, refused or
+  // held back.
+  bool HandleNextHeld(Moment aMoment);
+  bool HandleNextOnline(Moment aMoment);
   [[nodiscard]] bool CannotMeetDeadline(const Run& aRun,
                                         base::Instant aNow) const;
-  void RecordQueuedStart(base::Instant aNow);
-  bool StartBatch(Moment aMoment);
+  void AddQueuedStartSample(base::Instant aNow);
+  bool HandleNextBatch(Moment aMoment);
   bool PreemptBatchFor(const Run& aRequester, Moment aMoment);
   void Start(Run& aRun, Moment aMoment);
   void GrantCredits(Moment aMoment);
-  [[nodiscard]] bool HasRoomForOnline() const;
+  [[nodiscard]] bool HasPlaceForOnline() const;
   [[nodiscard]] std::uint32_t Headroom(base::Instant aNow) const;
-  [[nodiscard]] bool HasRoomForBatch(base::Instant aNow) const;
+  [[nodiscard]] bool HasPlaceForBatch(base::Instant aNow) const;
 
   // EndpointSchedulerResults.cpp: ended runs and their results.
   void EndAsNotRun(Run& aRun,
@@ -227,30 +234,30 @@
               const std::string& aDetail,
               Moment aMoment);
   void RetainResult(Run& aRun, base::Instant aNow);
-  void OfferResult(Run& aRun, Moment aMoment);
-  void OfferDueResults(Moment aMoment);
-  void ScheduleUndeliveredOffers(base::Instant aNow);
+  void ResendResult(Run& aRun, Moment aMoment);
+  void ResendDueResults(Moment aMoment);
+  void MakeResultsOfLostPeersDue(base::Instant aNow);
   [[nodiscard]] wire::RunEnded MakeRunEnded(const Run& aRun,
                                             const std::string& aPeer) const;
-  void Detach(Run& aRun);
+  void RemoveFromLists(Run& aRun);
   void EraseRun(Run& aRun);
 
   void SetPhase(Run& aRun, RunPhase aPhase);
-  void CountAtEngine(const Run& aRun, int aStep);
+  void CountAtEngine(const Run& aRun, int aDelta);
   void EnterEngine(Run& aRun);
   void LeaveEngine(Run& aRun);
   void Send(const std::string& aPeer, wire::Message aMessage);
-  void RecordDecision(const base::Event& aEvent,
-                      const wire::RunId& aRun,
-                      const std::string& aPeer,
-                      wire::ResultCode aCode,
-                      base::Duration aWaitOrSlack,
-                      base::Instant aNow);
+  void LogEvent(const base::Event& aEvent,
+                const wire::RunId& aRun,
+                const std::string& aPeer,
+                wire::ResultCode aCode,
+                base::Duration aDuration,
+                base::Instant aNow);
   [[nodiscard]] std::uint32_t AtEngineCount() const
   {
     return static_cast<std::uint32_t>(atEngine_.size());
   }
-  [[nodiscard]] Actions DrainActions();
+  [[nodiscard]] Actions TakeActions();
 
   Options options_;
   ContentStatusLookup contentStatusOf_;
@@ -266,11 +273,14 @@
   std::vector<Run*> held_;
   std::vector<Run*> broken_;
   std::multimap<base::Instant, Run*> deadlines_;
-  std::multimap<base::Instant, Run*> offers_;
-  /// When their queued batch runs are dropped.
+  /// Unrecorded results by the time at which they are sent again.
+  std::multimap<base::Instant, Run*> unrecordedResults_;
+  /// Peers whose link is down, with the time at which their queued batch runs
+  /// are ended.
   std::map<std::string, base::Instant, std::less<>> lostPeers_;
   std::vector<std::string> keepers_;
-  std::vector<std::uint64_t> epochs_;
+  /// Highest epoch seen, by partition.
+  std::vector<std::uint64_t> highestEpochs_;
 
   std::uint32_t onlineRunning_ = 0;
   std::uint32_t batchRunning_ = 0;
--- a/Libraries/LibDispatch/EndpointSchedulerDispatch.cpp
+++ b/Libraries/LibDispatch/EndpointSchedulerDispatch.cpp
@@ -11,9 +11,11 @@
 
 namespace {
 
-// Grants credits for 1/8 more runs than there are places, so that the next item
-// is already queued when a place becomes free.
+// Credits are granted for 1/8 more runs than there are places, so that the next
+// item is already queued when a place becomes free.
 constexpr std::uint32_t kCreditPipelineDivisor = 8;
+// With PassThrough the engine queues, so credits are granted for twice as many
+// runs as there are places.
 constexpr std::uint32_t kPassThroughCreditFactor = 2;
 
 std::uint32_t
@@ -30,22 +32,23 @@
   if (engineDown_ || !broken_.empty()) {
     return;
   }
-  while (StartHeld(aMoment) || StartOnline(aMoment) || StartBatch(aMoment)) {
+  while (HandleNextHeld(aMoment) || HandleNextOnline(aMoment) ||
+         HandleNextBatch(aMoment)) {
   }
   GrantCredits(aMoment);
 }
 
 bool
-EndpointScheduler::HasRoomForOnline() const
+EndpointScheduler::HasPlaceForOnline() const
 {
-  // The place of a cancelled stream counts as free: the engine admits at its
-  // next step, when the stream has ended.
+  // The place of a cancelled stream counts as free, because the engine admits
+  // new requests only at its next step, and by then the stream has ended.
   return !QueuesAtAgent(options_.policy_) ||
          onlineRunning_ + batchRunning_ < limit_.Current();
 }
 
 bool
-EndpointScheduler::HasRoomForBatch(base::Instant aNow) const
+EndpointScheduler::HasPlaceForBatch(base::Instant aNow) const
 {
   if (!QueuesAtAgent(options_.policy_)) {
     return true;
@@ -85,7 +88,7 @@
 }
 
 bool
-EndpointScheduler::StartHeld(Moment aMoment)
+EndpointScheduler::HandleNextHeld(Moment aMoment)
 {
   if (held_.empty() || suspectsAtEngine_ > 0) {
     return false;
@@ -94,8 +97,8 @@
   if (ScreenContent(run, aMoment)) {
     return true;
   }
-  if (run.IsOnline() ? !(HasRoomForOnline() || PreemptBatchFor(run, aMoment))
-                     : !HasRoomForBatch(aMoment.now_)) {
+  if (run.IsOnline() ? !(HasPlaceForOnline() || PreemptBatchFor(run, aMoment))
+                     : !HasPlaceForBatch(aMoment.now_)) {
     return false;
   }
   held_.erase(held_.begin());
@@ -104,7 +107,7 @@
 }
 
 bool
-EndpointScheduler::StartOnline(Moment aMoment)
+EndpointScheduler::HandleNextOnline(Moment aMoment)
 {
   Run* run = queue_.FirstOnline();
   if (run == nullptr) {
@@ -113,7 +116,7 @@
   if (ScreenContent(*run, aMoment)) {
     return true;
   }
-  while (!HasRoomForOnline()) {
+  while (!HasPlaceForOnline()) {
     if (!PreemptBatchFor(*run, aMoment)) {
       return false;
     }
@@ -122,7 +125,7 @@
     Stop(*run, ResultCode::DeadlineTooShort, aMoment);
     return true;
   }
-  RecordQueuedStart(aMoment.now_);
+  AddQueuedStartSample(aMoment.now_);
   queue_.Remove(*run);
   Start(*run, aMoment);
   return true;
@@ -134,13 +137,12 @@
 EndpointScheduler::CannotMeetDeadline(const Run& aRun, base::Instant aNow) const
 {
   const base::Duration expected =
-    estimate_.ExpectedRunTime(aRun.request_.maxTokens_) * kRunMarginPercent /
-    100;
-  return aRun.arrived_ < aNow && aRun.deadline_ - aNow < expected;
+    estimate_.ExpectedRunTime(aRun.request_.maxTokens_) * kRunTimePercent / 100;
+  return aRun.arrivedAt_ < aNow && aRun.deadline_ - aNow < expected;
 }
 
 void
-EndpointScheduler::RecordQueuedStart(base::Instant aNow)
+EndpointScheduler::AddQueuedStartSample(base::Instant aNow)
 {
   if (queue_.OnlineCount() > 1) {
     estimate_.OnQueuedStart(aNow);
@@ -150,10 +152,10 @@
 }
 
 bool
-EndpointScheduler::StartBatch(Moment aMoment)
+EndpointScheduler::HandleNextBatch(Moment aMoment)
 {
   Run* run = queue_.FirstBatch();
-  if (run == nullptr || !HasRoomForBatch(aMoment.now_)) {
+  if (run == nullptr || !HasPlaceForBatch(aMoment.now_)) {
     return false;
   }
   if (ScreenContent(*run, aMoment)) {
@@ -178,14 +180,14 @@
   }
   const base::Duration slack = SlackOf(*victim, estimate_, aMoment.now_);
   SetPhase(*victim, RunPhase::Preempting);
-  victim->preempted_ = aMoment.now_;
+  victim->preemptedAt_ = aMoment.now_;
   ++victim->preemptions_;
-  RecordDecision(kRunPreempted,
-                 victim->request_.run_,
-                 aRequester.peer_,
-                 ResultCode::Preempted,
-                 slack,
-                 aMoment.now_);
+  LogEvent(kRunPreempted,
+           victim->request_.run_,
+           aRequester.receiver_,
+           ResultCode::Preempted,
+           slack,
+           aMoment.now_);
   actions_.emplace_back(CancelStream{ victim->Stream() });
   return true;
 }
@@ -193,14 +195,14 @@
 void
 EndpointScheduler::Start(Run& aRun, Moment aMoment)
 {
-  RecordDecision(kRunStarted,
-                 aRun.request_.run_,
-                 aRun.peer_,
-                 ResultCode::Ok,
-                 aMoment.now_ - aRun.arrived_,
-                 aMoment.now_);
+  LogEvent(kRunStarted,
+           aRun.request_.run_,
+           aRun.receiver_,
+           ResultCode::Ok,
+           aMoment.now_ - aRun.arrivedAt_,
+           aMoment.now_);
   ++aRun.generation_;
-  aRun.started_ = aMoment.now_;
+  aRun.startedAt_ = aMoment.now_;
   aRun.lastToken_ = aMoment.now_;
   aRun.hasFirstToken_ = false;
   EnterEngine(aRun);
@@ -221,30 +223,31 @@
 EndpointScheduler::GrantCredits(Moment aMoment)
 {
   if (admissionState_ == AdmissionState::Draining ||
-      !creditLedger_.HasDemand() ||
-      responseBytes_ > options_.maxUnrecordedBytes_) {
+      !creditLedger_.HasUnmetDemand() ||
+      responseBytes_ > options_.maxResponseBytes_) {
     return;
   }
   const SchedulerLoad load = Load(aMoment.now_);
-  const std::uint32_t places = QueuesAtAgent(options_.policy_)
-                                 ? load.limit_ + PipelineCredits(load.limit_)
-                                 : load.limit_ * kPassThroughCreditFactor;
-  const std::uint32_t taken = AtEngineCount() + load.onlineWaiting_ +
-                              load.batchWaiting_ + load.headroom_ +
-                              load.creditsOutstanding_ +
-                              static_cast<std::uint32_t>(held_.size());
-  if (taken >= places) {
+  const std::uint32_t maxAccepted =
+    QueuesAtAgent(options_.policy_)
+      ? load.places_ + PipelineCredits(load.places_)
+      : load.places_ * kPassThroughCreditFactor;
+  const std::uint32_t accepted = AtEngineCount() + load.onlineWaiting_ +
+                                 load.batchWaiting_ + load.headroom_ +
+                                 load.creditsOutstanding_ +
+                                 static_cast<std::uint32_t>(held_.size());
+  if (accepted >= maxAccepted) {
     return;
   }
   const std::vector<CreditLedger::Grant> grants =
-    creditLedger_.Allocate(places - taken);
+    creditLedger_.Allocate(maxAccepted - accepted);
   for (const CreditLedger::Grant& grant : grants) {
-    RecordDecision(kCreditsGranted,
-                   {},
-                   grant.owner_,
-                   ResultCode::Ok,
-                   base::Duration{},
-                   aMoment.now_);
+    LogEvent(kCreditsGranted,
+             {},
+             grant.owner_,
+             ResultCode::Ok,
+             base::Duration{},
+             aMoment.now_);
     Send(grant.owner_, wire::BatchGrant{ options_.service_, grant.granted_ });
   }
 }
@@ -258,15 +261,15 @@
 }
 
 void
-EndpointScheduler::CountAtEngine(const Run& aRun, int aStep)
+EndpointScheduler::CountAtEngine(const Run& aRun, int aDelta)
 {
   switch (aRun.phase_) {
     case RunPhase::Running:
-      (aRun.IsOnline() ? onlineRunning_ : batchRunning_) += aStep;
+      (aRun.IsOnline() ? onlineRunning_ : batchRunning_) += aDelta;
       return;
     case RunPhase::Preempting:
     case RunPhase::Stopping:
-      cancelling_ += aStep;
+      cancelling_ += aDelta;
       return;
     default:
       return;
--- a/Libraries/LibDispatch/EndpointSchedulerResults.cpp
+++ b/Libraries/LibDispatch/EndpointSchedulerResults.cpp
@@ -11,16 +11,18 @@
 
 namespace {
 
-constexpr base::Duration kInitialOfferInterval{ std::chrono::seconds{ 5 } };
-constexpr base::Duration kMaxOfferInterval{ std::chrono::seconds{ 60 } };
+constexpr base::Duration kInitialResendInterval{ std::chrono::seconds{ 5 } };
+constexpr base::Duration kMaxResendInterval{ std::chrono::seconds{ 60 } };
 constexpr base::Duration kUnrecordedResultTtl{ std::chrono::hours{ 1 } };
-constexpr std::uint32_t kMaxOfferDoublings = 4;
+// Bounds the shift only; kMaxResendInterval is reached first.
+constexpr std::uint32_t kMaxResendDoublings = 4;
 
 base::Duration
-OfferInterval(std::uint32_t aOffers)
+ResendInterval(std::uint32_t aResends)
 {
-  const std::uint32_t doublings = std::min(aOffers, kMaxOfferDoublings);
-  return std::min(kInitialOfferInterval * (1U << doublings), kMaxOfferInterval);
+  const std::uint32_t doublings = std::min(aResends, kMaxResendDoublings);
+  return std::min(kInitialResendInterval * (1U << doublings),
+                  kMaxResendInterval);
 }
 
 std::string
@@ -45,7 +47,7 @@
                                const std::string& aDetail,
                                Moment aMoment)
 {
-  history_.RemoveItem(aRun.request_.run_);
+  history_.RemoveItemThatDidNotRun(aRun.request_.run_);
   const SchedulerLoad load = Load(aMoment.now_);
   wire::RunEnded ended;
   ended.run_ = aRun.request_.run_;
@@ -53,13 +55,13 @@
   ended.ran_ = Ran::NotRun;
   ended.retryAfterMs_ = load.expectedWaitMs_;
   ended.detail_ = aDetail;
-  RecordDecision(kRunRefused,
-                 aRun.request_.run_,
-                 aRun.peer_,
-                 aCode,
-                 aMoment.now_ - aRun.arrived_,
-                 aMoment.now_);
-  const std::string peer = aRun.peer_;
+  LogEvent(kRunRefused,
+           aRun.request_.run_,
+           aRun.receiver_,
+           aCode,
+           aMoment.now_ - aRun.arrivedAt_,
+           aMoment.now_);
+  const std::string peer = aRun.receiver_;
   EraseRun(aRun);
   history_.RecordEnd(ended);
   Send(peer, std::move(ended));
@@ -80,18 +82,18 @@
   end.lastSequence_ = aRun.chunks_.size();
   end.tokens_ = aRun.tokens_;
   end.detail_ = aDetail;
-  RecordDecision(kRunEnded,
-                 end.run_,
-                 aRun.peer_,
-                 end.code_,
-                 aMoment.now_ - aRun.arrived_,
-                 aMoment.now_);
+  LogEvent(kRunEnded,
+           end.run_,
+           aRun.receiver_,
+           end.code_,
+           aMoment.now_ - aRun.arrivedAt_,
+           aMoment.now_);
   if (end.code_ == ResultCode::Ok) {
     RetainResult(aRun, aMoment.now_);
     return;
   }
   wire::RunEnded ended = end;
-  const std::string peer = aRun.peer_;
+  const std::string peer = aRun.receiver_;
   EraseRun(aRun);
   history_.RecordEnd(ended);
   Send(peer, std::move(ended));
@@ -102,23 +104,25 @@
 void
 EndpointScheduler::RetainResult(Run& aRun, base::Instant aNow)
 {
-  Detach(aRun);
+  RemoveFromLists(aRun);
   SetPhase(aRun, RunPhase::Finished);
   aRun.request_.payload_ = {};
-  aRun.finished_ = aNow;
-  aRun.offerEntry_ = offers_.emplace(aNow + OfferInterval(0), &aRun);
+  aRun.finishedAt_ = aNow;
+  aRun.resendEntry_ =
+    unrecordedResults_.emplace(aNow + ResendInterval(0), &aRun);
   if (!aRun.IsOnline()) {
     creditLedger_.OnRunRemoved(aRun.starter_);
   }
-  Send(aRun.peer_, MakeRunEnded(aRun, aRun.peer_));
+  Send(aRun.receiver_, MakeRunEnded(aRun, aRun.receiver_));
 }
 
 wire::RunEnded
 EndpointScheduler::MakeRunEnded(const Run& aRun, const std::string& aPeer) const
 {
   wire::RunEnded ended = aRun.end_;
-  const bool hasChunks = aRun.request_.wantChunks_ && aPeer == aRun.starter_;
-  if (!hasChunks) {
+  const bool receiverHasChunks =
+    aRun.request_.wantChunks_ && aPeer == aRun.starter_;
+  if (!receiverHasChunks) {
     ended.text_ = FullResponse(aRun);
   }
   return ended;
@@ -137,82 +141,84 @@
     // The result of another attempt was recorded first.
     Stop(run, ResultCode::Cancelled, aMoment);
     Dispatch(aMoment);
-    return DrainActions();
+    return TakeActions();
   }
   wire::RunEnded ended;
   ended.run_ = aRecorded.run_;
   ended.code_ = ResultCode::EndpointLost;
   ended.ran_ = Ran::Unknown;
-  ended.detail_ = "recorded before";
+  ended.detail_ = "the result of this run has already been recorded";
   EraseRun(run);
   history_.RecordEnd(ended);
-  return DrainActions();
+  return TakeActions();
 }
 
 void
-EndpointScheduler::OfferDueResults(Moment aMoment)
+EndpointScheduler::ResendDueResults(Moment aMoment)
 {
-  while (!offers_.empty() && offers_.begin()->first <= aMoment.now_) {
-    Run& run = *offers_.begin()->second;
-    offers_.erase(offers_.begin());
-    run.offerEntry_.reset();
-    if (aMoment.now_ - run.finished_ >= kUnrecordedResultTtl) {
-      RecordDecision(kResultDropped,
-                     run.request_.run_,
-                     run.peer_,
-                     ResultCode::NotRecorded,
-                     aMoment.now_ - run.finished_,
-                     aMoment.now_);
+  while (!unrecordedResults_.empty() &&
+         unrecordedResults_.begin()->first <= aMoment.now_) {
+    Run& run = *unrecordedResults_.begin()->second;
+    unrecordedResults_.erase(unrecordedResults_.begin());
+    run.resendEntry_.reset();
+    if (aMoment.now_ - run.finishedAt_ >= kUnrecordedResultTtl) {
+      LogEvent(kResultDropped,
+               run.request_.run_,
+               run.receiver_,
+               ResultCode::NotRecorded,
+               aMoment.now_ - run.finishedAt_,
+               aMoment.now_);
       EraseRun(run);
       continue;
     }
-    OfferResult(run, aMoment);
+    ResendResult(run, aMoment);
   }
 }
 
 // Sends the result to its receiver again, because the first message may have
-// been lost with a link. If the receiver is lost, or a previous offer failed,
-// sends the complete response to a keeper, which forwards it to the owner of
-// the job's partition.
+// been lost with a link. If the receiver is lost, or the result was sent
+// again before and is still not recorded, sends the complete response to a
+// keeper, which forwards it to the owner of the job's partition.
 void
-EndpointScheduler::OfferResult(Run& aRun, Moment aMoment)
+EndpointScheduler::ResendResult(Run& aRun, Moment aMoment)
 {
-  const bool isLost = lostPeers_.contains(aRun.peer_);
-  const bool askKeeper = (isLost || aRun.offerCount_ > 0) && !keepers_.empty();
-  std::string receiver = aRun.peer_;
-  if (askKeeper) {
+  const bool isLost = lostPeers_.contains(aRun.receiver_);
+  const bool sendToKeeper =
+    (isLost || aRun.resendCount_ > 0) && !keepers_.empty();
+  std::string receiver = aRun.receiver_;
+  if (sendToKeeper) {
     receiver = keepers_[nextKeeper_ % keepers_.size()];
     ++nextKeeper_;
   }
-  ++aRun.offerCount_;
-  aRun.offerEntry_ =
-    offers_.emplace(aMoment.now_ + OfferInterval(aRun.offerCount_), &aRun);
-  RecordDecision(kResultOffered,
-                 aRun.request_.run_,
-                 receiver,
-                 ResultCode::Ok,
-                 aMoment.now_ - aRun.finished_,
-                 aMoment.now_);
+  ++aRun.resendCount_;
+  aRun.resendEntry_ = unrecordedResults_.emplace(
+    aMoment.now_ + ResendInterval(aRun.resendCount_), &aRun);
+  LogEvent(kResultOffered,
+           aRun.request_.run_,
+           receiver,
+           ResultCode::Ok,
+           aMoment.now_ - aRun.finishedAt_,
+           aMoment.now_);
   Send(receiver, MakeRunEnded(aRun, receiver));
 }
 
 void
-EndpointScheduler::ScheduleUndeliveredOffers(base::Instant aNow)
+EndpointScheduler::MakeResultsOfLostPeersDue(base::Instant aNow)
 {
   std::vector<Run*> undelivered;
-  for (const auto& [time, run] : offers_) {
-    if (lostPeers_.contains(run->peer_)) {
+  for (const auto& [time, run] : unrecordedResults_) {
+    if (lostPeers_.contains(run->receiver_)) {
       undelivered.push_back(run);
     }
   }
   for (Run* run : undelivered) {
-    offers_.erase(*run->offerEntry_);
-    run->offerEntry_ = offers_.emplace(aNow, run);
+    unrecordedResults_.erase(*run->resendEntry_);
+    run->resendEntry_ = unrecordedResults_.emplace(aNow, run);
   }
 }
 
 void
-EndpointScheduler::Detach(Run& aRun)
+EndpointScheduler::RemoveFromLists(Run& aRun)
 {
   if (aRun.IsAtEngine()) {
     LeaveEngine(aRun);
@@ -227,16 +233,16 @@
     deadlines_.erase(*aRun.deadlineEntry_);
     aRun.deadlineEntry_.reset();
   }
-  if (aRun.offerEntry_) {
-    offers_.erase(*aRun.offerEntry_);
-    aRun.offerEntry_.reset();
+  if (aRun.resendEntry_) {
+    unrecordedResults_.erase(*aRun.resendEntry_);
+    aRun.resendEntry_.reset();
   }
 }
 
 void
 EndpointScheduler::EraseRun(Run& aRun)
 {
-  Detach(aRun);
+  RemoveFromLists(aRun);
   if (!aRun.IsOnline() && aRun.phase_ != RunPhase::Finished) {
     creditLedger_.OnRunRemoved(aRun.starter_);
   }
--- a/Libraries/LibDispatch/EndpointSchedulerStreams.cpp
+++ b/Libraries/LibDispatch/EndpointSchedulerStreams.cpp
@@ -13,7 +13,8 @@
 
 // A crashed process closes all its connections within milliseconds.
 constexpr base::Duration kCrashWindow{ std::chrono::milliseconds{ 200 } };
-constexpr base::Duration kCrashRuledOutDelay{ std::chrono::milliseconds{ 50 } };
+// Data that arrives this long after a connection broke rules out a crash.
+constexpr base::Duration kMinActivityDelay{ std::chrono::milliseconds{ 50 } };
 constexpr base::Duration kProbeInterval{ std::chrono::milliseconds{ 100 } };
 constexpr base::Duration kEngineDownQueueTimeout{ std::chrono::seconds{ 10 } };
 
@@ -39,28 +40,28 @@
   if (run == nullptr) {
     return {};
   }
-  RecordToken(*run, aMoment.now_);
+  AddTokenSample(*run, aMoment.now_);
   OnEngineActivity(aMoment);
   run->tokens_ += aChunk.tokens_;
   run->responseBytes_ += aChunk.text_.size();
   responseBytes_ += aChunk.text_.size();
   if (!run->request_.wantChunks_) {
     run->text_ += aChunk.text_;
-    return DrainActions();
+    return TakeActions();
   }
   run->chunks_.push_back(std::move(aChunk));
-  if (run->peer_ == run->starter_) {
+  if (run->receiver_ == run->starter_) {
     const ResponseChunk& chunk = run->chunks_.back();
     Send(
-      run->peer_,
+      run->receiver_,
       wire::Chunk{
         run->request_.run_, run->chunks_.size(), chunk.text_, chunk.tokens_ });
   }
-  return DrainActions();
+  return TakeActions();
 }
 
 void
-EndpointScheduler::RecordToken(Run& aRun, base::Instant aNow)
+EndpointScheduler::AddTokenSample(Run& aRun, base::Instant aNow)
 {
   const base::Duration delay = aNow - aRun.lastToken_;
   aRun.lastToken_ = aNow;
@@ -87,13 +88,14 @@
   if (aEnd.result_ == StreamResult::Broken) {
     OnBroken(*run, aEnd, aMoment);
     Dispatch(aMoment);
-    return DrainActions();
+    return TakeActions();
   }
   LeaveEngine(*run);
   switch (aEnd.result_) {
     case StreamResult::Finished:
       if (run->IsOnline()) {
-        estimate_.OnOnlineFinished(aMoment.now_ - run->started_, run->tokens_);
+        estimate_.OnOnlineFinished(aMoment.now_ - run->startedAt_,
+                                   run->tokens_);
       }
       EndRun(*run, ResultCode::Ok, Ran::Ran, aEnd.detail_, aMoment);
       OnEngineActivity(aMoment);
@@ -113,7 +115,7 @@
       break;
   }
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 void
@@ -123,7 +125,7 @@
     aEnd.ran_ == Ran::NotRun && aRun.generation_ == 1;
   if (aRun.phase_ == RunPhase::Preempting) {
     aRun.mayHaveRun_ = !certainlyNotRun;
-    bursts_.OnPreempted(aMoment.now_ - aRun.preempted_, aMoment.now_);
+    bursts_.OnPreempted(aMoment.now_ - aRun.preemptedAt_, aMoment.now_);
     Requeue(aRun, aMoment);
     return;
   }
@@ -147,12 +149,12 @@
   const base::Instant latestStart =
     aRun.due_ - estimate_.ExpectedDecodeTime(maxTokens - aRun.tokens_);
   queue_.PushBatch(aRun, latestStart);
-  RecordDecision(kRunQueued,
-                 aRun.request_.run_,
-                 aRun.peer_,
-                 ResultCode::Preempted,
-                 latestStart - aMoment.now_,
-                 aMoment.now_);
+  LogEvent(kRunQueued,
+           aRun.request_.run_,
+           aRun.receiver_,
+           ResultCode::Preempted,
+           latestStart - aMoment.now_,
+           aMoment.now_);
 }
 
 void
@@ -202,12 +204,12 @@
       fingerprints.push_back(run->request_.fingerprint_);
     }
   }
-  RecordDecision(kEngineCrashed,
-                 broken_.front()->request_.run_,
-                 broken_.front()->peer_,
-                 ResultCode::EndpointCrashed,
-                 aMoment.now_ - crashCheckStart_,
-                 aMoment.now_);
+  LogEvent(kEngineCrashed,
+           broken_.front()->request_.run_,
+           broken_.front()->receiver_,
+           ResultCode::EndpointCrashed,
+           aMoment.now_ - crashCheckStart_,
+           aMoment.now_);
   // The heartbeat with the suspects must precede the ends of the runs, so that
   // peers do not retry suspect content at another endpoint as if it were clear.
   actions_.emplace_back(RecordCrash{ std::move(fingerprints) });
@@ -234,12 +236,12 @@
   engineDown_ = true;
   downSince_ = aMoment.now_;
   lastProbe_ = aMoment.now_;
-  RecordDecision(kEngineDown,
-                 {},
-                 {},
-                 ResultCode::NoEndpoint,
-                 base::Duration{},
-                 aMoment.now_);
+  LogEvent(kEngineDown,
+           {},
+           {},
+           ResultCode::NoEndpoint,
+           base::Duration{},
+           aMoment.now_);
   actions_.emplace_back(BroadcastHeartbeat{});
   actions_.emplace_back(ProbeEngine{});
   // Runs that have not started can run at another endpoint.
@@ -266,8 +268,8 @@
   }
 }
 
-// Ends preempted runs when the engine has been down for too long for a short
-// restart, so that their owners run them elsewhere.
+// Ends preempted runs when the engine has been down for longer than a restart
+// takes, so that their owners run them elsewhere.
 void
 EndpointScheduler::EndPreemptedRuns(Moment aMoment)
 {
@@ -288,7 +290,7 @@
 EndpointScheduler::OnEngineActivity(Moment aMoment)
 {
   if (!broken_.empty() &&
-      aMoment.now_ - crashCheckStart_ >= kCrashRuledOutDelay) {
+      aMoment.now_ - crashCheckStart_ >= kMinActivityDelay) {
     EndBrokenRuns(ResultCode::EndpointFailed, aMoment);
     Dispatch(aMoment);
   }
@@ -301,11 +303,11 @@
     return {};
   }
   engineDown_ = false;
-  RecordDecision(
+  LogEvent(
     kEngineUp, {}, {}, ResultCode::Ok, aMoment.now_ - downSince_, aMoment.now_);
   actions_.emplace_back(BroadcastHeartbeat{});
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 void
@@ -336,9 +338,9 @@
   }
   StopExpiredRuns(aMoment);
   DropQueuedBatchOfLostPeers(aMoment);
-  OfferDueResults(aMoment);
+  ResendDueResults(aMoment);
   Dispatch(aMoment);
-  return DrainActions();
+  return TakeActions();
 }
 
 } // namespace pumiceturn::dispatch
--- a/Libraries/LibDispatch/Events.h
+++ b/Libraries/LibDispatch/Events.h
@@ -21,7 +21,8 @@
   8003,
   "run_refused",
   base::LogLevel::Info,
-  "A request was refused before anything reached the engine."
+  "A request was refused or ended before anything reached the engine, or a "
+  "peer asked for a run that is unknown here."
 };
 inline constexpr base::Event kRunPreempted{
   8004,
@@ -39,8 +40,8 @@
   8006,
   "engine_crashed",
   base::LogLevel::Error,
-  "All streams at the engine broke at the same time; their contents are marked "
-  "as suspect."
+  "All streams at the engine broke at the same time; the content of "
+  "their requests is marked as suspect."
 };
 inline constexpr base::Event kEngineUp{
   8007,
@@ -77,7 +78,8 @@
   8012,
   "engine_down",
   base::LogLevel::Warning,
-  "The engine accepts no connections; requests are refused as not run."
+  "The engine accepts no connections; requests are refused without being "
+  "sent."
 };
 
 } // namespace pumiceturn::dispatch
--- a/Libraries/LibDispatch/Policy.h
+++ b/Libraries/LibDispatch/Policy.h
@@ -5,15 +5,16 @@
 
 namespace pumiceturn::dispatch {
 
-/// Baseline: sends every request to the engine on arrival; the engine queues.
+/// Sends every request to the engine on arrival; the engine queues. Called
+/// engine order in the settings.
 struct PassThrough
 {};
 
-/// Baseline: queues online before batch at the agent; never preempts.
+/// Queues requests at the agent, online runs before batch runs; never preempts.
 struct StrictPriority
 {};
 
-/// Baseline: keeps a fixed number of places free of batch.
+/// Keeps a fixed number of places free of batch.
 struct StaticHeadroom
 {
   std::uint32_t places_ = 0;
--- a/Libraries/LibDispatch/Preemption.cpp
+++ b/Libraries/LibDispatch/Preemption.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double kBytesPerToken = 4.0;
+constexpr double kBytesPerToken = 4.0; // Rough average, for ranking only.
 constexpr double kMinSlackSeconds = 0.001;
 
 double
--- a/Libraries/LibDispatch/PrefixCacheTracker.cpp
+++ b/Libraries/LibDispatch/PrefixCacheTracker.cpp
@@ -7,26 +7,26 @@
 namespace pumiceturn::dispatch {
 
 void
-PrefixCacheTracker::OnRun(std::uint64_t aPrefix, std::string_view aPayload)
+PrefixCacheTracker::OnRun(std::uint64_t aPrefixId, std::string_view aPayload)
 {
-  if (aPrefix == 0 || prefixes_.contains(aPrefix)) {
+  if (aPrefixId == 0 || prefixes_.contains(aPrefixId)) {
     return;
   }
-  Prefix& prefixEntry = prefixes_[aPrefix];
+  Prefix& prefixEntry = prefixes_[aPrefixId];
   prefixEntry.head_ = aPayload.substr(0, kHeadBytes);
-  insertionOrder_.push_back(aPrefix);
-  Index(aPrefix, prefixEntry);
+  insertionOrder_.push_back(aPrefixId);
+  Index(aPrefixId, prefixEntry);
   if (insertionOrder_.size() > kMaxPrefixes) {
     prefixes_.erase(insertionOrder_.front());
     insertionOrder_.pop_front();
   }
   if (prefixesByBlockHash_.size() > 2 * kMaxPrefixes) {
-    SetBlockBytes(blockBytes_);
+    RebuildIndex(blockBytes_);
   }
 }
 
 void
-PrefixCacheTracker::SetBlockBytes(std::uint32_t aBytes)
+PrefixCacheTracker::RebuildIndex(std::uint32_t aBytes)
 {
   blockBytes_ = aBytes;
   prefixesByBlockHash_.clear();
@@ -36,17 +36,17 @@
 }
 
 void
-PrefixCacheTracker::Index(std::uint64_t aPrefix, const Prefix& aEntry)
+PrefixCacheTracker::Index(std::uint64_t aPrefixId, const Prefix& aState)
 {
-  if (blockBytes_ == 0 || aEntry.head_.size() < blockBytes_) {
+  if (blockBytes_ == 0 || aState.head_.size() < blockBytes_) {
     return;
   }
-  const std::string_view block{ aEntry.head_.data(), blockBytes_ };
-  prefixesByBlockHash_.emplace(base::HashBytes(block), aPrefix);
+  const std::string_view block{ aState.head_.data(), blockBytes_ };
+  prefixesByBlockHash_.emplace(base::HashBytes(block), aPrefixId);
 }
 
 void
-PrefixCacheTracker::OnCacheEvent(CacheUpdate aUpdate,
+PrefixCacheTracker::OnCacheEvent(CacheChange aChange,
                                  std::uint64_t aHash,
                                  std::uint32_t aBytes)
 {
@@ -55,13 +55,13 @@
     return;
   }
   if (aBytes != blockBytes_) {
-    SetBlockBytes(aBytes);
+    RebuildIndex(aBytes);
   }
   const auto [begin, end] = prefixesByBlockHash_.equal_range(aHash);
   for (auto entry = begin; entry != end; ++entry) {
     const auto prefixEntry = prefixes_.find(entry->second);
     if (prefixEntry != prefixes_.end()) {
-      RecordChange(prefixEntry->first, prefixEntry->second, aUpdate);
+      RecordChange(prefixEntry->first, prefixEntry->second, aChange);
     }
   }
 }
@@ -70,21 +70,21 @@
 PrefixCacheTracker::OnEngineRestarted()
 {
   for (auto& [prefix, prefixEntry] : prefixes_) {
-    RecordChange(prefix, prefixEntry, CacheUpdate::Evicted);
+    RecordChange(prefix, prefixEntry, CacheChange::Evicted);
   }
 }
 
 void
-PrefixCacheTracker::RecordChange(std::uint64_t aPrefix,
-                                 Prefix& aEntry,
-                                 CacheUpdate aUpdate)
+PrefixCacheTracker::RecordChange(std::uint64_t aPrefixId,
+                                 Prefix& aState,
+                                 CacheChange aChange)
 {
-  const bool isCached = aUpdate == CacheUpdate::Stored;
-  if (aEntry.isCached_ == isCached) {
+  const bool isCached = aChange == CacheChange::Stored;
+  if (aState.isCached_ == isCached) {
     return;
   }
-  aEntry.isCached_ = isCached;
-  changes_.push_back({ aPrefix, aUpdate });
+  aState.isCached_ = isCached;
+  changes_.push_back({ aPrefixId, aChange });
   if (changes_.size() > kMaxChanges) {
     changes_.pop_front();
     ++firstChange_;
@@ -92,20 +92,20 @@
 }
 
 PrefixCacheTracker::Changes
-PrefixCacheTracker::DrainChangesFor(const std::string& aPeer)
+PrefixCacheTracker::TakeChangesFor(const std::string& aPeer)
 {
   std::uint64_t& next = nextChangeByPeer_[aPeer];
   next = std::max(next, firstChange_);
-  Changes drained;
+  Changes taken;
   const std::uint64_t last =
     std::min(firstChange_ + changes_.size(), next + kMaxChangesPerHeartbeat);
   for (; next < last; ++next) {
-    const Change& change = changes_[next - firstChange_];
+    const PrefixChange& change = changes_[next - firstChange_];
     auto& into =
-      change.update_ == CacheUpdate::Stored ? drained.added_ : drained.dropped_;
+      change.change_ == CacheChange::Stored ? taken.stored_ : taken.evicted_;
     into.push_back(change.prefix_);
   }
-  return drained;
+  return taken;
 }
 
 void
--- a/Libraries/LibDispatch/PrefixCacheTracker.h
+++ b/Libraries/LibDispatch/PrefixCacheTracker.h
@@ -12,37 +12,39 @@
 namespace pumiceturn::dispatch {
 
 /// What happened to a block in the engine's prefix cache.
-enum class CacheUpdate : std::uint8_t
+enum class CacheChange : std::uint8_t
 {
   Stored,
   Evicted,
 };
 
 /// Translates the engine's cache events, which identify blocks of text by hash,
-/// into the prefixes by which entries route, and tracks which changes each peer
-/// has yet to receive. Events arrive late and with gaps, so the result is an
-/// estimate; an error costs one prefill. Bounded. Not thread-safe.
+/// into the prefixes by which Entries choose an endpoint, and tracks which
+/// changes each peer has yet to receive. Events arrive late and with gaps, so
+/// the result is an estimate; an error costs one prefill. Bounded. Not
+/// thread-safe.
 class PrefixCacheTracker
 {
 public:
   struct Changes
   {
-    std::vector<std::uint64_t> added_;
-    std::vector<std::uint64_t> dropped_;
+    std::vector<std::uint64_t> stored_;
+    std::vector<std::uint64_t> evicted_;
   };
 
   static constexpr std::size_t kMaxPrefixes = 1024;
   static constexpr std::size_t kMaxChanges = 512;
   static constexpr std::size_t kMaxChangesPerHeartbeat = 16;
-  static constexpr std::size_t kHeadBytes = 256; ///< Kept of each prompt.
+  /// Number of bytes kept from the beginning of each prompt.
+  static constexpr std::size_t kHeadBytes = 256;
 
-  /// Registers the prefix of a run that was sent to the engine. Prefix 0 is
-  /// ignored.
-  void OnRun(std::uint64_t aPrefix, std::string_view aPayload);
+  /// Registers the prefix of a run that was sent to the engine. Id 0 is
+  /// ignored; it means that the request names no prefix.
+  void OnRun(std::uint64_t aPrefixId, std::string_view aPayload);
 
   /// @param aHash  HashBytes() of the first aBytes bytes of the prompt.
   /// @param aBytes Length of the hashed part of the prompt.
-  void OnCacheEvent(CacheUpdate aUpdate,
+  void OnCacheEvent(CacheChange aChange,
                     std::uint64_t aHash,
                     std::uint32_t aBytes);
 
@@ -51,7 +53,7 @@
 
   /// @return the changes that the peer has yet to receive, at most
   /// kMaxChangesPerHeartbeat. They are not returned again.
-  Changes DrainChangesFor(const std::string& aPeer);
+  Changes TakeChangesFor(const std::string& aPeer);
 
   void RemovePeer(const std::string& aPeer);
 
@@ -62,15 +64,17 @@
     bool isCached_ = false;
   };
 
-  struct Change
+  struct PrefixChange
   {
     std::uint64_t prefix_ = 0;
-    CacheUpdate update_ = CacheUpdate::Stored;
+    CacheChange change_ = CacheChange::Stored;
   };
 
-  void SetBlockBytes(std::uint32_t aBytes);
-  void Index(std::uint64_t aPrefix, const Prefix& aEntry);
-  void RecordChange(std::uint64_t aPrefix, Prefix& aEntry, CacheUpdate aUpdate);
+  void RebuildIndex(std::uint32_t aBytes);
+  void Index(std::uint64_t aPrefixId, const Prefix& aState);
+  void RecordChange(std::uint64_t aPrefixId,
+                    Prefix& aState,
+                    CacheChange aChange);
 
   std::unordered_map<std::uint64_t, Prefix> prefixes_;
   std::deque<std::uint64_t> insertionOrder_;
@@ -78,7 +82,7 @@
   /// already removed.
   std::unordered_multimap<std::uint64_t, std::uint64_t> prefixesByBlockHash_;
   std::uint32_t blockBytes_ = 0; ///< Shortest block length seen in an event.
-  std::deque<Change> changes_;
+  std::deque<PrefixChange> changes_;
   std::uint64_t firstChange_ = 0; ///< Number of the oldest change kept.
   /// Number of the next change to send.
   std::map<std::string, std::uint64_t> nextChangeByPeer_;
--- a/Libraries/LibDispatch/Run.h
+++ b/Libraries/LibDispatch/Run.h
@@ -29,21 +29,21 @@
   static constexpr std::size_t kNotAtEngine = static_cast<std::size_t>(-1);
 
   wire::StartRun request_;
-  std::string peer_;    ///< Receiver of the result.
-  std::string starter_; ///< Sender of the StartRun; receives chunks if wanted.
+  std::string receiver_; ///< Receiver of the result.
+  std::string starter_;  ///< Sender of the StartRun; receives chunks if wanted.
   RunPhase phase_ = RunPhase::Waiting;
   std::uint32_t generation_ = 0;
   std::uint32_t preemptions_ = 0;
   std::uint32_t tokens_ = 0;
-  bool mayHaveRun_ = false; ///< The engine may have received some of it.
+  bool mayHaveRun_ = false; ///< The engine may have received its request.
   bool isSuspect_ = false;
 
-  base::Instant arrived_;
+  base::Instant arrivedAt_;
   base::Instant deadline_ = base::Instant::max(); ///< Online runs only.
   base::Instant due_ = base::Instant::max();      ///< Batch runs only.
-  base::Instant started_;                         ///< Of the current stream.
+  base::Instant startedAt_;                       ///< Of the current stream.
   base::Instant lastToken_;
-  base::Instant preempted_;
+  base::Instant preemptedAt_;
   bool hasFirstToken_ = false; ///< Of the current stream.
 
   std::vector<ResponseChunk> chunks_; ///< If chunks are wanted.
@@ -52,13 +52,15 @@
   wire::ResultCode stopCode_ = wire::ResultCode::Cancelled;
   wire::RunEnded end_;
 
+  /// Position in EndpointScheduler::atEngine_.
   std::size_t engineIndex_ = kNotAtEngine;
-  std::uint64_t onlineTicket_ = 0;
-  std::pair<base::Instant, std::uint64_t> batchTicket_;
+  std::uint64_t onlineQueueKey_ = 0; ///< Key in RunQueue.
+  /// Key in RunQueue.
+  std::pair<base::Instant, std::uint64_t> batchQueueKey_;
   std::optional<std::multimap<base::Instant, Run*>::iterator> deadlineEntry_;
-  std::optional<std::multimap<base::Instant, Run*>::iterator> offerEntry_;
-  base::Instant finished_;
-  std::uint32_t offerCount_ = 0;
+  std::optional<std::multimap<base::Instant, Run*>::iterator> resendEntry_;
+  base::Instant finishedAt_;
+  std::uint32_t resendCount_ = 0;
 
   [[nodiscard]] bool IsOnline() const { return request_.online_; }
   [[nodiscard]] bool IsAtEngine() const { return engineIndex_ != kNotAtEngine; }
--- a/Libraries/LibDispatch/RunHistory.cpp
+++ b/Libraries/LibDispatch/RunHistory.cpp
@@ -34,7 +34,7 @@
 }
 
 void
-RunHistory::RecordItem(const wire::RunId& aRun)
+RunHistory::AddItemThatMayHaveRun(const wire::RunId& aRun)
 {
   const wire::RunId item = ItemOf(aRun);
   if (!items_.insert(item).second) {
@@ -48,13 +48,13 @@
 }
 
 void
-RunHistory::RemoveItem(const wire::RunId& aRun)
+RunHistory::RemoveItemThatDidNotRun(const wire::RunId& aRun)
 {
   items_.erase(ItemOf(aRun));
 }
 
 bool
-RunHistory::HasItem(const wire::RunId& aRun) const
+RunHistory::MayHaveRun(const wire::RunId& aRun) const
 {
   return items_.contains(ItemOf(aRun));
 }
--- a/Libraries/LibDispatch/RunHistory.h
+++ b/Libraries/LibDispatch/RunHistory.h
@@ -11,7 +11,8 @@
 namespace pumiceturn::dispatch {
 
 /// Remembers how runs ended, so that duplicate or late messages get the same
-/// response and start nothing, and which non-idempotent items may have run.
+/// RunEnded and start nothing. Also remembers which non-idempotent items may
+/// have run.
 /// Bounded; evicts the oldest entries first. Not thread-safe.
 class RunHistory
 {
@@ -26,13 +27,13 @@
   [[nodiscard]] const wire::RunEnded* Find(const wire::RunId& aRun) const;
 
   /// Records that a non-idempotent item may have run.
-  void RecordItem(const wire::RunId& aRun);
+  void AddItemThatMayHaveRun(const wire::RunId& aRun);
 
   /// Removes the record of an item that did not reach the endpoint.
-  void RemoveItem(const wire::RunId& aRun);
+  void RemoveItemThatDidNotRun(const wire::RunId& aRun);
 
   /// @return whether any attempt at the item may have run here.
-  [[nodiscard]] bool HasItem(const wire::RunId& aRun) const;
+  [[nodiscard]] bool MayHaveRun(const wire::RunId& aRun) const;
 
 private:
   std::unordered_map<wire::RunId, wire::RunEnded> ended_;
--- a/Libraries/LibDispatch/RunQueue.cpp
+++ b/Libraries/LibDispatch/RunQueue.cpp
@@ -5,25 +5,25 @@
 void
 RunQueue::PushOnline(Run& aRun)
 {
-  aRun.onlineTicket_ = nextTicket_++;
-  online_.emplace(aRun.onlineTicket_, &aRun);
+  aRun.onlineQueueKey_ = nextSequence_++;
+  online_.emplace(aRun.onlineQueueKey_, &aRun);
 }
 
 void
 RunQueue::PushBatch(Run& aRun, base::Instant aLatestStart)
 {
-  aRun.batchTicket_ = { aLatestStart, nextTicket_++ };
-  batch_.emplace(aRun.batchTicket_, &aRun);
+  aRun.batchQueueKey_ = { aLatestStart, nextSequence_++ };
+  batch_.emplace(aRun.batchQueueKey_, &aRun);
 }
 
 void
 RunQueue::Remove(Run& aRun)
 {
   if (aRun.IsOnline()) {
-    online_.erase(aRun.onlineTicket_);
+    online_.erase(aRun.onlineQueueKey_);
     return;
   }
-  batch_.erase(aRun.batchTicket_);
+  batch_.erase(aRun.batchQueueKey_);
 }
 
 Run*
--- a/Libraries/LibDispatch/RunQueue.h
+++ b/Libraries/LibDispatch/RunQueue.h
@@ -35,7 +35,7 @@
   }
 
 private:
-  std::uint64_t nextTicket_ = 1;
+  std::uint64_t nextSequence_ = 1;
   std::map<std::uint64_t, Run*> online_;
   std::map<std::pair<base::Instant, std::uint64_t>, Run*> batch_;
 };
--- a/Libraries/LibDispatch/WaitEstimate.cpp
+++ b/Libraries/LibDispatch/WaitEstimate.cpp
@@ -29,7 +29,7 @@
 void
 WaitEstimate::OnFirstToken(base::Duration aDelay)
 {
-  UpdateAverage(firstToken_, static_cast<double>(aDelay.count()));
+  UpdateAverage(firstTokenDelay_, static_cast<double>(aDelay.count()));
 }
 
 void
@@ -64,7 +64,7 @@
   const double maxTokens =
     aMaxTokens == 0 ? onlineTokens_ : static_cast<double>(aMaxTokens);
   const double tokens = std::min(maxTokens, onlineTokens_);
-  return ToDuration(firstToken_ + tokens * interTokenDelay_);
+  return ToDuration(firstTokenDelay_ + tokens * interTokenDelay_);
 }
 
 base::Duration
--- a/Libraries/LibDispatch/WaitEstimate.h
+++ b/Libraries/LibDispatch/WaitEstimate.h
@@ -7,8 +7,8 @@
 
 namespace pumiceturn::dispatch {
 
-/// Estimates how long requests wait and run from moving averages of earlier
-/// requests. Not thread-safe.
+/// Estimates, from moving averages of earlier requests, how long requests wait
+/// and run. Not thread-safe.
 class WaitEstimate
 {
 public:
@@ -24,7 +24,8 @@
   /// and link overhead.
   void OnQueuedStart(base::Instant aNow);
 
-  /// The queue is empty.
+  /// The queue is empty, so the next start is not measured against the last
+  /// one.
   void OnQueueEmpty() { lastQueuedStart_.reset(); }
 
   /// @return the expected time from the start of a run at the engine to its
@@ -47,7 +48,7 @@
 
 private:
   /// Averages in microseconds, except onlineTokens_.
-  double firstToken_ = 0.0;
+  double firstTokenDelay_ = 0.0;
   double interTokenDelay_ = 0.0;
   double onlineRunTime_ = 0.0;
   double onlineTokens_ = 0.0;
--- a/Libraries/LibEndpoint/CompletionStream.cpp
+++ b/Libraries/LibEndpoint/CompletionStream.cpp
@@ -9,7 +9,7 @@
 constexpr int kHttpOk = 200;
 constexpr std::size_t kMaxErrorBytes = 512;
 constexpr std::string_view kEndMarker = "[DONE]";
-constexpr std::string_view kCancelledByEngine = "cancelled";
+constexpr std::string_view kFinishReasonCancelled = "cancelled";
 
 std::string
 StringOrEmpty(const nlohmann::json& aObject, const char* aKey)
@@ -112,7 +112,7 @@
       "HTTP status " + std::to_string(end.httpStatus_) + ": " + errorBody_;
     return end;
   }
-  if (end.finishReason_ == kCancelledByEngine || stopped_) {
+  if (end.finishReason_ == kFinishReasonCancelled || stopped_) {
     end.code_ = base::ResultCode::Cancelled;
     end.ran_ = base::Ran::Unknown;
     return end;
--- a/Libraries/LibEndpoint/CompletionStream.h
+++ b/Libraries/LibEndpoint/CompletionStream.h
@@ -38,7 +38,7 @@
   /// @return whether the engine sent the end marker.
   [[nodiscard]] bool IsDone() const { return done_; }
 
-  /// @return whether the receiver stopped the stream.
+  /// @return whether the receiver or a cancellation stopped the stream.
   [[nodiscard]] bool IsStopped() const { return stopped_; }
 
   /// @return when data was last received.
--- a/Libraries/LibEndpoint/ConnectionPool.cpp
+++ b/Libraries/LibEndpoint/ConnectionPool.cpp
@@ -10,7 +10,7 @@
   const std::size_t colon = aAddress.rfind(':');
   if (colon == std::string::npos || colon == 0) {
     return base::Fail(base::ResultCode::OutOfRange,
-                      "address is not IP:port: " + aAddress);
+                      "address must have the form IP:port, but is " + aAddress);
   }
   Options options;
   options.host_ = aAddress.substr(0, colon);
@@ -52,7 +52,7 @@
 ConnectionPool::Release(std::unique_ptr<httplib::Client> aClient)
 {
   const std::scoped_lock lock(mutex_);
-  if (idle_.size() < options_.maxIdle_) {
+  if (idle_.size() < options_.maxIdleConnections_) {
     idle_.push_back(Idle{ std::move(aClient), base::MonotonicNow() });
   }
 }
--- a/Libraries/LibEndpoint/ConnectionPool.h
+++ b/Libraries/LibEndpoint/ConnectionPool.h
@@ -23,7 +23,7 @@
     std::string host_;
     int port_ = 0;
     base::Duration connectTimeout_{ std::chrono::seconds{ 1 } };
-    std::size_t maxIdle_ = 64;
+    std::size_t maxIdleConnections_ = 64;
     /// Connections that have been idle for longer are closed. Must be shorter
     /// than the server's own limit, because a request that is sent while the
     /// server closes an idle connection has an unknown outcome.
--- a/Libraries/LibEndpoint/EngineClient.cpp
+++ b/Libraries/LibEndpoint/EngineClient.cpp
@@ -260,10 +260,10 @@
     return cancelled.load() || aShouldStop();
   };
   CompletionStream stream(aOnToken, shouldStop);
-  CompletionEnd end =
-    shouldStop()
-      ? MakeNotSent(base::ResultCode::Cancelled, "stopped before it was sent")
-      : state_->RunStream(*client, body, stream, cancelled);
+  CompletionEnd end = shouldStop()
+                        ? MakeNotSent(base::ResultCode::Cancelled,
+                                      "cancelled before the request was sent")
+                        : state_->RunStream(*client, body, stream, cancelled);
   state_->Unregister(aRequest.id_);
   if (stream.IsDone()) {
     state_->pool_.Release(std::move(client));
@@ -282,7 +282,7 @@
     }
   }
   const std::string body = nlohmann::json{ { "id", aId } }.dump();
-  auto confirmed = base::Capture([&]() -> base::Result<bool> {
+  auto outcome = base::Capture([&]() -> base::Result<bool> {
     BOOST_LEAF_AUTO(response, state_->Exchange([&](httplib::Client& aClient) {
       return aClient.Post("/v1/cancel", body, kJsonType);
     }));
@@ -293,14 +293,14 @@
       return aResponse.value("cancelled", false);
     });
   });
-  const bool* known = std::get_if<bool>(&confirmed);
-  if (known != nullptr && *known) {
+  const bool* wasCancelled = std::get_if<bool>(&outcome);
+  if (wasCancelled != nullptr && *wasCancelled) {
     return {};
   }
   // The engine does not respond, or the stream has not reached it yet. Closing
   // the connection ends the stream there.
   state_->Disconnect(aId);
-  BOOST_LEAF_CHECK(base::Release(std::move(confirmed)));
+  BOOST_LEAF_CHECK(base::Release(std::move(outcome)));
   return {};
 }
 
--- a/Libraries/LibEndpoint/EngineClient.h
+++ b/Libraries/LibEndpoint/EngineClient.h
@@ -39,8 +39,8 @@
   EngineClient& operator=(const EngineClient&) = delete;
 
   /// Runs one stream until it ends.
-  /// @param aOnToken    Called with each token's text, in order, on this
-  /// thread.
+  /// @param aOnToken    Called with each token's text, in order, on the
+  /// calling thread.
   /// @param aShouldStop Checked before the request is sent and whenever data
   /// arrives. To stop a stream that receives nothing, call Cancel() from
   /// another thread.
@@ -50,8 +50,9 @@
 
   /// Cancels a stream at the engine. A stream of this client ends as Cancelled
   /// even if the engine does not respond.
-  /// @return an error if the engine did not confirm the cancellation; the
-  /// connection is closed then, which ends the stream at the engine.
+  /// @return an error if the engine did not respond properly. Unless the engine
+  /// confirmed the cancellation, the connection is closed, which ends the
+  /// stream there.
   base::Result<void> Cancel(const std::string& aId);
 
   /// @return the engine's load, or NoEndpoint, TimedOut, EndpointCrashed or
@@ -60,7 +61,7 @@
 
   /// @param aAfter Sequence number of the last event read; 0 for all events
   /// that the engine keeps.
-  /// @return the events after it, or an error as of ReadLoad().
+  /// @return the events after it, or an error as for ReadLoad().
   base::Result<CacheEventPage> ReadCacheEvents(std::uint64_t aAfter);
 
   /// @return StaleFence if the engine has seen a higher fencing number,
--- a/Libraries/LibEndpoint/EngineMessages.h
+++ b/Libraries/LibEndpoint/EngineMessages.h
@@ -28,7 +28,8 @@
 };
 
 /// How a stream ended, and whether the request reached the engine. Failures are
-/// part of this value so that ran_ is always passed on with them.
+/// returned in this value and not as base::Failure, which has no ran_.
+/// Values of code_, with ran_ in brackets:
 ///
 /// - Ok (Ran): the engine completed the response.
 /// - Cancelled (Unknown, or NotRun if nothing was sent): cancelled by Cancel(),
@@ -90,7 +91,7 @@
 {
   LoadModel,
   LoadAdapter,
-  SetRole,
+  SetRole, ///< Sets the role of the engine to name_; not sent at present.
 };
 
 struct EngineCommand
--- a/Libraries/LibEndpoint/PlainServiceClient.cpp
+++ b/Libraries/LibEndpoint/PlainServiceClient.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int kHttpSuccessFirst = 200;
+constexpr int kHttpOk = 200;
 constexpr int kHttpSuccessEnd = 300;
 constexpr const char* kPayloadType = "application/octet-stream";
 constexpr base::Duration kHealthTimeout{ std::chrono::seconds{ 2 } };
@@ -46,7 +46,7 @@
   }
   end.httpStatus_ = result->status;
   end.body_ = result->body;
-  if (result->status < kHttpSuccessFirst || result->status >= kHttpSuccessEnd) {
+  if (result->status < kHttpOk || result->status >= kHttpSuccessEnd) {
     end.code_ = base::ResultCode::EndpointFailed;
     end.ran_ = base::Ran::Unknown;
     end.detail_ = "HTTP status " + std::to_string(result->status);
@@ -61,7 +61,7 @@
   client.set_connection_timeout(connectTimeout_);
   client.set_read_timeout(kHealthTimeout);
   const httplib::Result result = client.Get("/healthz");
-  return result && result->status == kHttpSuccessFirst;
+  return result && result->status == kHttpOk;
 }
 
 } // namespace pumiceturn::endpoint
--- a/Libraries/LibEndpoint/PlainServiceClient.h
+++ b/Libraries/LibEndpoint/PlainServiceClient.h
@@ -8,7 +8,7 @@
 
 namespace pumiceturn::endpoint {
 
-/// How a call of a plain service ended.
+/// How a call of a plain service ended. Values of code_, with ran_ in brackets:
 ///
 /// - Ok (Ran): the service responded with a 2xx status.
 /// - NoEndpoint (NotRun): no connection was made, so nothing was sent.
@@ -54,10 +54,12 @@
   [[nodiscard]] bool IsHealthy() const;
 
 private:
-  PlainServiceClient(std::string aHost, int aPort, base::Duration aTimeout)
+  PlainServiceClient(std::string aHost,
+                     int aPort,
+                     base::Duration aConnectTimeout)
     : host_(std::move(aHost))
     , port_(aPort)
-    , connectTimeout_(aTimeout)
+    , connectTimeout_(aConnectTimeout)
   {
   }
 
--- a/Tests/LibAgent/AgentFixture.h
+++ b/Tests/LibAgent/AgentFixture.h
@@ -160,7 +160,7 @@
 
   /// @return the text of a run's chunks received so far. Ignores repeated
   /// chunks and checks that none is missing.
-  std::string ChunksOf(const wire::RunId& aRun)
+  std::string ChunkTextOf(const wire::RunId& aRun)
   {
     std::string text;
     inbox_.WaitFor([&](const Inbox& aInbox) {
--- a/Tests/LibAgent/TestAgentFunction.cpp
+++ b/Tests/LibAgent/TestAgentFunction.cpp
@@ -14,7 +14,7 @@
   Send(request);
   const wire::RunEnded end = EndOf(request.run_);
   CHECK(end.code_ == ResultCode::Ok);
-  CHECK(ChunksOf(request.run_) ==
+  CHECK(ChunkTextOf(request.run_) ==
         standin::EngineAnswerText(request.payload_, request.maxTokens_));
   CHECK_FALSE(agent_->IsIdle());
   Send(wire::RunRecorded{ request.run_ });
@@ -46,7 +46,7 @@
   }
   for (const wire::StartRun& request : burst) {
     CHECK(EndOf(request.run_).code_ == ResultCode::Ok);
-    CHECK(ChunksOf(request.run_) ==
+    CHECK(ChunkTextOf(request.run_) ==
           standin::EngineAnswerText(request.payload_, request.maxTokens_));
   }
   for (const wire::StartRun& request : requests) {
@@ -62,26 +62,27 @@
                  "Agent_RequestCrashesEngine_MarkedSuspectAndAgentRecovers")
 {
   // Guards against an unmarked suspect and a missed engine recovery.
-  const wire::StartRun poison = MakeRequest("1", "CRASH-ENGINE please");
-  Send(poison);
-  const wire::RunEnded end = EndOf(poison.run_);
+  const wire::StartRun crashing = MakeRequest("1", "CRASH-ENGINE please");
+  Send(crashing);
+  const wire::RunEnded end = EndOf(crashing.run_);
   CHECK(end.code_ == ResultCode::EndpointCrashed);
   CHECK(end.ran_ == Ran::Unknown);
-  CHECK(quarantine_.Check(poison.fingerprint_, base::MonotonicNow()) ==
+  CHECK(quarantine_.Check(crashing.fingerprint_, base::MonotonicNow()) ==
         routing::Suspicion::Suspect);
-  int attempt = 0;
+  int requestCount = 0;
   wire::RunEnded served;
   do {
-    const std::string key = "after the crash " + std::to_string(attempt++);
+    const std::string key = "after the crash " + std::to_string(requestCount++);
     const wire::StartRun request = MakeRequest(key, key);
     Send(request);
     served = EndOf(request.run_);
     CHECK((served.code_ == ResultCode::Ok || served.ran_ == Ran::NotRun));
-  } while (served.code_ != ResultCode::Ok && attempt < 100000);
+  } while (served.code_ != ResultCode::Ok && requestCount < 100000);
   CHECK(served.code_ == ResultCode::Ok);
 }
 
-TEST_CASE_METHOD(EngineFixture, "Agent_EngineRejects_EndsAsFailedUnknown")
+TEST_CASE_METHOD(EngineFixture,
+                 "Agent_EngineReturnsError_EndsAsFailedWithUnknownOutcome")
 {
   standin::EngineFaults faults;
   faults.rejectCompletions_ = true;
@@ -107,7 +108,7 @@
   CHECK(EndOf(late.run_).code_ == ResultCode::Draining);
   CHECK(EndOf(late.run_).ran_ == Ran::NotRun);
   CHECK(EndOf(running.run_).code_ == ResultCode::Ok);
-  CHECK(ChunksOf(running.run_) ==
+  CHECK(ChunkTextOf(running.run_) ==
         standin::EngineAnswerText(running.payload_, running.maxTokens_));
   Send(wire::RunRecorded{ running.run_ });
   WaitUntil([this] { return agent_->IsIdle(); });
@@ -128,14 +129,14 @@
 
 TEST_CASE_METHOD(PlainFixture, "Agent_PlainCallSentTwice_RunsOnce")
 {
-  // Guards against running a call twice when its entry sends it again.
+  // Guards against running a call twice when the Entry sends it again.
   wire::StartRun request = MakeRequest("1", "{\"record\": 7}");
   request.idempotent_ = false;
   Send(request);
   Send(request);
   CHECK(EndOf(request.run_).code_ == ResultCode::Ok);
   CHECK(service_->Stats().calls_ == 1);
-  CHECK(ChunksOf(request.run_).find("\"count\"") != std::string::npos);
+  CHECK(ChunkTextOf(request.run_).find("\"count\"") != std::string::npos);
 }
 
 TEST_CASE_METHOD(PlainFixture, "Agent_PlainResponseLost_UnknownAndNotRunAgain")
--- a/Tests/LibAgent/TestEngineReconciler.cpp
+++ b/Tests/LibAgent/TestEngineReconciler.cpp
@@ -71,8 +71,8 @@
     }
     record_ = aSwap.record_;
     ++revision_;
-    if (losesResponse_) {
-      losesResponse_ = false;
+    if (losesNextResponse_) {
+      losesNextResponse_ = false;
       aReconciler.OnFenceSwapped(ResultCode::PlatformOutcomeUnknown, 0, now_);
       return;
     }
@@ -90,7 +90,7 @@
   FenceRecord record_;
   std::uint64_t revision_ = 0;
   bool isPlatformDown_ = false;
-  bool losesResponse_ = false;
+  bool losesNextResponse_ = false;
   std::vector<endpoint::EngineCommand> commands_;
 };
 
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE_METHOD(ReconcilerFixture,
-                 "EngineReconciler_PausedBetweenSwapAndCommand_IsUndone")
+                 "EngineReconciler_LateCommandOfPausedProcess_IsUndone")
 {
   // Guards against an old model that stays loaded after a late command.
   EngineReconciler former{ "former" };
@@ -193,8 +193,9 @@
 TEST_CASE_METHOD(ReconcilerFixture,
                  "EngineReconciler_SwapResponseLost_ReadsBackAndSendsCommands")
 {
-  // Guards against not recognising the own swap after a lost response.
-  losesResponse_ = true;
+  // Guards against a process that does not recognise its own swap after a lost
+  // response.
+  losesNextResponse_ = true;
   EngineReconciler reconciler{ "first" };
   reconciler.SetDesiredState(MakeDesiredState(3, "v1"), now_);
   Settle(reconciler);
@@ -208,13 +209,14 @@
 TEST_CASE("FenceRecord_MalformedText_IsRejected")
 {
   const FenceRecord record{ 7, 12, "host-0001" };
-  const auto whole =
-    base::Capture([&] { return ParseFenceRecord(WriteFenceRecord(record)); });
-  CHECK(std::get<0>(whole) == record);
+  const auto parsed =
+    base::Capture([&] { return ParseFenceRecord(FormatFenceRecord(record)); });
+  CHECK(std::get<0>(parsed) == record);
   for (const char* text : { "", "7", "7 12", "seven 12 host", "7 12 a b" }) {
     CAPTURE(text);
-    const auto torn = base::Capture([&] { return ParseFenceRecord(text); });
-    CHECK(std::holds_alternative<base::Failure>(torn));
+    const auto malformed =
+      base::Capture([&] { return ParseFenceRecord(text); });
+    CHECK(std::holds_alternative<base::Failure>(malformed));
   }
 }
 
--- a/Tests/LibDispatch/SchedulerFixture.h
+++ b/Tests/LibDispatch/SchedulerFixture.h
@@ -209,12 +209,12 @@
   /// if none is, as the quarantine does.
   void ApplyCrash(const RecordCrash& aCrash)
   {
-    bool isAnyKnown = false;
+    bool isAnySuspect = false;
     for (const std::uint64_t fingerprint : aCrash.fingerprints_) {
-      isAnyKnown = isAnyKnown || crashes_.contains(fingerprint);
+      isAnySuspect = isAnySuspect || crashes_.contains(fingerprint);
     }
     for (const std::uint64_t fingerprint : aCrash.fingerprints_) {
-      if (!isAnyKnown || crashes_.contains(fingerprint)) {
+      if (!isAnySuspect || crashes_.contains(fingerprint)) {
         ++crashes_[fingerprint];
       }
     }
--- a/Tests/LibDispatch/TestEndpointSchedulerCrash.cpp
+++ b/Tests/LibDispatch/TestEndpointSchedulerCrash.cpp
@@ -49,7 +49,8 @@
 TEST_CASE_METHOD(SchedulerFixture,
                  "EndpointScheduler_EngineCrash_HeartbeatPrecedesEnds")
 {
-  // Guards against retries of suspect content by uninformed peers.
+  // Guards against retries of suspect content by peers that do not know yet
+  // that the content is suspect.
   Submit("entry-a", OnlineRequest(1));
   StreamEnd broken;
   broken.result_ = StreamResult::Broken;
@@ -173,7 +174,7 @@
 
 TEST_CASE_METHOD(
   SchedulerFixture,
-  "EndpointScheduler_EngineDownForLong_PreemptedRunReturnsToOwner")
+  "EndpointScheduler_EngineDownForLong_PreemptedRunEndsAsEndpointLost")
 {
   // Guards against a preempted item that stays queued at a dead engine.
   for (std::uint64_t job = 1; job <= 4; ++job) {
--- a/Tests/LibDispatch/TestEndpointSchedulerDispatch.cpp
+++ b/Tests/LibDispatch/TestEndpointSchedulerDispatch.cpp
@@ -184,6 +184,7 @@
     "keeper-a", { "origin-llm", 1000, 3600000 }, Now()));
   const auto grants = Sent<wire::BatchGrant>("keeper-a");
   REQUIRE(grants.size() == 1);
+  // One for each of the four places, and one more to queue.
   CHECK(grants[0].granted_ == 5);
   for (std::uint64_t job = 1; job <= 5; ++job) {
     Submit("keeper-a", BatchRequest(job));
@@ -211,8 +212,9 @@
   CHECK(grants[0].granted_ == 5);
 }
 
-TEST_CASE_METHOD(SchedulerFixture,
-                 "EndpointScheduler_Drain_RefusesNewAndFinishesWhatRuns")
+TEST_CASE_METHOD(
+  SchedulerFixture,
+  "EndpointScheduler_Drain_NewRunsAreRefusedAndStartedRunsFinish")
 {
   // Guards against truncated responses when a host is drained.
   for (std::uint64_t job = 1; job <= 3; ++job) {
@@ -243,7 +245,8 @@
 TEST_CASE_METHOD(SchedulerFixture,
                  "EndpointScheduler_DrainWithReceiverLost_ResultOfferedAtOnce")
 {
-  // Guards against losing a result when receiver and agent both go away.
+  // Guards against losing a result when the link to the receiver is lost and
+  // the agent then drains.
   scheduler_.SetKeepers({ "keeper-a" });
   Submit("entry-a", OnlineRequest(1));
   AddToken(1, "Samsø");
@@ -269,25 +272,25 @@
 TEST_CASE("CreditLedger_TwoOwners_SplitByDemandAndSlack")
 {
   CreditLedger ledger;
-  ledger.OnDemand("keeper-a", 100, 3600000);
-  ledger.OnDemand("keeper-b", 300, 3600000);
+  ledger.SetDemand("keeper-a", 100, 3600000);
+  ledger.SetDemand("keeper-b", 300, 3600000);
   auto grants = ledger.Allocate(8);
   REQUIRE(grants.size() == 2);
   CHECK(grants[0] == CreditLedger::Grant{ "keeper-a", 2 });
   CHECK(grants[1] == CreditLedger::Grant{ "keeper-b", 6 });
-  ledger.OnDemand("keeper-a", 100, -1);
+  ledger.SetDemand("keeper-a", 100, -1);
   grants = ledger.Allocate(4);
   REQUIRE(!grants.empty());
   CHECK(grants[0] == CreditLedger::Grant{ "keeper-a", 6 });
 }
 
-TEST_CASE("CreditLedger_OwnerWithoutItems_ItsCreditsGoToOthers")
+TEST_CASE("CreditLedger_OwnerWithoutItems_CreditsAreNotOutstanding")
 {
   CreditLedger ledger;
-  ledger.OnDemand("keeper-a", 4, 3600000);
+  ledger.SetDemand("keeper-a", 4, 3600000);
   ledger.Allocate(4);
   CHECK(ledger.Outstanding() == 4);
-  ledger.OnDemand("keeper-a", 0, 0);
+  ledger.SetDemand("keeper-a", 0, 0);
   CHECK(ledger.Outstanding() == 0);
 }
 
@@ -319,7 +322,7 @@
   CHECK(tracker.Headroom(32, kStep, start) == 0);
 }
 
-TEST_CASE("ConcurrencyLimit_FirstTokensLate_FallsToWhatTheEngineRuns")
+TEST_CASE("ConcurrencyLimit_FirstTokensLate_FallsToPlacesOfEngine")
 {
   // Guards against late first tokens when the declared limit is too high.
   constexpr std::uint32_t kRealPlaces = 8;
--- a/Tests/LibDispatch/TestEndpointSchedulerRuns.cpp
+++ b/Tests/LibDispatch/TestEndpointSchedulerRuns.cpp
@@ -23,7 +23,7 @@
 }
 
 TEST_CASE_METHOD(SchedulerFixture,
-                 "EndpointScheduler_LinkLostMidStream_ResendsAfterSequence")
+                 "EndpointScheduler_LinkLostMidStream_MissingChunksAreResent")
 {
   // Guards against missing chunks after the link was lost during a stream.
   Submit("entry-a", OnlineRequest(1));
@@ -66,7 +66,8 @@
   CHECK(scheduler_.IsIdle());
 }
 
-TEST_CASE_METHOD(SchedulerFixture, "EndpointScheduler_CancelRacesTheEnd_OneEnd")
+TEST_CASE_METHOD(SchedulerFixture,
+                 "EndpointScheduler_StreamFinishesDespiteCancel_EndsOnceAsOk")
 {
   // Guards against a wrong or second end when a cancel arrives too late.
   Submit("entry-a", OnlineRequest(1));
@@ -81,7 +82,7 @@
 }
 
 TEST_CASE_METHOD(SchedulerFixture,
-                 "EndpointScheduler_CancelBeforeStart_IsNotRun")
+                 "EndpointScheduler_CancelArrivesBeforeStart_NothingStarts")
 {
   // Guards against starting a request whose cancel arrived first.
   Apply(scheduler_.OnCancelRun("entry-a", { RunIdOf(1) }, Now()));
--- a/Tests/LibDispatch/TestPrefixCacheTracker.cpp
+++ b/Tests/LibDispatch/TestPrefixCacheTracker.cpp
@@ -24,28 +24,28 @@
 {
   PrefixCacheTracker tracker;
   tracker.OnRun(7, kPayload);
-  tracker.OnCacheEvent(CacheUpdate::Stored, BlockHash(), kBlock);
-  tracker.OnCacheEvent(CacheUpdate::Stored, BlockHash(), kBlock);
-  CHECK(tracker.DrainChangesFor("entry-a").added_ ==
+  tracker.OnCacheEvent(CacheChange::Stored, BlockHash(), kBlock);
+  tracker.OnCacheEvent(CacheChange::Stored, BlockHash(), kBlock);
+  CHECK(tracker.TakeChangesFor("entry-a").stored_ ==
         std::vector<std::uint64_t>{ 7 });
-  CHECK(tracker.DrainChangesFor("entry-a").added_.empty());
-  tracker.OnCacheEvent(CacheUpdate::Evicted, BlockHash(), kBlock);
-  CHECK(tracker.DrainChangesFor("entry-a").dropped_ ==
+  CHECK(tracker.TakeChangesFor("entry-a").stored_.empty());
+  tracker.OnCacheEvent(CacheChange::Evicted, BlockHash(), kBlock);
+  CHECK(tracker.TakeChangesFor("entry-a").evicted_ ==
         std::vector<std::uint64_t>{ 7 });
-  const PrefixCacheTracker::Changes late = tracker.DrainChangesFor("entry-b");
-  CHECK(late.added_.size() == 1);
-  CHECK(late.dropped_.size() == 1);
+  const PrefixCacheTracker::Changes late = tracker.TakeChangesFor("entry-b");
+  CHECK(late.stored_.size() == 1);
+  CHECK(late.evicted_.size() == 1);
 }
 
-TEST_CASE("PrefixCacheTracker_LongerBlocks_AreNotTheFirst")
+TEST_CASE("PrefixCacheTracker_EventOfLaterBlock_IsIgnored")
 {
   PrefixCacheTracker tracker;
   tracker.OnRun(7, kPayload);
-  tracker.OnCacheEvent(CacheUpdate::Stored, BlockHash(), kBlock);
+  tracker.OnCacheEvent(CacheChange::Stored, BlockHash(), kBlock);
   const std::uint64_t second =
     base::HashBytes(kPayload.substr(0, std::size_t{ 2 } * kBlock));
-  tracker.OnCacheEvent(CacheUpdate::Evicted, second, 2 * kBlock);
-  CHECK(tracker.DrainChangesFor("entry-a").dropped_.empty());
+  tracker.OnCacheEvent(CacheChange::Evicted, second, 2 * kBlock);
+  CHECK(tracker.TakeChangesFor("entry-a").evicted_.empty());
 }
 
 TEST_CASE("PrefixCacheTracker_EngineRestarted_CachedPrefixesAreDropped")
@@ -53,31 +53,32 @@
   PrefixCacheTracker tracker;
   tracker.OnRun(7, kPayload);
   tracker.OnRun(8, std::string(200, 'y'));
-  tracker.OnCacheEvent(CacheUpdate::Stored, BlockHash(), kBlock);
+  tracker.OnCacheEvent(CacheChange::Stored, BlockHash(), kBlock);
   tracker.OnEngineRestarted();
-  CHECK(tracker.DrainChangesFor("entry-a").dropped_ ==
+  CHECK(tracker.TakeChangesFor("entry-a").evicted_ ==
         std::vector<std::uint64_t>{ 7 });
 }
 
 TEST_CASE("PrefixCacheTracker_ManyPrefixes_StaysBounded")
 {
   PrefixCacheTracker tracker;
-  tracker.OnCacheEvent(CacheUpdate::Stored, 1, kBlock);
+  tracker.OnCacheEvent(CacheChange::Stored, 1, kBlock);
   for (std::uint64_t prefix = 1; prefix <= 5000; ++prefix) {
     const std::string payload = std::to_string(prefix) + kPayload;
     tracker.OnRun(prefix, payload);
     tracker.OnCacheEvent(
-      CacheUpdate::Stored, base::HashBytes(payload.substr(0, kBlock)), kBlock);
+      CacheChange::Stored, base::HashBytes(payload.substr(0, kBlock)), kBlock);
   }
   std::size_t reported = 0;
   while (true) {
     const PrefixCacheTracker::Changes changes =
-      tracker.DrainChangesFor("entry-a");
-    CHECK(changes.added_.size() <= PrefixCacheTracker::kMaxChangesPerHeartbeat);
-    if (changes.added_.empty()) {
+      tracker.TakeChangesFor("entry-a");
+    CHECK(changes.stored_.size() <=
+          PrefixCacheTracker::kMaxChangesPerHeartbeat);
+    if (changes.stored_.empty()) {
       break;
     }
-    reported += changes.added_.size();
+    reported += changes.stored_.size();
   }
   CHECK(reported == PrefixCacheTracker::kMaxChanges);
 }
--- a/Tests/LibEndpoint/EngineClientTest.cpp
+++ b/Tests/LibEndpoint/EngineClientTest.cpp
@@ -24,7 +24,7 @@
 
 template<typename T>
 T
-Must(base::Outcome<T> aOutcome)
+ValueOrFail(base::Outcome<T> aOutcome)
 {
   if (const auto* failure = std::get_if<base::Failure>(&aOutcome)) {
     FAIL(base::NameOf(failure->code_) << ": " << failure->detail_);
@@ -60,11 +60,11 @@
     options.model_.maxRunning_ = 4;
     options.faults_.crashRestart_ = std::chrono::milliseconds{ 50 };
     engine_ =
-      Must(base::Capture([&] { return EngineStandin::Start(options); }));
+      ValueOrFail(base::Capture([&] { return EngineStandin::Start(options); }));
     EngineClient::Options clientOptions;
     clientOptions.address_ = "127.0.0.1:" + std::to_string(engine_->Port());
-    client_ =
-      Must(base::Capture([&] { return EngineClient::Make(clientOptions); }));
+    client_ = ValueOrFail(
+      base::Capture([&] { return EngineClient::Make(clientOptions); }));
   }
 
   CompletionEnd Stream(const CompletionRequest& aRequest, std::string& aText)
@@ -85,7 +85,7 @@
 } // namespace
 
 TEST_CASE_METHOD(EngineFixture,
-                 "StreamCompletion_CompleteResponse_MatchesTheEngine")
+                 "StreamCompletion_CompleteResponse_IsTheTextOfTheEngine")
 {
   std::string text;
   const CompletionEnd end = Stream(MakeRequest("1", "Hvorfra?", 12), text);
@@ -133,10 +133,10 @@
   std::string address;
   {
     const auto gone =
-      Must(base::Capture([] { return EngineStandin::Start({}); }));
+      ValueOrFail(base::Capture([] { return EngineStandin::Start({}); }));
     address = "127.0.0.1:" + std::to_string(gone->Port());
   }
-  const auto client = Must(
+  const auto client = ValueOrFail(
     base::Capture([&] { return EngineClient::Make({ .address_ = address }); }));
   const CompletionEnd end = client->StreamCompletion(
     MakeRequest("1", "x"),
@@ -151,10 +151,10 @@
 {
   // Guards against reporting NotRun for requests that were sent before a crash.
   std::promise<void> begun;
-  auto innocent = std::async(std::launch::async, [&] {
+  auto other = std::async(std::launch::async, [&] {
     bool isFirst = true;
     return client_->StreamCompletion(
-      MakeRequest("innocent", "long", 2000),
+      MakeRequest("other", "long", 2000),
       [&](std::string_view) {
         if (isFirst) {
           begun.set_value();
@@ -166,14 +166,14 @@
   });
   begun.get_future().wait();
   std::string text;
-  const CompletionEnd guilty =
-    Stream(MakeRequest("guilty", "please CRASH-ENGINE now"), text);
-  CHECK(guilty.code_ == ResultCode::EndpointCrashed);
-  CHECK(guilty.ran_ == Ran::Unknown);
+  const CompletionEnd crashing =
+    Stream(MakeRequest("crashing", "please CRASH-ENGINE now"), text);
+  CHECK(crashing.code_ == ResultCode::EndpointCrashed);
+  CHECK(crashing.ran_ == Ran::Unknown);
   CHECK(text.empty());
-  const CompletionEnd innocentEnd = innocent.get();
-  CHECK(innocentEnd.code_ == ResultCode::EndpointCrashed);
-  CHECK(innocentEnd.ran_ == Ran::Unknown);
+  const CompletionEnd otherEnd = other.get();
+  CHECK(otherEnd.code_ == ResultCode::EndpointCrashed);
+  CHECK(otherEnd.ran_ == Ran::Unknown);
   CHECK(engine_->Stats().crashes_ == 1);
   while (!client_->IsHealthy()) {
     std::this_thread::yield();
@@ -181,8 +181,9 @@
   CHECK(Stream(MakeRequest("again", "long"), text).code_ == ResultCode::Ok);
 }
 
-TEST_CASE_METHOD(EngineFixture,
-                 "StreamCompletion_CrashUnderLoad_PartialResponsesArePrefixes")
+TEST_CASE_METHOD(
+  EngineFixture,
+  "StreamCompletion_CrashDuringManyStreams_PartialResponsesAreIntact")
 {
   // Guards against corrupt or misclassified responses after a crash.
   constexpr int kStreams = 64;
@@ -225,7 +226,7 @@
   options.address_ = "127.0.0.1:" + std::to_string(engine_->Port());
   options.idleTimeout_ = std::chrono::milliseconds{ 300 };
   const auto shortTimeout =
-    Must(base::Capture([&] { return EngineClient::Make(options); }));
+    ValueOrFail(base::Capture([&] { return EngineClient::Make(options); }));
   std::string received;
   const CompletionEnd end = shortTimeout->StreamCompletion(
     MakeRequest("1", "long", 100000),
@@ -296,14 +297,15 @@
   CHECK(engine_->Stats().waiting_ == 0);
 }
 
-TEST_CASE_METHOD(EngineFixture, "SendOrder_OlderFence_IsStaleUnlessIgnored")
+TEST_CASE_METHOD(EngineFixture,
+                 "SendCommand_OlderFence_IsStaleUnlessEngineIgnoresFences")
 {
   const auto send = [&](std::uint64_t aFence) {
-    EngineCommand order;
-    order.name_ = "origin-7b";
-    order.version_ = "3";
-    order.fence_ = aFence;
-    return CodeOf(base::Capture([&] { return client_->SendCommand(order); }));
+    EngineCommand command;
+    command.name_ = "origin-7b";
+    command.version_ = "3";
+    command.fence_ = aFence;
+    return CodeOf(base::Capture([&] { return client_->SendCommand(command); }));
   };
   CHECK(send(7) == ResultCode::Ok);
   CHECK(send(6) == ResultCode::StaleFence);
@@ -327,7 +329,8 @@
     std::this_thread::yield();
   }
   const auto waiting = [&] {
-    return Must(base::Capture([&] { return client_->ReadLoad(); })).waiting_;
+    return ValueOrFail(base::Capture([&] { return client_->ReadLoad(); }))
+      .waiting_;
   };
   CHECK(waiting() == 1);
   faults.loadLag_ = std::chrono::seconds{ 50 };
@@ -344,7 +347,7 @@
   std::string text;
   Stream(MakeRequest("1", prompt, 2), text);
   const auto read = [&](std::uint64_t aAfter) {
-    return Must(
+    return ValueOrFail(
       base::Capture([&] { return client_->ReadCacheEvents(aAfter); }));
   };
   const CacheEventPage whole = read(0);
--- a/Tests/LibEndpoint/PlainServiceClientTest.cpp
+++ b/Tests/LibEndpoint/PlainServiceClientTest.cpp
@@ -15,7 +15,7 @@
 using base::ResultCode;
 using standin::PlainServiceStandin;
 
-constexpr base::Duration kLongEnough{ std::chrono::seconds{ 20 } };
+constexpr base::Duration kDefaultTimeout{ std::chrono::seconds{ 20 } };
 
 struct PlainServiceFixture
 {
@@ -30,7 +30,8 @@
     client_ = std::get<0>(std::move(made));
   }
 
-  [[nodiscard]] PlainCallEnd Call(base::Duration aTimeout = kLongEnough) const
+  [[nodiscard]] PlainCallEnd Call(
+    base::Duration aTimeout = kDefaultTimeout) const
   {
     return client_->Call("payload", "key-1", aTimeout);
   }
@@ -41,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(PlainServiceFixture, "PlainCall_Answered_Ran")
+TEST_CASE_METHOD(PlainServiceFixture, "PlainCall_ServiceResponds_IsOkAndRan")
 {
   const PlainCallEnd end = Call();
   CHECK(end.code_ == ResultCode::Ok);
@@ -72,7 +73,7 @@
   }
 }
 
-TEST_CASE_METHOD(PlainServiceFixture, "PlainCall_ServiceCrashes_ThenIsNotRun")
+TEST_CASE_METHOD(PlainServiceFixture, "PlainCall_AfterServiceCrash_IsNotRun")
 {
   service_->SetFaults(
     { .crashCalls_ = 1, .crashRestart_ = std::chrono::hours{ 1 } });
