--- a/Benchmarks/Jobs/Main.cpp
+++ b/Benchmarks/Jobs/Main.cpp
@@ -66,11 +66,11 @@
 {
   for (std::uint32_t first = 0; first < aLot.itemCount_;
        first += kItemsInFrame) {
-    const auto decision = aTable.AcceptFrame(MakeFrame(aLot, first), kNow);
+    const auto decision = aTable.DecideFrame(MakeFrame(aLot, first), kNow);
     for (const Record& record : decision.records_) {
       aTable.Apply(record, { 1, 1, first }, 1);
     }
-    aTable.SettleAccept(aLot.id_, true);
+    aTable.OnAcceptAppended(aLot.id_, true);
   }
 }
 
@@ -169,12 +169,12 @@
     const auto lot = MakeLot(number++, kItemsInFrame);
     const auto frame = MakeFrame(lot, 0);
     aState.ResumeTiming();
-    const auto decision = table.AcceptFrame(frame, kNow);
+    const auto decision = table.DecideFrame(frame, kNow);
     for (const Record& record : decision.records_) {
       benchmark::DoNotOptimize(EncodeRecord(record));
       table.Apply(record, { 1, 1, 0 }, 1);
     }
-    table.SettleAccept(lot.id_, true);
+    table.OnAcceptAppended(lot.id_, true);
   }
   aState.SetItemsProcessed(aState.iterations() * kItemsInFrame);
 }
@@ -194,12 +194,12 @@
   while (aState.KeepRunning()) {
     request.key_ = "key-" + std::to_string(number++);
     request.job_ = base::MakeJobId(request.partner_, request.key_);
-    const auto accepted = table.AcceptOnline(request, 3, kNow);
+    const auto accepted = table.DecideOnline(request, 3, kNow);
     for (const Record& record : accepted.records_) {
       benchmark::DoNotOptimize(EncodeRecord(record));
       table.Apply(record, { 1, 1, 0 }, 1);
     }
-    table.SettleAccept(request.job_, true);
+    table.OnAcceptAppended(request.job_, true);
     wire::ItemResult result;
     result.text_ = std::string(kPayloadBytes, 'y');
     const auto end = table.DecideResult({ request.job_, 0, 1 }, result, true);
--- a/Libraries/LibJobs/BatchScheduler.cpp
+++ b/Libraries/LibJobs/BatchScheduler.cpp
@@ -276,10 +276,10 @@
 }
 
 void
-BatchScheduler::AppendNotices(const std::string& aName,
-                              Service& aService,
-                              std::int64_t aNowUnixMs,
-                              std::vector<DemandNotice>& aNotices)
+BatchScheduler::ReportDemand(const std::string& aName,
+                             Service& aService,
+                             std::int64_t aNowUnixMs,
+                             std::vector<DemandNotice>& aNotices)
 {
   aService.reportedWaiting_ = aService.queue_.Waiting();
   aService.changed_ = false;
@@ -293,12 +293,12 @@
 }
 
 std::vector<DemandNotice>
-BatchScheduler::CollectFirstDemand(std::int64_t aNowUnixMs)
+BatchScheduler::CollectRisenFromZero(std::int64_t aNowUnixMs)
 {
   std::vector<DemandNotice> notices;
   for (auto& [name, service] : services_) {
     if (service.reportedWaiting_ == 0 && service.queue_.Waiting() > 0) {
-      AppendNotices(name, service, aNowUnixMs, notices);
+      ReportDemand(name, service, aNowUnixMs, notices);
     }
   }
   return notices;
@@ -310,7 +310,7 @@
   std::vector<DemandNotice> notices;
   for (auto& [name, service] : services_) {
     if (service.changed_) {
-      AppendNotices(name, service, aNowUnixMs, notices);
+      ReportDemand(name, service, aNowUnixMs, notices);
     }
   }
   return notices;
@@ -355,14 +355,14 @@
 }
 
 std::int64_t
-BatchScheduler::ExpectedWorkMs(std::string_view aService,
-                               const base::JobId& aJob,
-                               std::uint32_t aRunning) const
+BatchScheduler::ExpectedDurationMs(std::string_view aService,
+                                   const base::JobId& aJob,
+                                   std::uint32_t aRunning) const
 {
   const auto found = services_.find(aService);
   return found == services_.end()
            ? 0
-           : found->second.queue_.ExpectedWorkMs(aJob, aRunning);
+           : found->second.queue_.ExpectedDurationMs(aJob, aRunning);
 }
 
 } // namespace pumiceturn::jobs
--- a/Libraries/LibJobs/BatchScheduler.h
+++ b/Libraries/LibJobs/BatchScheduler.h
@@ -27,7 +27,8 @@
   bool sent_ = false; ///< Whether StartRun was sent to the agent.
 };
 
-/// An item to be dispatched to an agent, with the inputs of the decision.
+/// A job whose next item is to be dispatched to an agent, with the inputs of
+/// the decision.
 struct Assignment
 {
   Selection selection_;
@@ -42,9 +43,9 @@
   wire::BatchDemand demand_;
 };
 
-/// Assigns waiting batch items of this owner to agents with unused credits, and
-/// tracks the runs at each agent. An agent grants credits as a cumulative count
-/// since its link came up; each batch run uses one credit.
+/// Assigns waiting batch items of this keeper to agents with unused credits,
+/// and tracks the runs at each agent. An agent grants credits as a cumulative
+/// count since its link came up; each batch run uses one credit.
 ///
 /// Not thread-safe, no I/O.
 class BatchScheduler
@@ -56,7 +57,7 @@
                  const std::vector<std::string>& aAgents);
 
   /// Adds waiting items of a job.
-  /// @param aWeight Share of the job's partner, at least 1.
+  /// @param aWeight Weight of the job's partner, at least 1.
   void AddWork(const wire::JobDescription& aJob,
                std::uint32_t aWeight,
                std::uint32_t aItems);
@@ -68,7 +69,8 @@
              std::string_view aService,
              std::uint64_t aGranted);
 
-  /// Assigns no work to an agent that refused a run until the given time.
+  /// Stops assigning work to an agent until the given time, after it refused a
+  /// run.
   void Pause(const std::string& aAgent, base::Instant aUntil);
 
   /// Handles a new connection. Credits restart at zero on both ends.
@@ -86,7 +88,7 @@
   /// Returns the credit of an assignment that was not started.
   void ReturnCredit(const std::string& aAgent, std::string_view aService);
 
-  /// @return the available agent with the fewest runs of this owner; nothing
+  /// @return the available agent with the fewest runs of this keeper; nothing
   /// when no agent is available.
   [[nodiscard]] std::optional<std::string> SelectOnlineAgent(
     const std::string& aService,
@@ -113,9 +115,9 @@
   [[nodiscard]] bool IsAgent(std::string_view aPeer) const;
   [[nodiscard]] std::vector<std::string> Services() const;
 
-  /// @return demand of services whose last reported demand was zero. Marks it
+  /// @return demand of services that has risen from a reported zero. Marks it
   /// as reported.
-  std::vector<DemandNotice> CollectFirstDemand(std::int64_t aNowUnixMs);
+  std::vector<DemandNotice> CollectRisenFromZero(std::int64_t aNowUnixMs);
 
   /// @return demand that changed since the last report. Marks it as reported.
   std::vector<DemandNotice> CollectChangedDemand(std::int64_t aNowUnixMs);
@@ -131,10 +133,10 @@
                                            std::int64_t aNowUnixMs);
 
   [[nodiscard]] std::uint64_t Waiting(std::string_view aService) const;
-  /// As LaxityQueue::ExpectedWorkMs().
-  [[nodiscard]] std::int64_t ExpectedWorkMs(std::string_view aService,
-                                            const base::JobId& aJob,
-                                            std::uint32_t aRunning) const;
+  /// As LaxityQueue::ExpectedDurationMs().
+  [[nodiscard]] std::int64_t ExpectedDurationMs(std::string_view aService,
+                                                const base::JobId& aJob,
+                                                std::uint32_t aRunning) const;
 
 private:
   struct Credits
@@ -161,8 +163,8 @@
     LaxityQueue queue_;
     std::map<std::string, Credits, std::less<>> agents_;
     std::uint64_t reportedWaiting_ = 0;
-    /// Whether demand changed since the last report. Agents count the reported
-    /// number down with each run, so an equal number is reported again too.
+    /// Whether demand changed since the last report. Also true when the
+    /// number is the same again: agents subtract their runs from it.
     bool changed_ = false;
     std::uint32_t running_ = 0;
   };
@@ -171,10 +173,12 @@
   static wire::BatchDemand MakeDemand(const std::string& aName,
                                       const Service& aService,
                                       std::int64_t aNowUnixMs);
-  void AppendNotices(const std::string& aName,
-                     Service& aService,
-                     std::int64_t aNowUnixMs,
-                     std::vector<DemandNotice>& aNotices);
+  /// Adds a notice for each connected agent of a service, and marks the demand
+  /// as reported.
+  void ReportDemand(const std::string& aName,
+                    Service& aService,
+                    std::int64_t aNowUnixMs,
+                    std::vector<DemandNotice>& aNotices);
   void CountRun(const RunInFlight& aRun, int aChange);
 
   std::map<std::string, Service, std::less<>> services_;
--- a/Libraries/LibJobs/Job.cpp
+++ b/Libraries/LibJobs/Job.cpp
@@ -12,8 +12,9 @@
 std::uint32_t
 Job::Waiting() const
 {
-  const std::uint32_t settled = succeeded_ + failed_ + cancelled_ + running_;
-  return ReceivedItems() > settled ? ReceivedItems() - settled : 0;
+  const std::uint32_t notWaiting =
+    succeeded_ + failed_ + cancelled_ + inProgress_;
+  return ReceivedItems() > notWaiting ? ReceivedItems() - notWaiting : 0;
 }
 
 ItemLocation
@@ -32,17 +33,17 @@
 }
 
 ResultSource
-Job::SourceOf(std::uint32_t aPosition) const
+Job::SourceOf(std::uint32_t aResultIndex) const
 {
   const bool isCancelled =
-    phase_ == Phase::Cancelled && aPosition >= firstCancelledResult_;
+    phase_ == Phase::Cancelled && aResultIndex >= firstCancelledResult_;
   return isCancelled ? ResultSource::Cancelled : ResultSource::Recorded;
 }
 
 std::int64_t
 Job::ExpiresUnixMs() const
 {
-  return lastRecordUnixMs_ +
+  return lastPhaseChangeUnixMs_ +
          static_cast<std::int64_t>(description_.retentionS_) * kMsPerSecond;
 }
 
--- a/Libraries/LibJobs/Job.h
+++ b/Libraries/LibJobs/Job.h
@@ -24,7 +24,7 @@
   Cancelled, ///< No record; the item was cancelled with its job.
 };
 
-/// Location of a result in the log.
+/// Location of a result in the log. Of a cancelled item only item_ is set.
 struct ResultLocation
 {
   joblog::LogPosition record_;
@@ -49,9 +49,10 @@
   };
 
   State state_ = State::Waiting;
-  std::uint8_t failures_ = 0;       ///< Attempts that count towards the limit.
-  std::uint8_t recordedStarts_ = 0; ///< ItemStarted records in the log.
-  std::uint16_t attempt_ = 0;       ///< Number of the last attempt.
+  /// Attempts and recorded starts that count towards the limit.
+  std::uint8_t countedAttempts_ = 0;
+  std::uint8_t recordedStarts_ = 0;     ///< ItemStarted records in the log.
+  std::uint16_t attempt_ = 0;           ///< Number of the last attempt.
   std::uint16_t lastRecordedStart_ = 0; ///< Attempt of the last ItemStarted.
 };
 static_assert(sizeof(Item) <= 8);
@@ -59,8 +60,10 @@
 /// Consecutive items whose payloads are in one ItemsAccepted record.
 struct ItemRange
 {
-  std::uint32_t firstItem_ = 0;       ///< First item that this record added.
-  std::uint32_t recordFirstItem_ = 0; ///< First item in the record.
+  std::uint32_t firstItem_ = 0; ///< First item that this record added.
+  /// First item in the record. Lower than firstItem_ if the record repeats
+  /// items received before.
+  std::uint32_t recordFirstItem_ = 0;
   joblog::LogPosition record_;
 };
 
@@ -70,7 +73,7 @@
   enum class Phase : std::uint8_t
   {
     Opening, ///< Items are being received; the job is not accepted yet.
-    Accepted,
+    Running, ///< Accepted, and not closed.
     Finished,
     Cancelled,
   };
@@ -80,25 +83,31 @@
   /// Whether a cancellation was requested. It is appended once all pending
   /// results are recorded; meanwhile no further result is recorded.
   bool cancelling_ = false;
-  bool cancelAppendInFlight_ = false; ///< Its record is being appended.
+  /// Whether its JobCancelled record is being appended.
+  bool cancelAppendInFlight_ = false;
+  /// Sequence number of the record that opened the job.
   std::uint64_t firstSequence_ = 0;
-  /// Time of the record that opened, accepted or closed the job.
-  std::int64_t lastRecordUnixMs_ = 0;
+  /// Time of the last record that opened, accepted or closed the job.
+  std::int64_t lastPhaseChangeUnixMs_ = 0;
   std::vector<ItemRange> itemRanges_;
   std::vector<Item> items_;
   std::vector<ResultLocation> results_; ///< In log order.
+  /// Items returned to the queue. May contain items that have ended since.
   std::vector<std::uint32_t> requeued_;
   std::uint32_t nextItem_ = 0; ///< Next item to examine for dispatch.
   /// Item where the search for waiting items started. After the last item it
   /// wraps around to the first and stops here.
   std::uint32_t searchStart_ = 0;
   bool isSearchWrapped_ = false;
-  std::uint32_t running_ = 0;
-  std::uint32_t recording_ = 0; ///< Part of running_: items in state Recording.
+  /// Number of items in state Running, Uncertain or Recording.
+  std::uint32_t inProgress_ = 0;
+  /// Part of inProgress_: items in state Recording.
+  std::uint32_t recording_ = 0;
   std::uint32_t succeeded_ = 0;
   std::uint32_t failed_ = 0;
   std::uint32_t cancelled_ = 0;
-  /// Index of the first result without a record, because the job was cancelled.
+  /// Index in results_ of the first result of a cancelled item. From here on,
+  /// results have no record.
   std::uint32_t firstCancelledResult_ = 0;
 
   [[nodiscard]] std::uint32_t ReceivedItems() const
@@ -113,7 +122,7 @@
   [[nodiscard]] std::uint32_t Waiting() const;
   /// @return the location of an item's payload.
   [[nodiscard]] ItemLocation LocateItem(std::uint32_t aItem) const;
-  [[nodiscard]] ResultSource SourceOf(std::uint32_t aPosition) const;
+  [[nodiscard]] ResultSource SourceOf(std::uint32_t aResultIndex) const;
   /// @return when the results expire.
   [[nodiscard]] std::int64_t ExpiresUnixMs() const;
 };
--- a/Libraries/LibJobs/JobTable.cpp
+++ b/Libraries/LibJobs/JobTable.cpp
@@ -10,10 +10,12 @@
 namespace {
 
 constexpr std::int64_t kAbandonedJobTimeoutMs = 3'600'000;
+/// Limits the memory for dropped jobs that are answered with Expired.
 constexpr std::size_t kMaxRememberedExpired = 65536;
+/// Limits the memory reserved for items that were announced but not received.
 constexpr std::uint32_t kMaxReservedItems = 1U << 20U;
-constexpr auto kFirstRefusedCode = base::ResultCode::UnknownKey;
-constexpr auto kLastRefusedCode = base::ResultCode::InvalidRequest;
+constexpr auto kFirstInputErrorCode = base::ResultCode::UnknownKey;
+constexpr auto kLastInputErrorCode = base::ResultCode::InvalidRequest;
 
 bool
 IsFinal(Item::State aState)
@@ -30,8 +32,8 @@
 void
 SetState(Job& aJob, Item& aItem, Item::State aState)
 {
-  aJob.running_ -= IsInProgress(aItem.state_) ? 1 : 0;
-  aJob.running_ += IsInProgress(aState) ? 1 : 0;
+  aJob.inProgress_ -= IsInProgress(aItem.state_) ? 1 : 0;
+  aJob.inProgress_ += IsInProgress(aState) ? 1 : 0;
   aJob.recording_ -= aItem.state_ == Item::State::Recording ? 1 : 0;
   aJob.recording_ += aState == Item::State::Recording ? 1 : 0;
   aItem.state_ = aState;
@@ -43,7 +45,7 @@
 IsPermanentRefusal(base::ResultCode aCode)
 {
   return aCode == base::ResultCode::Quarantined ||
-         (aCode >= kFirstRefusedCode && aCode <= kLastRefusedCode);
+         (aCode >= kFirstInputErrorCode && aCode <= kLastInputErrorCode);
 }
 
 wire::ItemResult
@@ -74,13 +76,13 @@
 
 /// @return when a job may be dropped; nothing while it has unfinished items.
 std::optional<std::int64_t>
-DropTimeOf(const Job& aJob)
+DropTimeOfJob(const Job& aJob)
 {
   if (aJob.IsClosed()) {
     return aJob.ExpiresUnixMs();
   }
   if (aJob.phase_ == Job::Phase::Opening) {
-    return aJob.lastRecordUnixMs_ + kAbandonedJobTimeoutMs;
+    return aJob.lastPhaseChangeUnixMs_ + kAbandonedJobTimeoutMs;
   }
   return std::nullopt;
 }
@@ -143,8 +145,8 @@
         // The batch job is submitted again after an interruption; the items
         // received so far are kept.
         job->description_ = aBody.job_;
-        job->lastRecordUnixMs_ = wallUnixMs_;
-        table_.ScheduleDrop(aBody.job_.id_, jobs::DropTimeOf(*job));
+        job->lastPhaseChangeUnixMs_ = wallUnixMs_;
+        table_.ScheduleDrop(aBody.job_.id_, jobs::DropTimeOfJob(*job));
         return;
       }
       table_.Erase(aBody.job_.id_);
@@ -158,10 +160,10 @@
     Job& opened = table_.jobs_[aBody.job_.id_];
     opened.description_ = aBody.job_;
     opened.firstSequence_ = sequence_;
-    opened.lastRecordUnixMs_ = wallUnixMs_;
+    opened.lastPhaseChangeUnixMs_ = wallUnixMs_;
     opened.items_.reserve(std::min(aBody.job_.itemCount_, kMaxReservedItems));
     table_.firstSequences_.push_back({ sequence_, aBody.job_.id_ });
-    table_.ScheduleDrop(aBody.job_.id_, jobs::DropTimeOf(opened));
+    table_.ScheduleDrop(aBody.job_.id_, jobs::DropTimeOfJob(opened));
   }
 
   void operator()(const ItemsAccepted& aBody)
@@ -188,8 +190,8 @@
         job->ReceivedItems() != job->description_.itemCount_) {
       return;
     }
-    job->phase_ = Job::Phase::Accepted;
-    job->lastRecordUnixMs_ = wallUnixMs_;
+    job->phase_ = Job::Phase::Running;
+    job->lastPhaseChangeUnixMs_ = wallUnixMs_;
     effects_.accepted_ = aBody.job_;
     if (job->description_.online_) {
       // The entry runs the request from now on.
@@ -221,7 +223,8 @@
     constexpr auto kMax = std::numeric_limits<std::uint8_t>::max();
     item->recordedStarts_ += item->recordedStarts_ < kMax ? 1 : 0;
     if (job.description_.idempotent_) {
-      item->failures_ = std::max(item->failures_, item->recordedStarts_);
+      item->countedAttempts_ =
+        std::max(item->countedAttempts_, item->recordedStarts_);
     } else if (item->state_ == Item::State::Waiting) {
       SetState(job, *item, Item::State::Uncertain);
     }
@@ -272,7 +275,7 @@
     ++(isOk ? job.succeeded_ : job.failed_);
     CloseIfDone(job);
     if (job.description_.online_) {
-      table_.CompactFinished(aEnded.run_.job_, isOk);
+      table_.MoveToFinished(aEnded.run_.job_, isOk);
     }
     return true;
   }
@@ -297,7 +300,7 @@
 }
 
 AcceptDecision
-JobTable::AcceptOnline(const wire::RecordRequest& aRequest,
+JobTable::DecideOnline(const wire::RecordRequest& aRequest,
                        std::uint32_t aMaxAttempts,
                        std::int64_t aNowUnixMs)
 {
@@ -312,9 +315,10 @@
   if (job != nullptr && job->IsAccepted() &&
       !IsClosedAndExpired(*job, aNowUnixMs)) {
     if (job->description_.digest_ != aRequest.digest_) {
-      return { Acceptance::Conflict, {} };
+      return { AcceptAction::Conflict, {} };
     }
-    return { job->IsClosed() ? Acceptance::Finished : Acceptance::Running, {} };
+    return { job->IsClosed() ? AcceptAction::Finished : AcceptAction::Running,
+             {} };
   }
   AcceptDecision decision;
   std::vector<Record>& records = decision.records_;
@@ -333,7 +337,7 @@
 }
 
 AcceptDecision
-JobTable::AcceptFrame(const wire::SubmitFrame& aFrame, std::int64_t aNowUnixMs)
+JobTable::DecideFrame(const wire::SubmitFrame& aFrame, std::int64_t aNowUnixMs)
 {
   const wire::JobDescription& description = aFrame.job_;
   if (const auto answer =
@@ -350,43 +354,44 @@
   }
   if (job != nullptr && job->IsAccepted()) {
     const bool isSame = job->description_.digest_ == description.digest_;
-    return { isSame ? Acceptance::Duplicate : Acceptance::Conflict, {} };
+    return { isSame ? AcceptAction::Duplicate : AcceptAction::Conflict, {} };
   }
   if (job != nullptr && !HasSameContent(*job, description)) {
-    // The other batch job was never accepted, so its key may be reused.
+    // The key belongs to a batch job with different content that was never
+    // accepted, so the key may be reused.
     job = nullptr;
   }
   const std::uint32_t received = job == nullptr ? 0 : job->ReceivedItems();
   if (!IsInBounds(aFrame) || aFrame.firstItem_ > received) {
-    return { Acceptance::Invalid, {} };
+    return { AcceptAction::Invalid, {} };
   }
   AcceptDecision decision;
   const bool isRestart = aFrame.firstItem_ == 0;
   if (job == nullptr || (isRestart && job->description_ != description)) {
     decision.records_.push_back({ aNowUnixMs, JobOpened{ description } });
   }
-  const std::uint32_t known =
+  const std::uint32_t alreadyReceived =
     std::min<std::uint32_t>(received - aFrame.firstItem_,
                             static_cast<std::uint32_t>(aFrame.items_.size()));
-  if (known < aFrame.items_.size()) {
+  if (alreadyReceived < aFrame.items_.size()) {
     decision.records_.push_back(
       { aNowUnixMs,
         ItemsAccepted{
           description.id_,
-          aFrame.firstItem_ + known,
-          { aFrame.items_.begin() + known, aFrame.items_.end() } } });
+          aFrame.firstItem_ + alreadyReceived,
+          { aFrame.items_.begin() + alreadyReceived, aFrame.items_.end() } } });
   }
   if (aFrame.last_) {
     decision.records_.push_back({ aNowUnixMs, JobAccepted{ description.id_ } });
   }
   if (decision.records_.empty()) {
-    return { Acceptance::Received, {} };
+    return { AcceptAction::Received, {} };
   }
   pending_[description.id_] = { description.digest_, aFrame.last_, false };
   return decision;
 }
 
-std::optional<Acceptance>
+std::optional<AcceptAction>
 JobTable::AnswerFromPending(const base::JobId& aJob,
                             std::uint64_t aDigest) const
 {
@@ -395,15 +400,15 @@
     return std::nullopt;
   }
   if (found->second.digest_ != aDigest) {
-    return Acceptance::Conflict;
+    return AcceptAction::Conflict;
   }
   if (!found->second.failed_) {
-    return Acceptance::Wait;
+    return AcceptAction::Wait;
   }
   return std::nullopt;
 }
 
-std::optional<Acceptance>
+std::optional<AcceptAction>
 JobTable::AnswerFromFinished(const base::JobId& aJob,
                              std::uint64_t aDigest,
                              std::int64_t aNowUnixMs) const
@@ -412,12 +417,12 @@
   if (finished == nullptr || aNowUnixMs >= finished->ExpiresUnixMs()) {
     return std::nullopt;
   }
-  return finished->digest_ == aDigest ? Acceptance::Finished
-                                      : Acceptance::Conflict;
+  return finished->digest_ == aDigest ? AcceptAction::Finished
+                                      : AcceptAction::Conflict;
 }
 
 void
-JobTable::SettleAccept(const base::JobId& aJob, bool aIsDurable)
+JobTable::OnAcceptAppended(const base::JobId& aJob, bool aIsDurable)
 {
   const auto found = pending_.find(aJob);
   if (found == pending_.end()) {
@@ -426,7 +431,7 @@
   // An acceptance whose append failed may still be in the log. If different
   // content were accepted under the key, a replay would keep the first and lose
   // the second. So the key stays bound to this content.
-  if (!aIsDurable && found->second.completesJob_) {
+  if (!aIsDurable && found->second.acceptsJob_) {
     found->second.failed_ = true;
     return;
   }
@@ -447,7 +452,7 @@
 {
   SetState(aJob, aJob.items_[aRun.item_], Item::State::Recording);
   aResult.item_ = aRun.item_;
-  return { EndAction::Record, ItemEnded{ aRun, std::move(aResult) } };
+  return { EndAction::Append, ItemEnded{ aRun, std::move(aResult) } };
 }
 
 std::optional<EndAction>
@@ -523,8 +528,8 @@
   }
   const bool isInterrupted = aEnded.code_ == ResultCode::Preempted ||
                              aEnded.code_ == ResultCode::Cancelled;
-  item.failures_ += isInterrupted ? 0 : 1;
-  if (item.failures_ < MaxAttempts(aJob)) {
+  item.countedAttempts_ += isInterrupted ? 0 : 1;
+  if (item.countedAttempts_ < MaxAttempts(aJob)) {
     Requeue(aEnded.run_);
     return { EndAction::Requeue, std::nullopt };
   }
@@ -535,7 +540,8 @@
 }
 
 EndDecision
-JobTable::EndItem(const base::RunId& aRun, const wire::ItemResult& aResult)
+JobTable::DecideItemEnd(const base::RunId& aRun,
+                        const wire::ItemResult& aResult)
 {
   if (const auto action = AnswerFromState(aRun)) {
     return { *action, std::nullopt };
@@ -544,7 +550,7 @@
 }
 
 CancelDecision
-JobTable::Cancel(const base::JobId& aJob, std::int64_t aNowUnixMs)
+JobTable::DecideCancel(const base::JobId& aJob, std::int64_t aNowUnixMs)
 {
   Job* job = FindMutable(aJob);
   if (job == nullptr || !job->IsAccepted() || job->IsClosed()) {
@@ -552,8 +558,9 @@
   }
   job->cancelling_ = true;
   // A result whose append failed may be in the log before the cancellation and
-  // be appended again after it. Live, the item would be cancelled; after a
-  // replay it would have a result. So the two are never appended concurrently.
+  // be appended again after it. In the running owner the item would be
+  // cancelled; after a replay it would have a result. So the two are never
+  // appended concurrently.
   if (job->recording_ > 0 || job->cancelAppendInFlight_) {
     return { CancelAction::Wait, std::nullopt };
   }
@@ -561,11 +568,11 @@
   return { CancelAction::Append, Record{ aNowUnixMs, JobCancelled{ aJob } } };
 }
 
-std::optional<Dispatch>
+std::optional<DispatchedItem>
 JobTable::TakeItem(const base::JobId& aJob)
 {
   Job* job = FindMutable(aJob);
-  if (job == nullptr || job->phase_ != Job::Phase::Accepted ||
+  if (job == nullptr || job->phase_ != Job::Phase::Running ||
       job->cancelling_) {
     return std::nullopt;
   }
@@ -581,11 +588,11 @@
     item.attempt_ = std::max(item.attempt_, kFirstOwnerAttempt);
   }
   const bool recordStart = job->description_.idempotent_
-                             ? item.failures_ > item.recordedStarts_
+                             ? item.countedAttempts_ > item.recordedStarts_
                              : item.recordedStarts_ == 0;
-  return Dispatch{ { aJob, *next, item.attempt_ },
-                   job->LocateItem(*next),
-                   recordStart };
+  return DispatchedItem{ { aJob, *next, item.attempt_ },
+                         job->LocateItem(*next),
+                         recordStart };
 }
 
 std::optional<std::uint32_t>
@@ -623,19 +630,20 @@
 }
 
 std::uint32_t
-JobTable::SkipInFlight(const base::JobId& aJob, std::uint32_t aInFlight)
+JobTable::SkipInFlight(const base::JobId& aJob, std::uint32_t aMaxInFlight)
 {
   Job* job = FindMutable(aJob);
-  if (job == nullptr || job->phase_ != Job::Phase::Accepted) {
+  if (job == nullptr || job->phase_ != Job::Phase::Running) {
     return 0;
   }
-  const auto isKnown = [](const Item& aItem) {
+  const auto wasStarted = [](const Item& aItem) {
     return aItem.state_ != Item::State::Waiting || aItem.recordedStarts_ > 0;
   };
   const auto last =
-    std::find_if(job->items_.rbegin(), job->items_.rend(), isKnown);
-  const auto known = static_cast<std::uint64_t>(job->items_.rend() - last);
-  const std::uint64_t start = known + aInFlight;
+    std::find_if(job->items_.rbegin(), job->items_.rend(), wasStarted);
+  const auto startedItems =
+    static_cast<std::uint64_t>(job->items_.rend() - last);
+  const std::uint64_t start = startedItems + aMaxInFlight;
   if (start >= job->ReceivedItems()) {
     return 0;
   }
@@ -667,7 +675,7 @@
 JobTable::MarkOrphaned(const base::JobId& aJob)
 {
   Job* job = FindMutable(aJob);
-  if (job == nullptr || job->phase_ != Job::Phase::Accepted ||
+  if (job == nullptr || job->phase_ != Job::Phase::Running ||
       !job->description_.online_ ||
       job->items_.front().state_ != Item::State::Running) {
     return false;
@@ -749,7 +757,7 @@
   }
   reply.job_ = job->description_;
   reply.waiting_ = job->Waiting();
-  reply.running_ = job->running_;
+  reply.running_ = job->inProgress_;
   reply.succeeded_ = job->succeeded_;
   reply.failed_ = job->failed_;
   reply.cancelled_ = job->cancelled_;
@@ -790,14 +798,14 @@
 JobTable::ForEachUnfinished(const std::function<void(const Job&)>& aVisit) const
 {
   for (const auto& [id, job] : jobs_) {
-    if (job.phase_ == Job::Phase::Accepted) {
+    if (job.phase_ == Job::Phase::Running) {
       aVisit(job);
     }
   }
 }
 
 std::size_t
-JobTable::Expire(std::int64_t aNowUnixMs)
+JobTable::DropDueJobs(std::int64_t aNowUnixMs)
 {
   std::size_t count = 0;
   while (!dropTimes_.empty() && dropTimes_.top().unixMs_ <= aNowUnixMs) {
@@ -846,14 +854,14 @@
 JobTable::Close(Job& aJob, Job::Phase aPhase, std::int64_t aUnixMs)
 {
   aJob.phase_ = aPhase;
-  aJob.lastRecordUnixMs_ = aUnixMs;
+  aJob.lastPhaseChangeUnixMs_ = aUnixMs;
   aJob.requeued_ = {};
   aJob.results_.shrink_to_fit();
-  ScheduleDrop(aJob.description_.id_, jobs::DropTimeOf(aJob));
+  ScheduleDrop(aJob.description_.id_, jobs::DropTimeOfJob(aJob));
 }
 
 void
-JobTable::CompactFinished(const base::JobId& aJob, bool aIsOk)
+JobTable::MoveToFinished(const base::JobId& aJob, bool aIsOk)
 {
   const Job& job = jobs_.at(aJob);
   FinishedRequest& finished = finished_[aJob];
@@ -861,7 +869,7 @@
   finished.digest_ = job.description_.digest_;
   finished.partner_ = base::HashBytes(job.description_.partner_);
   finished.firstSequence_ = job.firstSequence_;
-  finished.endedUnixMs_ = job.lastRecordUnixMs_;
+  finished.endedUnixMs_ = job.lastPhaseChangeUnixMs_;
   constexpr std::uint64_t kMax = std::numeric_limits<std::uint32_t>::max();
   finished.retentionS_ =
     static_cast<std::uint32_t>(std::min(job.description_.retentionS_, kMax));
@@ -893,7 +901,7 @@
     return finished->ExpiresUnixMs();
   }
   const Job* job = Find(aJob);
-  return job == nullptr ? std::nullopt : jobs::DropTimeOf(*job);
+  return job == nullptr ? std::nullopt : jobs::DropTimeOfJob(*job);
 }
 
 std::optional<std::uint64_t>
--- a/Libraries/LibJobs/JobTable.h
+++ b/Libraries/LibJobs/JobTable.h
@@ -16,38 +16,41 @@
 
 namespace pumiceturn::jobs {
 
-/// First attempt number of online requests that the owner runs itself, so that
-/// they cannot be confused with attempts of the entry.
+/// First number of the attempts that the owner makes itself. An entry makes far
+/// fewer attempts, so the numbers do not collide.
 constexpr std::uint16_t kFirstOwnerAttempt = 1000;
 
 /// Maximum attempts of an item whose kind sets no limit.
 constexpr std::uint32_t kDefaultMaxAttempts = 3;
 
-/// Answer to a submitted request or frame.
-enum class Acceptance : std::uint8_t
+/// How to handle a submitted request or frame.
+enum class AcceptAction : std::uint8_t
 {
-  Append,    ///< Append the records, then call SettleAccept().
+  Append,    ///< Append the records, then call OnAcceptAppended().
   Wait,      ///< Retry when the pending append of this job has completed.
   Received,  ///< The frame's items are already in the log.
   Running,   ///< Accepted earlier; no result yet.
   Finished,  ///< Accepted earlier; a result exists.
   Duplicate, ///< The batch job was accepted earlier.
   Conflict,  ///< The key was used with different content.
-  Invalid,   ///< Frames out of order, or more items than announced.
+  Invalid, ///< Frames out of order, or a number of items that differs from the
+           ///< announced one.
 };
 
 struct AcceptDecision
 {
-  Acceptance answer_ = Acceptance::Append;
+  AcceptAction action_ = AcceptAction::Append;
   std::vector<Record> records_;
 };
 
 /// How to handle a result or the end of a run.
 enum class EndAction : std::uint8_t
 {
-  Record,  ///< Append the record, and answer the sender once it is durable.
-  Wait,    ///< Retry when the pending append of this item has completed.
-  Discard, ///< A result is already recorded, or the job is gone or cancelled.
+  Append, ///< Append the record, and answer the sender once it is durable.
+  Wait, ///< Retry when the pending append of this item's result or of its job's
+        ///< cancellation has completed.
+  Discard, ///< The item has ended, the job does not exist or is not accepted,
+           ///< or the failed attempt is not the current one.
   Requeue, ///< The item is waiting again.
   Reject,  ///< Another sender runs the item.
 };
@@ -72,8 +75,8 @@
   std::optional<Record> record_;
 };
 
-/// An item to be dispatched.
-struct Dispatch
+/// An item taken from its job to be dispatched.
+struct DispatchedItem
 {
   base::RunId run_;
   ItemLocation location_;
@@ -91,6 +94,8 @@
   };
 
   std::optional<base::JobId> accepted_;
+  /// Online requests that were not run. They were removed, and their keys may
+  /// be used again.
   std::vector<base::JobId> withdrawn_;
   std::optional<base::JobId> cancelled_;
   std::vector<End> ended_;
@@ -118,18 +123,19 @@
                       std::uint64_t aSequence);
 
   /// Decides on an online request. After Append, the job is pending until
-  /// SettleAccept() is called.
+  /// OnAcceptAppended() is called.
   /// @param aMaxAttempts 0 for kDefaultMaxAttempts.
-  AcceptDecision AcceptOnline(const wire::RecordRequest& aRequest,
+  AcceptDecision DecideOnline(const wire::RecordRequest& aRequest,
                               std::uint32_t aMaxAttempts,
                               std::int64_t aNowUnixMs);
 
-  /// Decides on a frame of a batch job, as AcceptOnline() does.
-  AcceptDecision AcceptFrame(const wire::SubmitFrame& aFrame,
+  /// Decides on a frame of a batch job, as DecideOnline() does.
+  AcceptDecision DecideFrame(const wire::SubmitFrame& aFrame,
                              std::int64_t aNowUnixMs);
 
-  /// Reports the outcome of the append of an acceptance, after Apply().
-  void SettleAccept(const base::JobId& aJob, bool aIsDurable);
+  /// To be called when the records of an Append decision are durable and
+  /// applied, or their append has failed.
+  void OnAcceptAppended(const base::JobId& aJob, bool aIsDurable);
 
   /// @return whether an acceptance is being appended.
   [[nodiscard]] bool IsAccepting(const base::JobId& aJob) const;
@@ -143,31 +149,35 @@
   /// Decides on the end of a run at an agent.
   EndDecision DecideRunEnd(const wire::RunEnded& aEnded);
 
-  /// Ends an item without a run, when its content is quarantined or the outcome
-  /// of a non-idempotent run is unknown.
-  EndDecision EndItem(const base::RunId& aRun, const wire::ItemResult& aResult);
+  /// Decides on the end of an item that no agent or entry reported, such as
+  /// quarantined content or an unknown outcome.
+  EndDecision DecideItemEnd(const base::RunId& aRun,
+                            const wire::ItemResult& aResult);
 
-  /// Decides on a cancellation. After Wait, results are being appended: call
-  /// this again when they are durable. No item starts in the meantime.
-  CancelDecision Cancel(const base::JobId& aJob, std::int64_t aNowUnixMs);
+  /// Decides on a cancellation. After Wait, results or an earlier
+  /// cancellation are being appended: call this again when they are durable. No
+  /// item starts in the meantime.
+  CancelDecision DecideCancel(const base::JobId& aJob, std::int64_t aNowUnixMs);
 
   /// Marks the next waiting item of a job as running.
   /// @return the item; nothing when none waits.
-  std::optional<Dispatch> TakeItem(const base::JobId& aJob);
+  std::optional<DispatchedItem> TakeItem(const base::JobId& aJob);
 
-  /// After a takeover, continues dispatch behind the items that the previous
-  /// owner may have dispatched. Items are dispatched in order, so those
-  /// directly follow the last item that is known to have started or ended.
+  /// After a takeover, continues dispatch after the items that the previous
+  /// owner may have dispatched. Items are dispatched in order, so the
+  /// skipped ones directly follow the last item known to have started or ended.
   /// @param aInFlight Maximum number of items that an owner has in flight.
-  /// @return the number of items behind them; 0 when there are none.
-  std::uint32_t SkipInFlight(const base::JobId& aJob, std::uint32_t aInFlight);
+  /// @return the number of items after the skipped ones; 0 when there are none.
+  std::uint32_t SkipInFlight(const base::JobId& aJob,
+                             std::uint32_t aMaxInFlight);
 
   /// Returns a running item to the queue without counting a failed attempt.
-  /// @return false when the item is not running under this attempt.
+  /// @return false when the item is not started under this attempt or its job
+  /// is being cancelled.
   bool Requeue(const base::RunId& aRun);
 
-  /// Returns an online request whose runner is lost to the queue, for the owner
-  /// to run it.
+  /// Puts an online request back in the queue after its runner was lost, so
+  /// that the owner runs it.
   /// @return false when the request is not running.
   bool MarkOrphaned(const base::JobId& aJob);
 
@@ -201,7 +211,7 @@
   /// Drops jobs whose retention time has passed, and batch jobs whose
   /// submission was abandoned.
   /// @return the number of dropped jobs.
-  std::size_t Expire(std::int64_t aNowUnixMs);
+  std::size_t DropDueJobs(std::int64_t aNowUnixMs);
 
   /// @return the lowest sequence number that a job still needs; nothing when
   /// there are no jobs.
@@ -213,10 +223,13 @@
   }
 
 private:
-  struct Pending
+  /// An acceptance that is being appended, or whose append failed.
+  struct PendingAccept
+
   {
     std::uint64_t digest_ = 0;
-    bool completesJob_ = false;
+    /// Whether the records accept the job, not only a part of its items.
+    bool acceptsJob_ = false;
     /// Whether the append failed. The records may still be in the log.
     bool failed_ = false;
   };
@@ -225,11 +238,11 @@
 
   Job* FindMutable(const base::JobId& aJob);
   Item* FindItem(const base::RunId& aRun);
-  std::optional<Acceptance> AnswerFromPending(const base::JobId& aJob,
-                                              std::uint64_t aDigest) const;
-  std::optional<Acceptance> AnswerFromFinished(const base::JobId& aJob,
-                                               std::uint64_t aDigest,
-                                               std::int64_t aNowUnixMs) const;
+  std::optional<AcceptAction> AnswerFromPending(const base::JobId& aJob,
+                                                std::uint64_t aDigest) const;
+  std::optional<AcceptAction> AnswerFromFinished(const base::JobId& aJob,
+                                                 std::uint64_t aDigest,
+                                                 std::int64_t aNowUnixMs) const;
   EndDecision RecordEnd(Job& aJob,
                         const base::RunId& aRun,
                         wire::ItemResult aResult);
@@ -245,7 +258,7 @@
     const base::JobId& aJob) const;
   [[nodiscard]] std::optional<std::uint64_t> FirstSequenceOf(
     const base::JobId& aJob) const;
-  void CompactFinished(const base::JobId& aJob, bool aIsOk);
+  void MoveToFinished(const base::JobId& aJob, bool aIsOk);
   static wire::JobStatusReply StatusOf(const base::JobId& aJob,
                                        const FinishedRequest& aRequest);
   void Close(Job& aJob, Job::Phase aPhase, std::int64_t aUnixMs);
@@ -270,12 +283,12 @@
 
   std::unordered_map<base::JobId, Job> jobs_;
   std::unordered_map<base::JobId, FinishedRequest> finished_;
-  std::unordered_map<base::JobId, Pending> pending_;
+  std::unordered_map<base::JobId, PendingAccept> pending_;
   /// When closed jobs, and batch jobs that are not accepted yet, are dropped;
-  /// earliest first. An entry that differs from its job's drop time is stale.
+  /// earliest first. An element that differs from its job's drop time is stale.
   std::priority_queue<DropTime, std::vector<DropTime>, std::greater<>>
     dropTimes_;
-  /// In log order. An entry that differs from its job's first sequence is
+  /// In log order. An element that differs from its job's first sequence is
   /// stale.
   std::deque<FirstSequence> firstSequences_;
   /// Recently dropped jobs, which are answered with Expired. Best effort: a new
--- a/Libraries/LibJobs/LaxityQueue.cpp
+++ b/Libraries/LibJobs/LaxityQueue.cpp
@@ -8,20 +8,24 @@
 
 namespace {
 
+/// Weight of a new sample in the moving averages. A larger factor follows
+/// changes faster, but also single outliers.
 constexpr double kSmoothingFactor = 0.1;
 constexpr double kMinServiceTimeMs = 0.1;
 constexpr double kMicrosecondsPerMs = 1000.0;
 
-/// The order is rebuilt when the measured time per item differs by this factor.
-/// A rebuild visits every job, and a small difference rarely changes the order.
+/// The order is rebuilt when the measured time per item differs by this factor
+/// from the one used for the current order. A rebuild visits every job, and a
+/// small difference rarely changes the order.
 constexpr double kRebuildDrift = 1.5;
 
 /// Maximum number of jobs that a rebuild visits per item removed since the last
 /// rebuild. Bounds the amortised cost when the time per item fluctuates.
 constexpr std::uint64_t kMaxRebuiltJobsPerPop = 4;
 
-/// Maximum number of selections that urgent jobs may accumulate for a burst.
-constexpr double kMaxUrgentCredit = 8.0;
+/// Maximum number of consecutive selections that may go to urgent jobs after a
+/// time without any.
+constexpr double kMaxUrgentAllowance = 8.0;
 
 } // namespace
 
@@ -34,7 +38,7 @@
   : options_(aOptions)
   , serviceMs_(static_cast<double>(aOptions.initialServiceTime_.count()) /
                kMicrosecondsPerMs)
-  , keyMsPerItem_(serviceMs_)
+  , orderedByMsPerItem_(serviceMs_)
 {
 }
 
@@ -48,22 +52,22 @@
   if (aItems == 0) {
     return;
   }
-  const auto [found, isNew] = entries_.try_emplace(aJob);
-  Entry& entry = found->second;
+  const auto [found, isNew] = queuedJobs_.try_emplace(aJob);
+  QueuedJob& queued = found->second;
   if (isNew) {
-    entry.partner_ = PartnerIndex(aPartner, aWeight);
-    entry.dueUnixMs_ = aDueUnixMs;
-    entry.latestStart_ = LatestStartOf(entry);
+    queued.partner_ = FindOrAddPartner(aPartner, aWeight);
+    queued.dueUnixMs_ = aDueUnixMs;
+    queued.latestStart_ = LatestStartOf(queued);
   }
   waiting_ += aItems;
-  SetItemCount(aJob, entry, entry.items_ + aItems);
+  SetItemCount(aJob, queued, queued.items_ + aItems);
 }
 
 void
 LaxityQueue::Remove(const base::JobId& aJob)
 {
-  const auto found = entries_.find(aJob);
-  if (found == entries_.end()) {
+  const auto found = queuedJobs_.find(aJob);
+  if (found == queuedJobs_.end()) {
     return;
   }
   waiting_ -= found->second.items_;
@@ -73,43 +77,43 @@
 std::optional<Selection>
 LaxityQueue::Pop(std::int64_t aNowUnixMs)
 {
-  if (partnersByService_.empty()) {
+  if (partnersByServiceTime_.empty()) {
     return std::nullopt;
   }
   RebuildIfDrifted();
-  const std::size_t partners = partnersByService_.size();
+  const std::size_t partners = partnersByServiceTime_.size();
   std::uint32_t index = 0;
   const SelectionReason reason = SelectPartner(aNowUnixMs, index);
   Partner& partner = partners_[index];
   const base::JobId job = partner.jobs_.begin()->second;
-  Entry& entry = entries_.at(job);
-  const Selection selection{ job,          partner.name_,
-                             reason,       entry.latestStart_ - aNowUnixMs,
-                             entry.items_, partners };
+  QueuedJob& queued = queuedJobs_.at(job);
+  const Selection selection{ job,           partner.name_,
+                             reason,        queued.latestStart_ - aNowUnixMs,
+                             queued.items_, partners };
   if (reason == SelectionReason::Share) {
-    virtualTime_ = std::max(virtualTime_, partner.normalisedService_);
+    virtualTime_ = std::max(virtualTime_, partner.normalisedServiceTime_);
   }
   UnindexPartner(index);
-  partner.normalisedService_ += serviceMs_ / partner.weight_;
+  partner.normalisedServiceTime_ += serviceMs_ / partner.weight_;
   IndexPartner(index);
   --waiting_;
   ++poppedSinceRebuild_;
-  SetItemCount(job, entry, entry.items_ - 1);
+  SetItemCount(job, queued, queued.items_ - 1);
   return selection;
 }
 
 SelectionReason
 LaxityQueue::SelectPartner(std::int64_t aNowUnixMs, std::uint32_t& aPartner)
 {
-  aPartner = partnersByService_.begin()->second;
+  aPartner = partnersByServiceTime_.begin()->second;
   const auto& [latestStart, urgent] = *partnersByUrgency_.begin();
   const bool isUrgent = latestStart - aNowUnixMs < options_.urgentLaxityMs_;
-  urgentCredit_ =
-    std::min(urgentCredit_ + options_.urgentShare_, kMaxUrgentCredit);
-  if (!isUrgent || urgent == aPartner || urgentCredit_ < 1.0) {
+  urgentAllowance_ =
+    std::min(urgentAllowance_ + options_.urgentShare_, kMaxUrgentAllowance);
+  if (!isUrgent || urgent == aPartner || urgentAllowance_ < 1.0) {
     return SelectionReason::Share;
   }
-  urgentCredit_ -= 1.0;
+  urgentAllowance_ -= 1.0;
   aPartner = urgent;
   return SelectionReason::Urgent;
 }
@@ -132,8 +136,8 @@
 std::uint32_t
 LaxityQueue::WaitingOf(const base::JobId& aJob) const
 {
-  const auto found = entries_.find(aJob);
-  return found == entries_.end() ? 0 : found->second.items_;
+  const auto found = queuedJobs_.find(aJob);
+  return found == queuedJobs_.end() ? 0 : found->second.items_;
 }
 
 std::optional<std::int64_t>
@@ -157,24 +161,24 @@
 LaxityQueue::ShareOf(std::uint32_t aPartner) const
 {
   double weights = 0.0;
-  for (const auto& [served, index] : partnersByService_) {
+  for (const auto& [served, index] : partnersByServiceTime_) {
     weights += partners_[index].weight_;
   }
   return weights == 0.0 ? 1.0 : partners_[aPartner].weight_ / weights;
 }
 
 std::int64_t
-LaxityQueue::ExpectedWorkMs(const base::JobId& aJob,
-                            std::uint32_t aRunning) const
+LaxityQueue::ExpectedDurationMs(const base::JobId& aJob,
+                                std::uint32_t aRunning) const
 {
-  const auto found = entries_.find(aJob);
-  if (found == entries_.end()) {
+  const auto found = queuedJobs_.find(aJob);
+  if (found == queuedJobs_.end()) {
     return WorkMs(aRunning);
   }
   const std::uint32_t partner = found->second.partner_;
   double items = aRunning;
   for (const auto& [latestStart, job] : partners_[partner].jobs_) {
-    items += entries_.at(job).items_;
+    items += queuedJobs_.at(job).items_;
     if (job == aJob) {
       break;
     }
@@ -183,14 +187,15 @@
 }
 
 LaxityQueue::LatestStart
-LaxityQueue::LatestStartOf(const Entry& aEntry) const
+LaxityQueue::LatestStartOf(const QueuedJob& aQueued) const
 {
-  const double work = std::max(keyMsPerItem_ * aEntry.items_, serviceMs_);
-  return aEntry.dueUnixMs_ - static_cast<std::int64_t>(work);
+  const double work =
+    std::max(orderedByMsPerItem_ * aQueued.items_, serviceMs_);
+  return aQueued.dueUnixMs_ - static_cast<std::int64_t>(work);
 }
 
 std::uint32_t
-LaxityQueue::PartnerIndex(std::string_view aName, std::uint32_t aWeight)
+LaxityQueue::FindOrAddPartner(std::string_view aName, std::uint32_t aWeight)
 {
   const auto found = partnerIndex_.find(aName);
   if (found != partnerIndex_.end()) {
@@ -210,7 +215,7 @@
   if (partner.jobs_.empty()) {
     return;
   }
-  partnersByService_.insert({ partner.normalisedService_, aPartner });
+  partnersByServiceTime_.insert({ partner.normalisedServiceTime_, aPartner });
   partnersByUrgency_.insert({ partner.jobs_.begin()->first, aPartner });
 }
 
@@ -221,32 +226,32 @@
   if (partner.jobs_.empty()) {
     return;
   }
-  partnersByService_.erase({ partner.normalisedService_, aPartner });
+  partnersByServiceTime_.erase({ partner.normalisedServiceTime_, aPartner });
   partnersByUrgency_.erase({ partner.jobs_.begin()->first, aPartner });
 }
 
 void
 LaxityQueue::SetItemCount(const base::JobId& aJob,
-                          Entry& aEntry,
+                          QueuedJob& aQueued,
                           std::uint32_t aItems)
 {
-  const std::uint32_t index = aEntry.partner_;
+  const std::uint32_t index = aQueued.partner_;
   Partner& partner = partners_[index];
   UnindexPartner(index);
   const bool wasIdle = partner.jobs_.empty();
-  partner.jobs_.erase({ aEntry.latestStart_, aJob });
-  aEntry.items_ = aItems;
+  partner.jobs_.erase({ aQueued.latestStart_, aJob });
+  aQueued.items_ = aItems;
   if (aItems == 0) {
-    entries_.erase(aJob);
+    queuedJobs_.erase(aJob);
   } else {
-    aEntry.latestStart_ = LatestStartOf(aEntry);
-    partner.jobs_.insert({ aEntry.latestStart_, aJob });
+    aQueued.latestStart_ = LatestStartOf(aQueued);
+    partner.jobs_.insert({ aQueued.latestStart_, aJob });
   }
   if (wasIdle) {
     // An idle partner accumulates no share. Otherwise it would block the others
     // until it had caught up.
-    partner.normalisedService_ =
-      std::max(partner.normalisedService_, virtualTime_);
+    partner.normalisedServiceTime_ =
+      std::max(partner.normalisedServiceTime_, virtualTime_);
   }
   IndexPartner(index);
 }
@@ -254,11 +259,12 @@
 void
 LaxityQueue::RebuildIfDrifted()
 {
-  const double now = serviceMs_ / parallelism_;
+  const double currentMsPerItem = serviceMs_ / parallelism_;
   const bool hasDrifted =
-    now > keyMsPerItem_ * kRebuildDrift || now * kRebuildDrift < keyMsPerItem_;
+    currentMsPerItem > orderedByMsPerItem_ * kRebuildDrift ||
+    currentMsPerItem * kRebuildDrift < orderedByMsPerItem_;
   if (hasDrifted &&
-      poppedSinceRebuild_ * kMaxRebuiltJobsPerPop >= entries_.size()) {
+      poppedSinceRebuild_ * kMaxRebuiltJobsPerPop >= queuedJobs_.size()) {
     Rebuild();
   }
 }
@@ -266,16 +272,16 @@
 void
 LaxityQueue::Rebuild()
 {
-  keyMsPerItem_ = serviceMs_ / parallelism_;
+  orderedByMsPerItem_ = serviceMs_ / parallelism_;
   poppedSinceRebuild_ = 0;
-  partnersByService_.clear();
+  partnersByServiceTime_.clear();
   partnersByUrgency_.clear();
   for (Partner& partner : partners_) {
     partner.jobs_.clear();
   }
-  for (auto& [job, entry] : entries_) {
-    entry.latestStart_ = LatestStartOf(entry);
-    partners_[entry.partner_].jobs_.insert({ entry.latestStart_, job });
+  for (auto& [job, queued] : queuedJobs_) {
+    queued.latestStart_ = LatestStartOf(queued);
+    partners_[queued.partner_].jobs_.insert({ queued.latestStart_, job });
   }
   for (std::uint32_t index = 0; index < partners_.size(); ++index) {
     IndexPartner(index);
--- a/Libraries/LibJobs/RecordCodec.cpp
+++ b/Libraries/LibJobs/RecordCodec.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Bounds the traversal of a corrupt message. A valid record may hold several
-/// megabytes.
+/// Bounds the traversal of a corrupt message, which may refer to the same bytes
+/// many times. Far above several megabytes, which a valid record may hold.
 constexpr std::uint64_t kTraversalLimitWords = 64U << 20U;
 
 std::string
-ToText(capnp::Text::Reader aText)
+ToString(capnp::Text::Reader aText)
 {
   return { aText.begin(), aText.size() };
 }
@@ -30,13 +30,13 @@
 }
 
 capnp::Text::Reader
-FromText(const std::string& aText)
+ToTextReader(const std::string& aText)
 {
   return { aText.data(), aText.size() };
 }
 
 capnp::Data::Reader
-FromBytes(const std::string& aBytes)
+ToDataReader(const std::string& aBytes)
 {
   return { reinterpret_cast<const kj::byte*>(aBytes.data()), aBytes.size() };
 }
@@ -73,10 +73,10 @@
       schema::JobDescription::Builder aBuilder)
 {
   Write(aJob.id_, aBuilder.initId());
-  aBuilder.setPartner(FromText(aJob.partner_));
-  aBuilder.setService(FromText(aJob.service_));
-  aBuilder.setKind(FromText(aJob.kind_));
-  aBuilder.setKey(FromText(aJob.key_));
+  aBuilder.setPartner(ToTextReader(aJob.partner_));
+  aBuilder.setService(ToTextReader(aJob.service_));
+  aBuilder.setKind(ToTextReader(aJob.kind_));
+  aBuilder.setKey(ToTextReader(aJob.key_));
   aBuilder.setDigest(aJob.digest_);
   aBuilder.setItemCount(aJob.itemCount_);
   aBuilder.setDueUnixMs(aJob.dueUnixMs_);
@@ -92,10 +92,10 @@
 {
   wire::JobDescription job;
   job.id_ = ReadId(aReader.getId());
-  job.partner_ = ToText(aReader.getPartner());
-  job.service_ = ToText(aReader.getService());
-  job.kind_ = ToText(aReader.getKind());
-  job.key_ = ToText(aReader.getKey());
+  job.partner_ = ToString(aReader.getPartner());
+  job.service_ = ToString(aReader.getService());
+  job.kind_ = ToString(aReader.getKind());
+  job.key_ = ToString(aReader.getKey());
   job.digest_ = aReader.getDigest();
   job.itemCount_ = aReader.getItemCount();
   job.dueUnixMs_ = aReader.getDueUnixMs();
@@ -112,12 +112,12 @@
 {
   aBuilder.setPosition(aResult.position_);
   aBuilder.setItem(aResult.item_);
-  aBuilder.setName(FromText(aResult.name_));
+  aBuilder.setName(ToTextReader(aResult.name_));
   aBuilder.setCode(static_cast<std::uint16_t>(aResult.code_));
   aBuilder.setRan(static_cast<std::uint8_t>(aResult.ran_));
-  aBuilder.setText(FromBytes(aResult.text_));
+  aBuilder.setText(ToDataReader(aResult.text_));
   aBuilder.setTokens(aResult.tokens_);
-  aBuilder.setDetail(FromText(aResult.detail_));
+  aBuilder.setDetail(ToTextReader(aResult.detail_));
 }
 
 wire::ItemResult
@@ -130,9 +130,9 @@
   result.ran_ = static_cast<base::Ran>(aReader.getRan());
   result.tokens_ = aReader.getTokens();
   if (aPayloadMode == PayloadMode::Read) {
-    result.name_ = ToText(aReader.getName());
+    result.name_ = ToString(aReader.getName());
     result.text_ = ToBytes(aReader.getText());
-    result.detail_ = ToText(aReader.getDetail());
+    result.detail_ = ToString(aReader.getDetail());
   }
   return result;
 }
@@ -154,8 +154,8 @@
     accepted.setFirstItem(aBody.firstItem_);
     auto items = accepted.initItems(static_cast<unsigned>(aBody.items_.size()));
     for (unsigned index = 0; index < items.size(); ++index) {
-      items[index].setName(FromText(aBody.items_[index].name_));
-      items[index].setPayload(FromBytes(aBody.items_[index].payload_));
+      items[index].setName(ToTextReader(aBody.items_[index].name_));
+      items[index].setPayload(ToDataReader(aBody.items_[index].payload_));
     }
   }
 
@@ -178,7 +178,7 @@
   {
     auto started = record_.initItemStarted();
     Write(aBody.run_, started.initRun());
-    started.setEndpoint(FromText(aBody.endpoint_));
+    started.setEndpoint(ToTextReader(aBody.endpoint_));
   }
 
   void operator()(const JobCancelled& aBody)
@@ -190,7 +190,7 @@
   {
     auto started = record_.initEpochStarted();
     started.setEpoch(aBody.epoch_);
-    started.setOwner(FromText(aBody.owner_));
+    started.setOwner(ToTextReader(aBody.owner_));
   }
 };
 
@@ -207,7 +207,7 @@
   }
   std::size_t index = 0;
   for (auto item : aReader.getItems()) {
-    accepted.items_[index].name_ = ToText(item.getName());
+    accepted.items_[index].name_ = ToString(item.getName());
     accepted.items_[index].payload_ = ToBytes(item.getPayload());
     ++index;
   }
@@ -241,12 +241,12 @@
       return ReadItemsEnded(aRecord.getItemsEnded(), aPayloadMode);
     case schema::Record::ITEM_STARTED:
       return ItemStarted{ ReadRun(aRecord.getItemStarted().getRun()),
-                          ToText(aRecord.getItemStarted().getEndpoint()) };
+                          ToString(aRecord.getItemStarted().getEndpoint()) };
     case schema::Record::JOB_CANCELLED:
       return JobCancelled{ ReadId(aRecord.getJobCancelled().getJob()) };
     case schema::Record::EPOCH_STARTED:
       return EpochStarted{ aRecord.getEpochStarted().getEpoch(),
-                           ToText(aRecord.getEpochStarted().getOwner()) };
+                           ToString(aRecord.getEpochStarted().getOwner()) };
   }
   return base::Fail(base::ResultCode::CorruptRecord, "unknown record type");
 }
@@ -315,13 +315,13 @@
                           "the record has no item with this index");
       }
       const auto item = aRecord.getItemsAccepted().getItems()[aIndex];
-      return wire::JobItem{ ToText(item.getName()),
+      return wire::JobItem{ ToString(item.getName()),
                             ToBytes(item.getPayload()) };
     });
 }
 
 base::Result<ItemEnded>
-ReadEnded(std::string_view aBytes, std::uint32_t aIndex)
+ReadItemEnded(std::string_view aBytes, std::uint32_t aIndex)
 {
   return WithRecord(
     aBytes,
--- a/Libraries/LibJobs/RecordCodec.h
+++ b/Libraries/LibJobs/RecordCodec.h
@@ -9,8 +9,8 @@
 
 namespace pumiceturn::jobs {
 
-/// Whether names, payloads and texts are copied out of a record. A replay needs
-/// only their number.
+/// Whether item names, payloads, result texts and details are copied out of a
+/// record. A replay needs only the number of items.
 enum class PayloadMode : std::uint8_t
 {
   Read,
@@ -22,7 +22,8 @@
 EncodeRecord(const Record& aRecord);
 
 /// Decodes a record.
-/// @param aPayloadMode With Skip, names, payloads and texts stay empty.
+/// @param aPayloadMode With Skip, item names, payloads, result texts and
+/// details stay empty.
 /// @return the record, or CorruptRecord when the bytes are not a valid record.
 base::Result<Record>
 DecodeRecord(std::string_view aBytes,
@@ -37,6 +38,6 @@
 
 /// Reads one result of an ItemsEnded record, as ReadItem() does.
 base::Result<ItemEnded>
-ReadEnded(std::string_view aBytes, std::uint32_t aIndex);
+ReadItemEnded(std::string_view aBytes, std::uint32_t aIndex);
 
 } // namespace pumiceturn::jobs
--- a/Libraries/LibJobs/Records.h
+++ b/Libraries/LibJobs/Records.h
@@ -51,12 +51,14 @@
   bool operator==(const ItemsEnded&) const = default;
 };
 
-/// Appended before the first dispatch of a non-idempotent item, and before a
-/// rerun after a failed attempt, so that the attempt limit holds across a
-/// takeover.
+/// Appended before the first dispatch of a non-idempotent item, so that it is
+/// not run again after a takeover, and before the rerun of an idempotent item
+/// after a failed attempt, so that the attempt limit holds across a takeover.
 struct ItemStarted
 {
   base::RunId run_;
+  /// Endpoint whose agent runs the item. Agents have the names of their
+  /// endpoints.
   std::string endpoint_;
 
   bool operator==(const ItemStarted&) const = default;
@@ -88,7 +90,7 @@
 /// One record of a partition's log.
 struct Record
 {
-  std::int64_t wallUnixMs_ = 0;
+  std::int64_t wallUnixMs_ = 0; ///< When the owner made the record.
   RecordBody body_;
 
   bool operator==(const Record&) const = default;
--- a/Libraries/LibKeeper/Events.h
+++ b/Libraries/LibKeeper/Events.h
@@ -9,13 +9,13 @@
   6001,
   "recovering_jobs",
   base::LogLevel::Info,
-  "This host owns a partition under a new epoch and replays its log."
+  "This host recovers a partition under a new epoch and replays its log."
 };
 inline constexpr base::Event kServingJobs{
   6002,
   "serving_jobs",
   base::LogLevel::Info,
-  "This host has started to serve a partition's jobs."
+  "This host now dispatches all waiting items of a partition."
 };
 inline constexpr base::Event kReleasedJobs{
   6003,
@@ -33,12 +33,15 @@
   6010,
   "job_accepted",
   base::LogLevel::Info,
-  "A batch job is durable and was accepted."
+  "A batch job was accepted; its items are durable."
+};
+inline constexpr base::Event kJobRefused{
+  6011,
+  "job_refused",
+  base::LogLevel::Warning,
+  "A frame of a batch job was refused because its records were not confirmed "
+  "as durable."
 };
-inline constexpr base::Event kJobRefused{ 6011,
-                                          "job_refused",
-                                          base::LogLevel::Warning,
-                                          "A batch job was not accepted." };
 inline constexpr base::Event kJobFinished{
   6012,
   "job_finished",
@@ -64,13 +67,13 @@
   "Records could not be made durable. Results and cancellations are appended "
   "again; acceptances are refused."
 };
-inline constexpr base::Event kBatchPlaced{
+inline constexpr base::Event kBatchAssigned{
   6030,
   "batch_placed",
   base::LogLevel::Info,
   "A batch item was assigned to an agent."
 };
-inline constexpr base::Event kOrphanPlaced{
+inline constexpr base::Event kOrphanAssigned{
   6031,
   "orphan_placed",
   base::LogLevel::Info,
@@ -90,19 +93,21 @@
   6034,
   "result_dropped",
   base::LogLevel::Info,
-  "A result was dropped because its item already has one or its job is gone."
+  "A result was dropped because its item has ended or its job does not exist "
+  "any more."
 };
-inline constexpr base::Event kAgentGone{
+inline constexpr base::Event kAgentLost{
   6040,
   "agent_gone",
   base::LogLevel::Warning,
   "An agent was lost or replaced; its runs end as lost."
 };
-inline constexpr base::Event kEntryGone{
+inline constexpr base::Event kEntryLost{
   6041,
   "entry_gone",
   base::LogLevel::Warning,
-  "An entry was lost or replaced; its requests are run by their owner."
+  "An entry was lost or replaced; this host runs its idempotent requests. The "
+  "others end with an unknown outcome."
 };
 inline constexpr base::Event kHandingOver{
   6050,
--- a/Libraries/LibKeeper/JobService.cpp
+++ b/Libraries/LibKeeper/JobService.cpp
@@ -48,11 +48,11 @@
 }
 
 void
-JobService::UnlockAndDrain(Lock aLock)
+JobService::UnlockAndRunOutbox(Lock aLock)
 {
-  SendDemand(scheduler_.CollectFirstDemand(ports_.wallUnixMs_()));
+  SendDemand(scheduler_.CollectRisenFromZero(ports_.wallUnixMs_()));
   aLock.unlock();
-  outbox_.Drain();
+  outbox_.Run();
 }
 
 void
@@ -61,7 +61,7 @@
 {
   Lock lock(mutex_);
   scheduler_.SetAgents(aService, aAgents);
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 bool
@@ -76,7 +76,7 @@
 {
   Lock lock(mutex_);
   Handle(aPeer, aMessage);
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 void
@@ -99,7 +99,7 @@
       // previous one.
       lostPeers_.erase(aPeer);
       EndRunsOfAgent(aPeer, RunsToEnd::All);
-      OrphanRequestsOf(aPeer);
+      OnEntryLost(aPeer);
       [[fallthrough]];
     case wire::LinkState::Up:
       lostPeers_.erase(aPeer);
@@ -114,7 +114,7 @@
       SendDemand(scheduler_.DemandForAgent(aPeer, ports_.wallUnixMs_()));
       break;
   }
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 void
@@ -126,7 +126,7 @@
   partition.epoch_ = aEpoch;
   base::Log(kRecoveringJobs,
             { { "partition", aPartition }, { "epoch", aEpoch } });
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 void
@@ -159,11 +159,11 @@
 JobService::OnOwned(std::uint32_t aPartition, std::uint64_t aEpoch)
 {
   Lock lock(mutex_);
-  OwnedPartition* partition = FindEpoch(aPartition, aEpoch);
+  OwnedPartition* partition = FindPartition(aPartition, aEpoch);
   if (partition == nullptr) {
     return;
   }
-  const bool hasWork = ResumeBatchJobs(*partition);
+  const bool hasWork = ResumeJobs(*partition);
   partition->phase_ = OwnedPartition::Phase::Settling;
   partition->settlingEndsAt_ = ports_.now_();
   if (hasWork) {
@@ -175,11 +175,11 @@
        std::exchange(partition->deferredUntilOwned_, {})) {
     Handle(deferred.peer_, deferred.message_);
   }
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 bool
-JobService::ResumeBatchJobs(OwnedPartition& aPartition)
+JobService::ResumeJobs(OwnedPartition& aPartition)
 {
   std::vector<base::JobId> batchJobs;
   aPartition.table_.ForEachUnfinished([&](const jobs::Job& aJob) {
@@ -223,12 +223,12 @@
        })) {
     scheduler_.RemoveRun(run, {});
   }
-  wire::RecordReply moved;
-  moved.code_ = base::ResultCode::NotOwner;
+  wire::RecordReply released;
+  released.code_ = base::ResultCode::NotOwner;
   for (const auto& [job, run] : partition.online_) {
-    for (const Requester& requester : run.waiters_) {
-      moved.call_ = requester.call_;
-      Send(requester.peer_, moved);
+    for (const Requester& requester : run.waitingRequesters_) {
+      released.call_ = requester.call_;
+      Send(requester.peer_, released);
     }
   }
   for (const RetriedAppend& retry : partition.retries_) {
@@ -244,14 +244,14 @@
   }
   base::Log(kReleasedJobs,
             { { "partition", aPartition }, { "epoch", partition.epoch_ } });
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 void
 JobService::BeginServing(std::uint32_t aIndex, OwnedPartition& aPartition)
 {
   aPartition.phase_ = OwnedPartition::Phase::Serving;
-  std::vector<base::JobId> ownerless;
+  std::vector<base::JobId> withoutRunner;
   aPartition.table_.ForEachUnfinished([&](const jobs::Job& aJob) {
     const wire::JobDescription& job = aJob.description_;
     if (!job.online_) {
@@ -260,22 +260,23 @@
     }
   });
   for (const auto& [job, run] : aPartition.online_) {
-    if (run.runner_.peer_.empty() && !run.ownerRuns_) {
-      ownerless.push_back(job);
+    if (run.runner_.peer_.empty() && !run.isRunByOwner_) {
+      withoutRunner.push_back(job);
     }
   }
   const Route route{ &aPartition, aIndex, {}, {} };
-  for (const base::JobId& job : ownerless) {
-    OrphanRequest(route, job);
+  for (const base::JobId& job : withoutRunner) {
+    HandleLostRunner(route, job);
   }
   for (const base::RunId& run : aPartition.table_.UncertainRuns()) {
     // A previous owner started the run and its end is not in the log. It may
     // have run, so it is not run again.
-    EndWithoutRun(route,
-                  run,
-                  base::ResultCode::OutcomeUnknown,
-                  base::Ran::Unknown,
-                  "started by a previous owner");
+    EndWithoutRun(
+      route,
+      run,
+      base::ResultCode::OutcomeUnknown,
+      base::Ran::Unknown,
+      "the item was started before a takeover, and its outcome is unknown");
   }
   base::Log(kServingJobs,
             { { "partition", aIndex },
@@ -304,7 +305,7 @@
 }
 
 OwnedPartition*
-JobService::FindEpoch(std::uint32_t aPartition, std::uint64_t aEpoch)
+JobService::FindPartition(std::uint32_t aPartition, std::uint64_t aEpoch)
 {
   const auto found = partitions_.find(aPartition);
   if (found == partitions_.end() || found->second.epoch_ != aEpoch) {
@@ -347,7 +348,7 @@
 void
 JobService::Append(std::uint32_t aPartition,
                    std::vector<jobs::Record> aRecords,
-                   OnFailure aOnFailure,
+                   FailureHandling aFailureHandling,
                    AppendCallback aCallback)
 {
   ++appendsInFlight_;
@@ -359,28 +360,29 @@
                aPartition,
                epoch,
                records,
-               aOnFailure,
+               aFailureHandling,
                callback = std::move(aCallback)] {
     std::vector<std::string> encoded;
     encoded.reserve(records->size());
     for (const jobs::Record& record : *records) {
       encoded.push_back(jobs::EncodeRecord(record));
     }
-    ports_.append_(aPartition,
-                   std::move(encoded),
-                   [self, aPartition, epoch, records, aOnFailure, callback](
-                     base::ResultCode aCode,
-                     std::span<const joblog::LogPosition> aPositions) {
-                     if (const auto service = self.lock()) {
-                       service->OnAppended(aPartition,
-                                           epoch,
-                                           records,
-                                           aOnFailure,
-                                           callback,
-                                           aCode,
-                                           aPositions);
-                     }
-                   });
+    ports_.append_(
+      aPartition,
+      std::move(encoded),
+      [self, aPartition, epoch, records, aFailureHandling, callback](
+        base::ResultCode aCode,
+        std::span<const joblog::LogPosition> aPositions) {
+        if (const auto service = self.lock()) {
+          service->OnAppended(aPartition,
+                              epoch,
+                              records,
+                              aFailureHandling,
+                              callback,
+                              aCode,
+                              aPositions);
+        }
+      });
   });
 }
 
@@ -389,18 +391,19 @@
   std::uint32_t aPartition,
   std::uint64_t aEpoch,
   const std::shared_ptr<std::vector<jobs::Record>>& aRecords,
-  OnFailure aOnFailure,
+  FailureHandling aFailureHandling,
   const AppendCallback& aCallback,
   base::ResultCode aCode,
   std::span<const joblog::LogPosition> aPositions)
 {
   Lock lock(mutex_);
   --appendsInFlight_;
-  OwnedPartition* partition = FindEpoch(aPartition, aEpoch);
+  OwnedPartition* partition = FindPartition(aPartition, aEpoch);
   if (partition == nullptr) {
-    // Another owner answers from its replay, so the requester is redirected.
+    // The partition has been released. Its owner, which has replayed the log,
+    // answers, so the requester is redirected.
     aCallback(base::ResultCode::NotOwner, {});
-    UnlockAndDrain(std::move(lock));
+    UnlockAndRunOutbox(std::move(lock));
     return;
   }
   if (aCode == base::ResultCode::Ok) {
@@ -410,7 +413,7 @@
         aPartition, *partition, (*aRecords)[index], aPositions[index]));
     }
     aCallback(aCode, effects);
-    UnlockAndDrain(std::move(lock));
+    UnlockAndRunOutbox(std::move(lock));
     return;
   }
   ++counts_.appendsFailed_;
@@ -420,15 +423,15 @@
               { "records", aRecords->size() } });
   const bool isLost = aCode == base::ResultCode::NotOwner ||
                       aCode == base::ResultCode::StaleEpoch;
-  if (aOnFailure == OnFailure::Retry && !isLost) {
-    // The records may be in the log all the same. A different decision would
+  if (aFailureHandling == FailureHandling::Retry && !isLost) {
+    // The records may nevertheless be in the log. A different decision would
     // contradict them in a replay, so they are appended again until they are
-    // durable or the partition is lost.
+    // durable or the partition is released.
     partition->retries_.push_back({ aRecords, aCallback });
   } else {
     aCallback(aCode, {});
   }
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 jobs::RecordEffects
@@ -501,7 +504,7 @@
                 { { "job", base::ToString(id) },
                   { "code", base::NameOf(ended.result_.code_) } });
     } else {
-      StopOtherAttempt(aPartition, ended.run_, job);
+      StopOtherRuns(aPartition, ended.run_, job);
     }
     if (job != nullptr) {
       continue;
@@ -515,9 +518,9 @@
 }
 
 void
-JobService::StopOtherAttempt(const OwnedPartition& aPartition,
-                             const base::RunId& aEnded,
-                             const jobs::Job* aJob)
+JobService::StopOtherRuns(const OwnedPartition& aPartition,
+                          const base::RunId& aEnded,
+                          const jobs::Job* aJob)
 {
   // A late result may be the item's first one while the item is rerun.
   std::vector<base::RunId> runs;
@@ -525,7 +528,8 @@
   if (aJob != nullptr) {
     const jobs::Item& item = aJob->items_[aEnded.item_];
     runs.push_back({ aEnded.job_, aEnded.item_, item.attempt_ });
-  } else if (online != aPartition.online_.end() && online->second.ownerRuns_) {
+  } else if (online != aPartition.online_.end() &&
+             online->second.isRunByOwner_) {
     orphans_.erase(aEnded.job_);
     runs = scheduler_.FindRuns(
       [&aEnded](const base::RunId& aRun) { return aRun.job_ == aEnded.job_; });
@@ -544,8 +548,8 @@
   if (description.online_) {
     return;
   }
-  const bool isLate = aJob.lastRecordUnixMs_ > description.dueUnixMs_;
-  counts_.dueMissed_ += isLate ? 1 : 0;
+  const bool isLate = aJob.lastPhaseChangeUnixMs_ > description.dueUnixMs_;
+  counts_.lateJobs_ += isLate ? 1 : 0;
   base::Log(kJobFinished,
             { { "job", base::ToString(description.id_) },
               { "partner", description.partner_ },
@@ -565,9 +569,9 @@
   const auto runs = scheduler_.FindRuns(
     [&id](const base::RunId& aRun) { return aRun.job_ == id; });
   for (const base::RunId& run : runs) {
-    const auto known = scheduler_.RemoveRun(run, {});
-    if (known->sent_) {
-      Send(known->agent_, wire::CancelRun{ run });
+    const auto removed = scheduler_.RemoveRun(run, {});
+    if (removed->sent_) {
+      Send(removed->agent_, wire::CancelRun{ run });
     }
   }
   if (aJob.description_.online_) {
@@ -594,7 +598,7 @@
     return;
   }
   wire::RecordReply reply = aReply;
-  for (const Requester& requester : found->second.waiters_) {
+  for (const Requester& requester : found->second.waitingRequesters_) {
     reply.call_ = requester.call_;
     Send(requester.peer_, reply);
   }
@@ -609,7 +613,7 @@
     draining_ = true;
     drainDeadline_ = ports_.now_() + options_.drainGrace_;
   }
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 bool
@@ -662,7 +666,7 @@
   Dispatch();
   SendDemand(scheduler_.CollectChangedDemand(ports_.wallUnixMs_()));
   TickDrain(now);
-  UnlockAndDrain(std::move(lock));
+  UnlockAndRunOutbox(std::move(lock));
 }
 
 void
@@ -670,11 +674,14 @@
 {
   for (auto& [peer, since] : lostPeers_) {
     if (aNow - since >= options_.agentGrace_) {
-      const bool isLong = aNow - since >= options_.nonIdempotentGrace_;
-      EndRunsOfAgent(peer, isLong ? RunsToEnd::All : RunsToEnd::Idempotent);
+      const bool isNonIdempotentGraceOver =
+        aNow - since >= options_.nonIdempotentGrace_;
+      EndRunsOfAgent(peer,
+                     isNonIdempotentGraceOver ? RunsToEnd::All
+                                              : RunsToEnd::Idempotent);
     }
     if (aNow - since >= options_.entryGrace_) {
-      OrphanRequestsOf(peer);
+      OnEntryLost(peer);
     }
   }
   std::erase_if(lostPeers_, [&](const auto& aLost) {
@@ -699,12 +706,13 @@
       BeginServing(index, partition);
     }
     for (RetriedAppend& retry : std::exchange(partition.retries_, {})) {
-      Append(index, *retry.records_, OnFailure::Retry, retry.callback_);
+      Append(index, *retry.records_, FailureHandling::Retry, retry.callback_);
     }
     if (!isExpiryDue) {
       continue;
     }
-    const std::size_t dropped = partition.table_.Expire(ports_.wallUnixMs_());
+    const std::size_t dropped =
+      partition.table_.DropDueJobs(ports_.wallUnixMs_());
     counts_.expiredJobs_ += dropped;
     if (dropped > 0) {
       const std::uint64_t before =
--- a/Libraries/LibKeeper/JobService.h
+++ b/Libraries/LibKeeper/JobService.h
@@ -33,14 +33,15 @@
   std::uint64_t keyConflicts_ = 0;
   std::uint64_t succeeded_ = 0;
   std::uint64_t failed_ = 0;
-  std::uint64_t resultsDropped_ = 0; ///< Results after the item's first one.
+  /// Not recorded: the item has ended or its job does not exist.
+  std::uint64_t resultsDropped_ = 0;
   std::uint64_t withdrawn_ = 0;
   std::uint64_t cancelledJobs_ = 0;
   std::uint64_t requeued_ = 0;
-  std::uint64_t orphansRun_ = 0;
-  std::uint64_t batchStarted_ = 0;
+  std::uint64_t startedOrphans_ = 0;
+  std::uint64_t startedBatchRuns_ = 0;
   std::uint64_t appendsFailed_ = 0;
-  std::uint64_t dueMissed_ = 0; ///< Jobs finished after their due time.
+  std::uint64_t lateJobs_ = 0; ///< Jobs finished after their due time.
   std::uint64_t expiredJobs_ = 0;
 };
 
@@ -63,8 +64,7 @@
     base::Duration nonIdempotentGrace_{ std::chrono::seconds{ 60 } };
     /// Time after a takeover for agents to report runs of the previous owner.
     base::Duration settlingTime_{ std::chrono::seconds{ 1 } };
-    /// Maximum number of items of a batch job that the previous owner had in
-    /// flight.
+    /// Assumed maximum number of items of a batch job in flight at a takeover.
     std::uint32_t maxInFlightAtTakeover_ = 256;
     base::Duration drainGrace_{ std::chrono::seconds{ 20 } };
     base::Duration expireInterval_{ std::chrono::seconds{ 1 } };
@@ -122,7 +122,7 @@
   };
 
   /// Whether a failed append is reported or retried.
-  enum class OnFailure : std::uint8_t
+  enum class FailureHandling : std::uint8_t
   {
     Report,
     Retry,
@@ -144,22 +144,24 @@
   {
     std::uint32_t partition_ = 0;
     std::uint64_t epoch_ = 0;
-    jobs::Dispatch dispatch_;
+    jobs::DispatchedItem dispatch_;
   };
 
-  /// Location of a requested result.
+  /// A result to be read: its location, or the item if the result is a
+  /// cancellation.
   struct ResultReference
   {
     jobs::ResultSource source_ = jobs::ResultSource::Recorded;
     jobs::ResultLocation location_;
     jobs::ItemLocation item_;
     std::uint32_t position_ = 0;
-    base::Ran cancelledRan_ = base::Ran::Unknown;
+    /// Whether the item ran, if it was cancelled.
+    base::Ran ranIfCancelled_ = base::Ran::Unknown;
   };
 
   Route RouteTo(const base::JobId& aJob);
   /// @return the partition, or null when it is not owned under this epoch.
-  OwnedPartition* FindEpoch(std::uint32_t aPartition, std::uint64_t aEpoch);
+  OwnedPartition* FindPartition(std::uint32_t aPartition, std::uint64_t aEpoch);
   void Send(const std::string& aPeer, wire::Message aMessage);
   void Handle(const std::string& aPeer, const wire::Message& aMessage);
   /// Keeps a message until HandleDeferred() is called for its job.
@@ -168,18 +170,19 @@
              const std::string& aPeer,
              wire::Message aMessage);
   void HandleDeferred(OwnedPartition& aPartition, const base::JobId& aJob);
-  /// Queues urgent demand, releases the lock and drains the outbox.
-  void UnlockAndDrain(Lock aLock);
+  /// Queues demand that has risen from zero, releases the lock and runs the
+  /// outbox.
+  void UnlockAndRunOutbox(Lock aLock);
 
   // Appending.
   void Append(std::uint32_t aPartition,
               std::vector<jobs::Record> aRecords,
-              OnFailure aOnFailure,
+              FailureHandling aFailureHandling,
               AppendCallback aCallback);
   void OnAppended(std::uint32_t aPartition,
                   std::uint64_t aEpoch,
                   const std::shared_ptr<std::vector<jobs::Record>>& aRecords,
-                  OnFailure aOnFailure,
+                  FailureHandling aFailureHandling,
                   const AppendCallback& aCallback,
                   base::ResultCode aCode,
                   std::span<const joblog::LogPosition> aPositions);
@@ -191,9 +194,9 @@
                         const jobs::ItemsEnded& aEnded,
                         const jobs::RecordEffects& aEffects);
   void OnJobAccepted(const jobs::Job& aJob);
-  void StopOtherAttempt(const OwnedPartition& aPartition,
-                        const base::RunId& aEnded,
-                        const jobs::Job* aJob);
+  void StopOtherRuns(const OwnedPartition& aPartition,
+                     const base::RunId& aEnded,
+                     const jobs::Job* aJob);
   void OnJobFinished(const jobs::Job& aJob);
   void OnJobCancelled(OwnedPartition& aPartition, const jobs::Job& aJob);
 
@@ -204,9 +207,9 @@
   void Handle(const std::string& aPeer, const wire::GetJob& aRequest);
   void Handle(const std::string& aPeer, const wire::ReadResults& aRequest);
   void Handle(const std::string& aPeer, const wire::CancelJob& aRequest);
-  void AnswerRunning(OwnedPartition& aPartition,
-                     const std::string& aPeer,
-                     const wire::RecordRequest& aRequest);
+  void ReplyRunning(OwnedPartition& aPartition,
+                    const std::string& aPeer,
+                    const wire::RecordRequest& aRequest);
   void OnOnlineAppended(std::uint32_t aPartition,
                         const Requester& aRequester,
                         const base::JobId& aJob,
@@ -275,7 +278,7 @@
   void Dispatch();
   void DispatchService(const std::string& aService);
   void LoadPayload(const Route& aRoute,
-                   const jobs::Dispatch& aDispatch,
+                   const jobs::DispatchedItem& aDispatch,
                    jobs::RunInFlight aRun);
   void OnPayloadLoaded(const LoadingRun& aLoading,
                        const base::Outcome<wire::JobItem>& aItem);
@@ -289,10 +292,11 @@
                            const base::RunId& aRun,
                            const wire::JobItem& aItem) const;
   void EndRunsOfAgent(const std::string& aAgent, RunsToEnd aRuns);
-  void OrphanRequestsOf(const std::string& aEntry);
-  void OrphanRequest(const Route& aRoute, const base::JobId& aJob);
+  void OnEntryLost(const std::string& aEntry);
+  void HandleLostRunner(const Route& aRoute, const base::JobId& aJob);
   void DispatchOrphans();
-  bool ResumeBatchJobs(OwnedPartition& aPartition);
+  /// @return whether there are unfinished jobs.
+  bool ResumeJobs(OwnedPartition& aPartition);
   void BeginServing(std::uint32_t aIndex, OwnedPartition& aPartition);
   void AddWaiting(const jobs::Job& aJob, std::uint32_t aItems);
   void SendDemand(const std::vector<jobs::DemandNotice>& aNotices);
@@ -309,7 +313,8 @@
   std::map<std::uint32_t, OwnedPartition> partitions_;
   jobs::BatchScheduler scheduler_;
   std::map<std::string, base::Instant> lostPeers_;
-  /// Online requests that this owner runs and that wait for an agent.
+  /// Online requests whose entry was lost and that wait for an agent to run
+  /// them.
   std::set<base::JobId> orphans_;
   /// The agent that reported a run, for reports forwarded to another owner.
   std::unordered_map<base::RunId, std::string> forwarded_;
--- a/Libraries/LibKeeper/JobServiceRequests.cpp
+++ b/Libraries/LibKeeper/JobServiceRequests.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::uint32_t kRecoveringRetryMs = 200;
-constexpr std::uint32_t kDefaultPageItems = 1000;
+constexpr std::uint32_t kMaxPageItems = 1000;
 
 /// @return the code of the reply to a requester whose records are not durable.
 base::ResultCode
@@ -61,35 +61,35 @@
     return;
   }
   const KindLimits limits = ports_.limitsOf_(aRequest.service_, aRequest.kind_);
-  jobs::AcceptDecision decision = partition.table_.AcceptOnline(
+  jobs::AcceptDecision decision = partition.table_.DecideOnline(
     aRequest, limits.maxAttempts_, ports_.wallUnixMs_());
   const Requester requester{ aPeer, aRequest.call_ };
-  switch (decision.answer_) {
-    case jobs::Acceptance::Append:
+  switch (decision.action_) {
+    case jobs::AcceptAction::Append:
       Append(route.index_,
              std::move(decision.records_),
-             OnFailure::Report,
+             FailureHandling::Report,
              [this, index = route.index_, requester, job = aRequest.job_](
                base::ResultCode aCode,
                std::span<const jobs::RecordEffects> /*aEffects*/) {
                OnOnlineAppended(index, requester, job, aCode);
              });
       return;
-    case jobs::Acceptance::Wait:
+    case jobs::AcceptAction::Wait:
       Defer(partition, aRequest.job_, aPeer, aRequest);
       return;
-    case jobs::Acceptance::Finished:
+    case jobs::AcceptAction::Finished:
       ++counts_.duplicateSubmissions_;
       ReplyFinished(requester,
                     *FindOnlineResult(partition.table_, aRequest.job_));
       return;
-    case jobs::Acceptance::Running:
-    case jobs::Acceptance::Duplicate:
-    case jobs::Acceptance::Received:
-      AnswerRunning(partition, aPeer, aRequest);
+    case jobs::AcceptAction::Running:
+    case jobs::AcceptAction::Duplicate:
+    case jobs::AcceptAction::Received:
+      ReplyRunning(partition, aPeer, aRequest);
       return;
-    case jobs::Acceptance::Conflict:
-    case jobs::Acceptance::Invalid:
+    case jobs::AcceptAction::Conflict:
+    case jobs::AcceptAction::Invalid:
       break;
   }
   ++counts_.keyConflicts_;
@@ -116,7 +116,7 @@
     return;
   }
   OwnedPartition& partition = found->second;
-  partition.table_.SettleAccept(aJob, aCode == base::ResultCode::Ok);
+  partition.table_.OnAcceptAppended(aJob, aCode == base::ResultCode::Ok);
   if (aCode == base::ResultCode::Ok) {
     partition.online_[aJob].runner_ = aRequester;
   }
@@ -124,29 +124,30 @@
 }
 
 void
-JobService::AnswerRunning(OwnedPartition& aPartition,
-                          const std::string& aPeer,
-                          const wire::RecordRequest& aRequest)
+JobService::ReplyRunning(OwnedPartition& aPartition,
+                         const std::string& aPeer,
+                         const wire::RecordRequest& aRequest)
 {
   wire::RecordReply reply;
   reply.call_ = aRequest.call_;
   OnlineRun& run = aPartition.online_[aRequest.job_];
   const Requester requester{ aPeer, aRequest.call_ };
-  const bool isResent = run.runner_ == requester && !run.ownerRuns_;
+  const bool isResent = run.runner_ == requester && !run.isRunByOwner_;
   // After a takeover the runner of an idempotent request is unknown, so the
   // first entry that sends the request again runs it.
-  const bool isAdopted =
-    run.runner_.peer_.empty() && !run.ownerRuns_ && aRequest.idempotent_;
-  if (isResent || isAdopted) {
+  const bool isTakenByNewRunner =
+    run.runner_.peer_.empty() && !run.isRunByOwner_ && aRequest.idempotent_;
+  if (isResent || isTakenByNewRunner) {
     run.runner_ = requester;
     reply.state_ = wire::RecordState::New;
     Send(aPeer, std::move(reply));
     return;
   }
   ++counts_.duplicateSubmissions_;
-  if (std::find(run.waiters_.begin(), run.waiters_.end(), requester) ==
-      run.waiters_.end()) {
-    run.waiters_.push_back(requester);
+  if (std::find(run.waitingRequesters_.begin(),
+                run.waitingRequesters_.end(),
+                requester) == run.waitingRequesters_.end()) {
+    run.waitingRequesters_.push_back(requester);
   }
   reply.state_ = wire::RecordState::Running;
   Send(aPeer, std::move(reply));
@@ -174,11 +175,11 @@
   const auto online = partition.online_.find(id);
   const bool isRunner = online != partition.online_.end() &&
                         online->second.runner_.peer_ == aPeer &&
-                        !online->second.ownerRuns_;
+                        !online->second.isRunByOwner_;
   jobs::EndDecision decision =
     partition.table_.DecideResult(aResult.run_, aResult.result_, isRunner);
   switch (decision.action_) {
-    case jobs::EndAction::Record:
+    case jobs::EndAction::Append:
       QueueResult(route.index_,
                   partition,
                   { std::move(*decision.record_),
@@ -203,7 +204,8 @@
     ReplyRecorded(requester, *reference, aResult.result_);
     return;
   }
-  // A repeated withdrawal has no effect and is answered with Ok.
+  // A repeated report that the request was not run has no effect and is
+  // answered with Ok.
   reply.first_ = aResult.result_.ran_ == base::Ran::NotRun;
   reply.code_ =
     reply.first_ ? base::ResultCode::Ok : base::ResultCode::NotFound;
@@ -225,8 +227,8 @@
     return;
   }
   OwnedPartition& partition = *route.partition_;
-  const jobs::Job* known = partition.table_.Find(id);
-  const bool isAccepted = known != nullptr && known->IsAccepted();
+  const jobs::Job* existingJob = partition.table_.Find(id);
+  const bool isAccepted = existingJob != nullptr && existingJob->IsAccepted();
   if (!isAccepted && (draining_ || !ports_.hasRoom_())) {
     reply.code_ =
       draining_ ? base::ResultCode::Draining : base::ResultCode::DiskFull;
@@ -234,13 +236,13 @@
     return;
   }
   jobs::AcceptDecision decision =
-    partition.table_.AcceptFrame(aFrame, ports_.wallUnixMs_());
-  switch (decision.answer_) {
-    case jobs::Acceptance::Append:
+    partition.table_.DecideFrame(aFrame, ports_.wallUnixMs_());
+  switch (decision.action_) {
+    case jobs::AcceptAction::Append:
       Append(
         route.index_,
         std::move(decision.records_),
-        OnFailure::Report,
+        FailureHandling::Report,
         [this,
          index = route.index_,
          requester = Requester{ aPeer, aFrame.call_ },
@@ -249,25 +251,27 @@
           OnFrameAppended(index, requester, job, aCode);
         });
       return;
-    case jobs::Acceptance::Wait:
+    case jobs::AcceptAction::Wait:
       Defer(partition, id, aPeer, aFrame);
       return;
-    case jobs::Acceptance::Received:
+    case jobs::AcceptAction::Received:
       break;
-    case jobs::Acceptance::Duplicate:
-    case jobs::Acceptance::Running:
-    case jobs::Acceptance::Finished:
+    case jobs::AcceptAction::Duplicate:
+    case jobs::AcceptAction::Running:
+    case jobs::AcceptAction::Finished:
       ++counts_.duplicateSubmissions_;
       reply.duplicate_ = true;
-      reply.job_ = known == nullptr ? aFrame.job_ : known->description_;
+      reply.job_ =
+        existingJob == nullptr ? aFrame.job_ : existingJob->description_;
       break;
-    case jobs::Acceptance::Conflict:
+    case jobs::AcceptAction::Conflict:
       ++counts_.keyConflicts_;
       reply.code_ = base::ResultCode::KeyConflict;
       break;
-    case jobs::Acceptance::Invalid:
+    case jobs::AcceptAction::Invalid:
       reply.code_ = base::ResultCode::InvalidRequest;
-      reply.detail_ = "the frame's items do not follow the received items";
+      reply.detail_ = "the frame's items do not follow the received items or "
+                      "do not match the item count";
       break;
   }
   Send(aPeer, std::move(reply));
@@ -295,7 +299,8 @@
   }
   Send(aRequester.peer_, std::move(reply));
   if (found != partitions_.end()) {
-    found->second.table_.SettleAccept(aJob.id_, aCode == base::ResultCode::Ok);
+    found->second.table_.OnAcceptAppended(aJob.id_,
+                                          aCode == base::ResultCode::Ok);
     HandleDeferred(found->second, aJob.id_);
   }
 }
@@ -309,7 +314,7 @@
   if (reply.state_ == wire::JobState::Running && !reply.job_.online_) {
     reply.expectedFinishUnixMs_ =
       ports_.wallUnixMs_() +
-      scheduler_.ExpectedWorkMs(reply.job_.service_, aJob, reply.running_);
+      scheduler_.ExpectedDurationMs(reply.job_.service_, aJob, reply.running_);
   }
   return reply;
 }
@@ -347,7 +352,8 @@
   }
   jobs::CancelDecision decision;
   if (partition.table_.Find(aRequest.job_, aRequest.partner_) != nullptr) {
-    decision = partition.table_.Cancel(aRequest.job_, ports_.wallUnixMs_());
+    decision =
+      partition.table_.DecideCancel(aRequest.job_, ports_.wallUnixMs_());
   }
   if (decision.action_ == jobs::CancelAction::Wait) {
     Defer(partition, aRequest.job_, aPeer, aRequest);
@@ -362,7 +368,7 @@
   Append(
     route.index_,
     { std::move(*decision.record_) },
-    OnFailure::Retry,
+    FailureHandling::Retry,
     [this, aPeer, aRequest](base::ResultCode /*aCode*/,
                             std::span<const jobs::RecordEffects> /*aEffects*/) {
       // Replies with the cancelled job, or with the new owner.
@@ -420,8 +426,8 @@
   }
   const auto size = static_cast<std::uint32_t>(job->results_.size());
   const std::uint32_t limit = aRequest.limit_ == 0
-                                ? kDefaultPageItems
-                                : std::min(aRequest.limit_, kDefaultPageItems);
+                                ? kMaxPageItems
+                                : std::min(aRequest.limit_, kMaxPageItems);
   const std::uint32_t begin = std::min(aRequest.from_, size);
   const std::uint32_t end = begin + std::min(limit, size - begin);
   references.reserve(end - begin);
@@ -443,11 +449,12 @@
     result.item_ = aReference.location_.item_;
     result.name_ = std::move(item.name_);
     result.code_ = base::ResultCode::Cancelled;
-    result.ran_ = aReference.cancelledRan_;
+    result.ran_ = aReference.ranIfCancelled_;
     return result;
   }
   BOOST_LEAF_AUTO(bytes, cache_.Get(aReference.location_.record_));
-  BOOST_LEAF_AUTO(ended, jobs::ReadEnded(*bytes, aReference.location_.index_));
+  BOOST_LEAF_AUTO(ended,
+                  jobs::ReadItemEnded(*bytes, aReference.location_.index_));
   ended.result_.position_ = aReference.position_;
   return std::move(ended.result_);
 }
@@ -547,7 +554,8 @@
       reply.code_ = page.code_;
       if (!page.items_.empty()) {
         reply.result_ = std::move(page.items_.front());
-        // The same result is reported again when a reply was lost.
+        // An equal result is the first one, reported again because the reply
+        // was lost.
         reply.first_ = reply.result_.code_ == aReported.code_ &&
                        reply.result_.text_ == aReported.text_;
       }
--- a/Libraries/LibKeeper/JobServiceRuns.cpp
+++ b/Libraries/LibKeeper/JobServiceRuns.cpp
@@ -11,9 +11,12 @@
 
 namespace {
 
+/// Limit the size of a record.
 constexpr std::size_t kMaxResultsPerRecord = 256;
 constexpr std::size_t kMaxResultBytesPerRecord = 1U << 20U;
+/// Limits the memory for forwarded reports that are not answered.
 constexpr std::size_t kMaxForwardedRuns = 65536;
+/// Deadline of online runs whose kind sets none.
 constexpr std::uint32_t kDefaultDeadlineMs = 30000;
 
 std::uint32_t
@@ -93,8 +96,8 @@
   OwnedPartition& partition = *aRoute.partition_;
   const base::RunId& id = aEnded.run_;
   const bool isOk = aEnded.code_ == base::ResultCode::Ok;
-  const jobs::RunInFlight* known = scheduler_.FindRun(id);
-  if (known != nullptr && known->agent_ != aPeer && !isOk) {
+  const jobs::RunInFlight* inFlight = scheduler_.FindRun(id);
+  if (inFlight != nullptr && inFlight->agent_ != aPeer && !isOk) {
     // The run is now at another agent, so this agent's failure does not end it.
     Send(aPeer, wire::RunRecorded{ id });
     return;
@@ -109,7 +112,7 @@
     scheduler_.RecordServiceTime(run->service_, ports_.now_() - run->started_);
   }
   switch (decision.action_) {
-    case jobs::EndAction::Record: {
+    case jobs::EndAction::Append: {
       PendingResult pending{ std::move(*decision.record_),
                              ResultNotification::RunRecorded,
                              { aPeer, 0 } };
@@ -174,8 +177,9 @@
   result.code_ = aCode;
   result.ran_ = aRan;
   result.detail_ = std::move(aDetail);
-  jobs::EndDecision decision = aRoute.partition_->table_.EndItem(aRun, result);
-  if (decision.action_ == jobs::EndAction::Record) {
+  jobs::EndDecision decision =
+    aRoute.partition_->table_.DecideItemEnd(aRun, result);
+  if (decision.action_ == jobs::EndAction::Append) {
     ResolveNameAndRecord(
       aRoute, { std::move(*decision.record_), ResultNotification::None, {} });
   }
@@ -210,14 +214,14 @@
     ports_.post_([this, self, index, epoch, location, pending]() mutable {
       const auto item = ReadItemAt(location);
       Lock lock(mutex_);
-      OwnedPartition* owned = FindEpoch(index, epoch);
+      OwnedPartition* owned = FindPartition(index, epoch);
       if (owned != nullptr) {
         if (const auto* found = std::get_if<wire::JobItem>(&item)) {
           pending.ended_.result_.name_ = found->name_;
         }
         QueueResult(index, *owned, std::move(pending));
       }
-      UnlockAndDrain(std::move(lock));
+      UnlockAndRunOutbox(std::move(lock));
     });
   });
 }
@@ -245,32 +249,34 @@
                                 OwnedPartition& aPartition)
 {
   // One record of results is appended at a time, and results that arrive in the
-  // meantime go into the next one. So groups grow with load without a timer.
+  // meantime go into the next one. So the number of results per record
+  // grows with the load, and no timer is needed.
   if (aPartition.resultAppendInFlight_ || aPartition.pendingResults_.empty()) {
     return;
   }
-  std::vector<PendingResult>& waiting = aPartition.pendingResults_;
+  std::vector<PendingResult>& pendingResults = aPartition.pendingResults_;
   std::size_t count = 0;
   std::size_t bytes = 0;
   jobs::ItemsEnded body;
-  while (count < waiting.size() && count < kMaxResultsPerRecord &&
+  while (count < pendingResults.size() && count < kMaxResultsPerRecord &&
          bytes < kMaxResultBytesPerRecord) {
-    body.ended_.push_back(waiting[count].ended_);
-    bytes += waiting[count].ended_.result_.text_.size();
+    body.ended_.push_back(pendingResults[count].ended_);
+    bytes += pendingResults[count].ended_.result_.text_.size();
     ++count;
   }
-  const auto last = waiting.begin() + static_cast<std::ptrdiff_t>(count);
-  std::vector<PendingResult> group(std::make_move_iterator(waiting.begin()),
-                                   std::make_move_iterator(last));
-  waiting.erase(waiting.begin(), last);
+  const auto last = pendingResults.begin() + static_cast<std::ptrdiff_t>(count);
+  std::vector<PendingResult> results(
+    std::make_move_iterator(pendingResults.begin()),
+    std::make_move_iterator(last));
+  pendingResults.erase(pendingResults.begin(), last);
   aPartition.resultAppendInFlight_ = true;
   Append(
     aIndex,
     { jobs::Record{ ports_.wallUnixMs_(), std::move(body) } },
-    OnFailure::Retry,
-    [this, aIndex, epoch = aPartition.epoch_, group = std::move(group)](
+    FailureHandling::Retry,
+    [this, aIndex, epoch = aPartition.epoch_, results = std::move(results)](
       base::ResultCode aCode, std::span<const jobs::RecordEffects> aEffects) {
-      OnResultsAppended(aIndex, epoch, group, aCode, aEffects);
+      OnResultsAppended(aIndex, epoch, results, aCode, aEffects);
     });
 }
 
@@ -281,7 +287,7 @@
                               base::ResultCode aCode,
                               std::span<const jobs::RecordEffects> aEffects)
 {
-  OwnedPartition* partition = FindEpoch(aIndex, aEpoch);
+  OwnedPartition* partition = FindPartition(aIndex, aEpoch);
   for (std::size_t index = 0; index < aPendingResults.size(); ++index) {
     const PendingResult& pending = aPendingResults[index];
     if (aCode != base::ResultCode::Ok || partition == nullptr) {
@@ -357,7 +363,7 @@
 JobService::AddWaiting(const jobs::Job& aJob, std::uint32_t aItems)
 {
   scheduler_.AddWork(aJob.description_,
-                     ports_.batchShareOf_(aJob.description_.partner_),
+                     ports_.batchWeightOf_(aJob.description_.partner_),
                      aItems);
 }
 
@@ -389,17 +395,18 @@
            scheduler_.AssignNext(aService, now, nowUnixMs)) {
     const jobs::Selection& selection = assignment->selection_;
     const Route route = RouteTo(selection.job_);
-    std::optional<jobs::Dispatch> dispatch;
+    std::optional<jobs::DispatchedItem> dispatch;
     if (route.partition_ != nullptr) {
       dispatch = route.partition_->table_.TakeItem(selection.job_);
     }
     if (!dispatch) {
-      // A late result ended the item while it was waiting.
+      // The item ended while it was waiting, its job is being cancelled, or the
+      // partition is not served now.
       scheduler_.ReturnCredit(assignment->agent_, aService);
       continue;
     }
     base::Log(
-      kBatchPlaced,
+      kBatchAssigned,
       { { "run", base::ToString(dispatch->run_) },
         { "service", aService },
         { "agent", assignment->agent_ },
@@ -419,7 +426,7 @@
 
 void
 JobService::LoadPayload(const Route& aRoute,
-                        const jobs::Dispatch& aDispatch,
+                        const jobs::DispatchedItem& aDispatch,
                         jobs::RunInFlight aRun)
 {
   const LoadingRun loading{ aRoute.index_,
@@ -431,7 +438,7 @@
       const auto item = ReadItemAt(loading.dispatch_.location_);
       Lock lock(mutex_);
       OnPayloadLoaded(loading, item);
-      UnlockAndDrain(std::move(lock));
+      UnlockAndRunOutbox(std::move(lock));
     });
   });
 }
@@ -441,11 +448,12 @@
                             const base::Outcome<wire::JobItem>& aItem)
 {
   const base::RunId& id = aLoading.dispatch_.run_;
-  OwnedPartition* partition = FindEpoch(aLoading.partition_, aLoading.epoch_);
+  OwnedPartition* partition =
+    FindPartition(aLoading.partition_, aLoading.epoch_);
   if (partition == nullptr || scheduler_.FindRun(id) == nullptr ||
       !partition->table_.IsRunning(id)) {
     // The job was cancelled, the item ended by a late result, or the partition
-    // moved while the payload was read. The run is not started.
+    // was released while the payload was read. The run is not started.
     DropRun(id);
     return;
   }
@@ -487,12 +495,13 @@
     return;
   }
   // Without a durable record, the next owner could run a non-idempotent item
-  // again. So the start is recorded before StartRun is sent.
+  // again or exceed the attempt limit of an idempotent one. So the start is
+  // recorded before StartRun is sent.
   Append(
     aLoading.partition_,
     { jobs::Record{ ports_.wallUnixMs_(),
                     jobs::ItemStarted{ id, run->agent_ } } },
-    OnFailure::Report,
+    FailureHandling::Report,
     [this, aLoading, aItem](base::ResultCode aCode,
                             std::span<const jobs::RecordEffects> /*aEffects*/) {
       if (aCode == base::ResultCode::Ok) {
@@ -508,7 +517,7 @@
 {
   const base::RunId& id = aLoading.dispatch_.run_;
   const OwnedPartition* partition =
-    FindEpoch(aLoading.partition_, aLoading.epoch_);
+    FindPartition(aLoading.partition_, aLoading.epoch_);
   jobs::RunInFlight* run = scheduler_.FindRun(id);
   if (partition == nullptr || run == nullptr ||
       !partition->table_.IsRunning(id)) {
@@ -517,7 +526,7 @@
   }
   run->sent_ = true;
   run->started_ = ports_.now_();
-  ++(run->online_ ? counts_.orphansRun_ : counts_.batchStarted_);
+  ++(run->online_ ? counts_.startedOrphans_ : counts_.startedBatchRuns_);
   outbox_.Add([this,
                self = shared_from_this(),
                agent = run->agent_,
@@ -526,7 +535,7 @@
     if (ports_.send_(agent, std::move(start)) != base::ResultCode::Ok) {
       Lock lock(mutex_);
       RequeueUnstarted(aLoading);
-      UnlockAndDrain(std::move(lock));
+      UnlockAndRunOutbox(std::move(lock));
     }
   });
 }
@@ -535,7 +544,8 @@
 JobService::RequeueUnstarted(const LoadingRun& aLoading)
 {
   const base::RunId& id = aLoading.dispatch_.run_;
-  OwnedPartition* partition = FindEpoch(aLoading.partition_, aLoading.epoch_);
+  OwnedPartition* partition =
+    FindPartition(aLoading.partition_, aLoading.epoch_);
   DropRun(id);
   if (partition == nullptr || !partition->table_.Requeue(id)) {
     return;
@@ -578,13 +588,14 @@
   start.payload_ = aItem.payload_;
   start.fence_ = aPartition.epoch_;
   if (job.online_) {
-    // The caller may have disconnected, but can still read the result by its
-    // key.
-    const std::uint32_t usual =
+    // The run gets at least the deadline of its kind, even if the caller's has
+    // passed: the caller can still read the result by its key.
+    const std::uint32_t kindDeadlineMs =
       ports_.limitsOf_(job.service_, job.kind_).deadlineMs_;
-    start.deadlineMs_ = RemainingMs(job.dueUnixMs_,
-                                    ports_.wallUnixMs_(),
-                                    usual == 0 ? kDefaultDeadlineMs : usual);
+    start.deadlineMs_ =
+      RemainingMs(job.dueUnixMs_,
+                  ports_.wallUnixMs_(),
+                  kindDeadlineMs == 0 ? kDefaultDeadlineMs : kindDeadlineMs);
   }
   return start;
 }
@@ -615,48 +626,49 @@
     ++ended;
   }
   if (ended > 0) {
-    base::Log(kAgentGone, { { "agent", aAgent }, { "runs", ended } });
+    base::Log(kAgentLost, { { "agent", aAgent }, { "runs", ended } });
   }
 }
 
 void
-JobService::OrphanRequestsOf(const std::string& aEntry)
+JobService::OnEntryLost(const std::string& aEntry)
 {
   std::size_t count = 0;
   for (auto& [index, partition] : partitions_) {
     std::vector<base::JobId> jobs;
     for (const auto& [job, run] : partition.online_) {
-      if (run.runner_.peer_ == aEntry && !run.ownerRuns_) {
+      if (run.runner_.peer_ == aEntry && !run.isRunByOwner_) {
         jobs.push_back(job);
       }
     }
     std::sort(jobs.begin(), jobs.end());
     for (const base::JobId& job : jobs) {
-      OrphanRequest({ &partition, index, {}, {} }, job);
+      HandleLostRunner({ &partition, index, {}, {} }, job);
     }
     count += jobs.size();
   }
   if (count > 0) {
-    base::Log(kEntryGone, { { "entry", aEntry }, { "requests", count } });
+    base::Log(kEntryLost, { { "entry", aEntry }, { "requests", count } });
   }
 }
 
 void
-JobService::OrphanRequest(const Route& aRoute, const base::JobId& aJob)
+JobService::HandleLostRunner(const Route& aRoute, const base::JobId& aJob)
 {
   OwnedPartition& partition = *aRoute.partition_;
   const jobs::Job* job = partition.table_.Find(aJob);
   if (job == nullptr || job->IsClosed()) {
     return;
   }
-  partition.online_[aJob].ownerRuns_ = true;
+  partition.online_[aJob].isRunByOwner_ = true;
   if (!job->description_.idempotent_) {
     // The start is recorded, but the outcome of the run is unknown.
     EndWithoutRun(aRoute,
                   { aJob, 0, job->items_.front().attempt_ },
                   base::ResultCode::OutcomeUnknown,
                   base::Ran::Unknown,
-                  "the entry that ran the request was lost");
+                  "the outcome of the request is unknown because its entry or "
+                  "owner was lost");
     return;
   }
   if (partition.table_.MarkOrphaned(aJob)) {
@@ -668,8 +680,8 @@
 JobService::DispatchOrphans()
 {
   const base::Instant now = ports_.now_();
-  const std::set<base::JobId> waiting = orphans_;
-  for (const base::JobId& id : waiting) {
+  const std::set<base::JobId> orphans = orphans_;
+  for (const base::JobId& id : orphans) {
     const Route route = RouteTo(id);
     const jobs::Job* job =
       route.partition_ == nullptr ? nullptr : route.partition_->table_.Find(id);
@@ -687,11 +699,11 @@
     if (!dispatch) {
       continue;
     }
-    base::Log(kOrphanPlaced,
+    base::Log(kOrphanAssigned,
               { { "run", base::ToString(dispatch->run_) },
                 { "service", service },
                 { "agent", *agent },
-                { "orphans", waiting.size() } });
+                { "orphans", orphans.size() } });
     LoadPayload(route, *dispatch, { *agent, service, {}, now, true, false });
   }
 }
--- a/Libraries/LibKeeper/KeeperFunction.cpp
+++ b/Libraries/LibKeeper/KeeperFunction.cpp
@@ -16,7 +16,9 @@
 namespace {
 
 constexpr base::Duration kTickInterval{ std::chrono::milliseconds{ 100 } };
-constexpr std::uint32_t kDefaultSubsetSize = 20;
+/// Number of a service's agents that a keeper connects to if the settings set
+/// no subset size.
+constexpr std::uint32_t kDefaultAgentsPerService = 20;
 
 /// Holds the log service for the job service's ports. Empty before the log
 /// service has started and after it has stopped.
@@ -40,10 +42,10 @@
   std::shared_ptr<joblog::LogService> log_;
 };
 
-using LogPointer = std::shared_ptr<LogHolder>;
+using LogHolderPointer = std::shared_ptr<LogHolder>;
 
 void
-SetLogPorts(Ports& aPorts, const LogPointer& aHolder)
+SetLogPorts(Ports& aPorts, const LogHolderPointer& aHolder)
 {
   aPorts.append_ = [aHolder](std::uint32_t aPartition,
                              std::vector<std::string> aRecords,
@@ -100,7 +102,7 @@
 }
 
 Ports
-MakePorts(const node::Context& aContext, const LogPointer& aHolder)
+MakePorts(const node::Context& aContext, const LogHolderPointer& aHolder)
 {
   Ports ports;
   SetLogPorts(ports, aHolder);
@@ -124,7 +126,7 @@
                       const std::string& aService, const std::string& aKind) {
     return LimitsOf(*cache.Current(), aService, aKind);
   };
-  ports.batchShareOf_ =
+  ports.batchWeightOf_ =
     [&cache = aContext.configuration_](const std::string& aPartner) {
       return BatchShareOf(*cache.Current(), aPartner);
     };
@@ -192,8 +194,9 @@
 {
   explicit State(node::Context aContext)
     : context_(aContext)
-    , log_(std::make_shared<LogHolder>())
-    , jobs_(JobService::Make(MakePorts(aContext, log_), JobService::Options{}))
+    , logHolder_(std::make_shared<LogHolder>())
+    , jobs_(JobService::Make(MakePorts(aContext, logHolder_),
+                             JobService::Options{}))
     , metrics_(aContext.metrics_, jobs_)
   {
   }
@@ -202,7 +205,7 @@
   void Tick();
 
   node::Context context_;
-  LogPointer log_;
+  LogHolderPointer logHolder_;
   std::shared_ptr<JobService> jobs_;
   KeeperMetrics metrics_;
   std::mutex linksMutex_;
@@ -214,7 +217,7 @@
 {
   const std::uint32_t configured = context_.settings_.entry().subset_size();
   const std::size_t subsetSize =
-    configured == 0 ? kDefaultSubsetSize : configured;
+    configured == 0 ? kDefaultAgentsPerService : configured;
   const std::lock_guard lock(linksMutex_);
   for (const declarations::Service& service :
        aConfiguration.Content().declarations().services()) {
@@ -227,7 +230,8 @@
     }
     jobs_->SetAgents(service.name(), names);
     for (const std::string& name : names) {
-      // The entry function of this host may already have opened the link.
+      // The entry function of this host may already have opened the link,
+      // and then no Up is reported for it again.
       if (context_.links_.IsUp(name) && !jobs_->IsAgentUp(name)) {
         jobs_->OnLinkState(name, wire::LinkState::Up);
       }
@@ -256,7 +260,7 @@
   auto state = std::make_shared<State>(aContext);
   BOOST_LEAF_AUTO(
     log, joblog::LogService::Start(aContext, MakeHandlers(state->jobs_)));
-  state->log_->Set(std::move(log));
+  state->logHolder_->Set(std::move(log));
 
   const std::weak_ptr<State> weak = state;
   aContext.configuration_.Subscribe(
@@ -288,7 +292,7 @@
 KeeperFunction::OnMessage(const std::string& aPeer,
                           const wire::Message& aMessage)
 {
-  if (const auto log = state_->log_->Get()) {
+  if (const auto log = state_->logHolder_->Get()) {
     log->OnMessage(aPeer, aMessage);
   }
   state_->jobs_->OnMessage(aPeer, aMessage);
@@ -297,7 +301,7 @@
 void
 KeeperFunction::OnLinkState(const std::string& aPeer, wire::LinkState aState)
 {
-  if (const auto log = state_->log_->Get()) {
+  if (const auto log = state_->logHolder_->Get()) {
     log->OnLinkState(aPeer, aState);
   }
   state_->jobs_->OnLinkState(aPeer, aState);
@@ -335,8 +339,8 @@
 void
 KeeperFunction::Stop()
 {
-  if (const auto log = state_->log_->Get()) {
-    state_->log_->Set(nullptr);
+  if (const auto log = state_->logHolder_->Get()) {
+    state_->logHolder_->Set(nullptr);
     log->Stop();
   }
 }
--- a/Libraries/LibKeeper/KeeperFunction.h
+++ b/Libraries/LibKeeper/KeeperFunction.h
@@ -9,14 +9,14 @@
 
 namespace pumiceturn::keeper {
 
-/// The keeper function of a process: owns the jobs of its partitions, records
+/// The keeper role of a process: owns the jobs of its partitions, records
 /// results, and dispatches batch items to agents that granted credits.
 /// Thread-safe.
 class KeeperFunction
 {
 public:
   /// Starts the log service and the job service.
-  /// @return the function, or the error of the log service.
+  /// @return the keeper, or the error of the log service.
   static base::Result<std::unique_ptr<KeeperFunction>> Start(
     node::Context aContext);
   ~KeeperFunction();
@@ -31,10 +31,12 @@
   void FillHeartbeat(const std::string& aPeer,
                      wire::Heartbeat& aHeartbeat) const;
 
-  /// Stops accepting work. Runs are finished or handed over.
+  /// Stops accepting work. Partitions are handed over when all runs have
+  /// ended or a grace time has passed.
   void BeginDrain();
 
-  /// @return whether a shutdown would interrupt no work.
+  /// @return whether all partitions have been handed over and no append is in
+  /// flight.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] node::Readiness GetReadiness() const;
   void Stop();
@@ -42,7 +44,8 @@
 private:
   struct State;
   explicit KeeperFunction(std::shared_ptr<State> aState);
-  /// Shared with timers and subscriptions, which may outlive this object.
+  /// Timers and subscriptions, which may outlive this object, refer to it by
+  /// weak pointers.
   std::shared_ptr<State> state_;
 };
 
--- a/Libraries/LibKeeper/KeeperMetrics.cpp
+++ b/Libraries/LibKeeper/KeeperMetrics.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-struct Name
+struct Metric
 {
   std::uint64_t JobCounts::*count_;
   std::string_view name_;
   std::string_view help_;
 };
 
-constexpr Name kNames[] = {
+constexpr Metric kMetrics[] = {
   { &JobCounts::acceptedOnline_,
     "pumiceturn_online_accepted_total",
     "Online requests recorded as accepted." },
@@ -34,7 +34,8 @@
     "Results recorded with another code." },
   { &JobCounts::resultsDropped_,
     "pumiceturn_results_dropped_total",
-    "Results received after the first one of their item." },
+    "Results not recorded because their item has ended or their job does not "
+    "exist." },
   { &JobCounts::withdrawn_,
     "pumiceturn_requests_withdrawn_total",
     "Online requests that were not run and may be sent again." },
@@ -43,22 +44,23 @@
     "Jobs cancelled by their partner." },
   { &JobCounts::requeued_,
     "pumiceturn_items_requeued_total",
-    "Items returned to the queue after a run without a result." },
-  { &JobCounts::orphansRun_,
+    "Items returned to the queue because a run was refused, failed, was lost "
+    "or could not be started." },
+  { &JobCounts::startedOrphans_,
     "pumiceturn_orphans_run_total",
     "Online requests run by their owner after their entry was lost." },
-  { &JobCounts::batchStarted_,
+  { &JobCounts::startedBatchRuns_,
     "pumiceturn_batch_runs_started_total",
     "Batch runs sent to agents." },
   { &JobCounts::appendsFailed_,
     "pumiceturn_appends_failed_total",
     "Appends to the log that were not acknowledged." },
-  { &JobCounts::dueMissed_,
+  { &JobCounts::lateJobs_,
     "pumiceturn_jobs_due_missed_total",
     "Jobs finished after their due time." },
   { &JobCounts::expiredJobs_,
     "pumiceturn_jobs_expired_total",
-    "Jobs dropped after their retention time." },
+    "Jobs dropped after their retention time, and abandoned submissions." },
 };
 
 } // namespace
@@ -66,13 +68,13 @@
 KeeperMetrics::KeeperMetrics(metrics::Registry& aRegistry,
                              const std::shared_ptr<JobService>& aService)
 {
-  for (const Name& name : kNames) {
+  for (const Metric& metric : kMetrics) {
     rows_.push_back(
-      { name.count_, &aRegistry.GetCounter(name.name_, name.help_) });
+      { metric.count_, &aRegistry.GetCounter(metric.name_, metric.help_) });
   }
   const std::weak_ptr<JobService> weak = aService;
   aRegistry.AddGauge("pumiceturn_batch_items_waiting",
-                     "Batch items of this owner that wait for a credit.",
+                     "Batch items of this keeper that wait for a credit.",
                      {},
                      [weak] {
                        const auto service = weak.lock();
@@ -80,15 +82,14 @@
                                 ? static_cast<double>(service->WaitingItems())
                                 : 0.0;
                      });
-  aRegistry.AddGauge("pumiceturn_owner_runs",
-                     "Runs of this owner at agents that have not ended.",
-                     {},
-                     [weak] {
-                       const auto service = weak.lock();
-                       return service
-                                ? static_cast<double>(service->RunningItems())
-                                : 0.0;
-                     });
+  aRegistry.AddGauge(
+    "pumiceturn_owner_runs",
+    "Runs of this keeper that are at agents and have not ended.",
+    {},
+    [weak] {
+      const auto service = weak.lock();
+      return service ? static_cast<double>(service->RunningItems()) : 0.0;
+    });
 }
 
 void
--- a/Libraries/LibKeeper/Outbox.cpp
+++ b/Libraries/LibKeeper/Outbox.cpp
@@ -12,13 +12,13 @@
 }
 
 void
-Outbox::Drain()
+Outbox::Run()
 {
   std::unique_lock lock(mutex_);
-  if (draining_) {
+  if (running_) {
     return;
   }
-  draining_ = true;
+  running_ = true;
   while (!actions_.empty()) {
     Action action = std::move(actions_.front());
     actions_.pop_front();
@@ -28,7 +28,7 @@
     action = nullptr;
     lock.lock();
   }
-  draining_ = false;
+  running_ = false;
 }
 
 } // namespace pumiceturn::keeper
--- a/Libraries/LibKeeper/Outbox.h
+++ b/Libraries/LibKeeper/Outbox.h
@@ -6,9 +6,9 @@
 
 namespace pumiceturn::keeper {
 
-/// Queue of calls that are added while the job service's lock is held and run
+/// Queue of actions that are added while the job service's lock is held and run
 /// after it is released, in the order added. So appends reach the log in the
-/// order of the decisions, and a callee may call back. Thread-safe.
+/// order of the decisions, and an action may call the job service. Thread-safe.
 class Outbox
 {
 public:
@@ -17,13 +17,13 @@
   void Add(Action aAction);
 
   /// Runs queued actions until the queue is empty. Returns at once when another
-  /// thread or an outer call is already draining; that call runs all actions.
-  void Drain();
+  /// thread or an outer call already runs them; that call runs all actions.
+  void Run();
 
 private:
   std::mutex mutex_;
   std::deque<Action> actions_;
-  bool draining_ = false;
+  bool running_ = false;
 };
 
 } // namespace pumiceturn::keeper
--- a/Libraries/LibKeeper/OwnedPartition.h
+++ b/Libraries/LibKeeper/OwnedPartition.h
@@ -23,13 +23,14 @@
   bool operator==(const Requester&) const = default;
 };
 
-/// The runner of an online request, and the other callers that wait for its
-/// result.
+/// The runner of an online request, and the other requesters that wait for
+/// its result.
 struct OnlineRun
 {
   Requester runner_; ///< Empty peer: unknown, after a takeover.
-  bool ownerRuns_ = false;
-  std::vector<Requester> waiters_;
+  /// Whether the owner has taken the request over from a lost runner.
+  bool isRunByOwner_ = false;
+  std::vector<Requester> waitingRequesters_;
 };
 
 /// The message to be sent once a result is durable.
@@ -48,7 +49,8 @@
   Requester requester_;
 };
 
-/// A message that is handled once a pending append has completed.
+/// A message that is handled later: once a pending append has completed or the
+/// partition is owned.
 struct DeferredMessage
 {
   std::string peer_;
@@ -74,21 +76,25 @@
   enum class Phase : std::uint8_t
   {
     Recovering, ///< Replaying the log; callers are asked to retry.
-    Settling,   ///< Serving callers; waiting for reports of the agents.
-    Serving,
+    Settling, ///< Requests are answered. Items that the previous owner may have
+              ///< started are not dispatched until the agents had time to
+              ///< report them.
+    Serving,  ///< All waiting items are dispatched.
+
   };
 
   Phase phase_ = Phase::Recovering;
   std::uint64_t epoch_ = 0;
   jobs::JobTable table_;
-  /// Lower bound of the next record's sequence number. Failed appends may use
-  /// numbers that are not counted here, so a trim never removes too much.
+  /// Lower bound of the next record's sequence number. Records of failed
+  /// appends may have numbers too, but are not counted. With a lower bound, a
+  /// trim never removes too much.
   std::uint64_t nextSequence_ = 0;
   base::Instant settlingEndsAt_{};
   std::vector<PendingResult> pendingResults_;
   bool resultAppendInFlight_ = false;
-  /// Results and cancellations whose append failed. They may be in the log all
-  /// the same, so they are appended again unchanged.
+  /// Results and cancellations whose append failed. They may nevertheless be in
+  /// the log, so they are appended again unchanged.
   std::vector<RetriedAppend> retries_;
   std::unordered_map<base::JobId, std::vector<DeferredMessage>> deferred_;
   std::unordered_map<base::JobId, OnlineRun> online_;
--- a/Libraries/LibKeeper/Ports.h
+++ b/Libraries/LibKeeper/Ports.h
@@ -21,7 +21,8 @@
 };
 
 /// Dependencies of the job service. They are called without its lock, except
-/// those marked "pure", which must not block or call back.
+/// those marked "Pure", which may be called under it and must not block or call
+/// back.
 struct Ports
 {
   using Appended = std::function<void(base::ResultCode aCode,
@@ -56,7 +57,7 @@
                            const std::string& aKind)>
     limitsOf_; ///< Pure.
   std::function<std::uint32_t(const std::string& aPartner)>
-    batchShareOf_;                                                ///< Pure.
+    batchWeightOf_;                                               ///< Pure.
   std::function<bool(std::uint64_t aFingerprint)> isQuarantined_; ///< Pure.
 };
 
--- a/Libraries/LibKeeper/RecordCache.cpp
+++ b/Libraries/LibKeeper/RecordCache.cpp
@@ -9,10 +9,11 @@
 RecordCache::Find(const joblog::LogPosition& aPosition)
 {
   const std::lock_guard lock(mutex_);
-  const auto found = std::find_if(
-    entries_.begin(), entries_.end(), [&aPosition](const Entry& aEntry) {
-      return aEntry.position_ == aPosition;
-    });
+  const auto found = std::find_if(entries_.begin(),
+                                  entries_.end(),
+                                  [&aPosition](const CachedRecord& aCached) {
+                                    return aCached.position_ == aPosition;
+                                  });
   if (found == entries_.end()) {
     return nullptr;
   }
--- a/Libraries/LibKeeper/RecordCache.h
+++ b/Libraries/LibKeeper/RecordCache.h
@@ -32,7 +32,7 @@
   base::Result<Bytes> Get(const joblog::LogPosition& aPosition);
 
 private:
-  struct Entry
+  struct CachedRecord
   {
     joblog::LogPosition position_;
     Bytes bytes_;
@@ -43,7 +43,7 @@
   Read read_;
   std::size_t maxBytes_;
   std::mutex mutex_;
-  std::list<Entry> entries_; ///< Most recently used first.
+  std::list<CachedRecord> entries_; ///< Most recently used first.
   std::size_t bytes_ = 0;
 };
 
--- a/Tests/LibJobs/JobFixture.h
+++ b/Tests/LibJobs/JobFixture.h
@@ -46,8 +46,8 @@
   return job;
 }
 
-/// @param aCount Number of items. The frame is the last one if it holds the
-/// job's last item.
+/// Makes a frame of aCount items from aFirst on. It is marked as the last one
+/// if it holds the job's last item.
 inline wire::SubmitFrame
 MakeFrame(const wire::JobDescription& aJob,
           std::uint32_t aFirst,
@@ -96,25 +96,25 @@
     for (const Record& record : aRecords) {
       Write(record);
     }
-    table_.SettleAccept(aJob, true);
+    table_.OnAcceptAppended(aJob, true);
   }
 
-  Acceptance Submit(const wire::SubmitFrame& aFrame)
+  AcceptAction Submit(const wire::SubmitFrame& aFrame)
   {
-    const AcceptDecision decision = table_.AcceptFrame(aFrame, kNow);
-    if (decision.answer_ == Acceptance::Append) {
+    const AcceptDecision decision = table_.DecideFrame(aFrame, kNow);
+    if (decision.action_ == AcceptAction::Append) {
       Write(decision.records_, aFrame.job_.id_);
     }
-    return decision.answer_;
+    return decision.action_;
   }
 
-  Acceptance SubmitRequest(const wire::RecordRequest& aRequest)
+  AcceptAction SubmitRequest(const wire::RecordRequest& aRequest)
   {
-    const AcceptDecision decision = table_.AcceptOnline(aRequest, 3, kNow);
-    if (decision.answer_ == Acceptance::Append) {
+    const AcceptDecision decision = table_.DecideOnline(aRequest, 3, kNow);
+    if (decision.action_ == AcceptAction::Append) {
       Write(decision.records_, aRequest.job_);
     }
-    return decision.answer_;
+    return decision.action_;
   }
 
   EndAction End(const wire::RunEnded& aEnded)
--- a/Tests/LibJobs/JobTableExplorerTest.cpp
+++ b/Tests/LibJobs/JobTableExplorerTest.cpp
@@ -27,7 +27,7 @@
 {
   LoggedTable owner_;
   std::deque<InFlightAppend> inFlightAppends_;
-  std::set<std::string> answers_; ///< Results returned to callers.
+  std::set<std::string> receivedResults_; ///< Results returned to callers.
   bool acceptanceReported_ = false;
   int requestsLeft_ = 3;
   int resultsLeft_[2] = { 2, 1 };
@@ -63,7 +63,7 @@
   }
 
   /// @return the result that a caller would receive, or empty.
-  std::string AnswerOf(const LoggedTable& aOwner) const
+  std::string ResultOf(const LoggedTable& aOwner) const
   {
     if (aOwner.table_.FindFinished(job_) != nullptr) {
       return aOwner.ResultAt(job_, 0).text_;
@@ -75,37 +75,39 @@
   void Check(const ExplorerState& aState)
   {
     const LoggedTable replayed = aState.owner_.TakeOver();
-    const std::string live = AnswerOf(aState.owner_);
+    const std::string live = ResultOf(aState.owner_);
     const Job* job = aState.owner_.table_.Find(job_);
     if (job != nullptr && job->IsClosed()) {
-      Require(job->results_.size() == 1,
-              aState,
-              "the job does not have exactly one result");
-      Require(job->SourceOf(0) == ResultSource::Cancelled,
-              aState,
-              "a finished request was not moved out of the job table");
+      NoteViolationUnless(job->results_.size() == 1,
+                          aState,
+                          "the job does not have exactly one result");
+      NoteViolationUnless(
+        job->SourceOf(0) == ResultSource::Cancelled,
+        aState,
+        "a finished request was not moved out of the job table");
     }
     if (!live.empty()) {
       ++finished_;
       // Compares texts, not locations: a result may be in the log twice.
-      Require(AnswerOf(replayed) == live,
-              aState,
-              "a replay gives a different result");
+      NoteViolationUnless(ResultOf(replayed) == live,
+                          aState,
+                          "a replay gives a different result");
     }
-    Require(aState.answers_.size() <= 1,
-            aState,
-            "callers received different results");
+    NoteViolationUnless(aState.receivedResults_.size() <= 1,
+                        aState,
+                        "callers received different results");
     const Job* next = replayed.table_.Find(job_);
     const bool isKept = (next != nullptr && next->IsAccepted()) ||
                         replayed.table_.FindFinished(job_) != nullptr;
-    Require(!aState.acceptanceReported_ || isKept,
-            aState,
-            "an accepted request was lost");
+    NoteViolationUnless(!aState.acceptanceReported_ || isKept,
+                        aState,
+                        "an accepted request was lost");
   }
 
-  void Require(bool aHolds,
-               const ExplorerState& aState,
-               const std::string& aWhat)
+  /// Notes the first violation; the exploration continues.
+  void NoteViolationUnless(bool aHolds,
+                           const ExplorerState& aState,
+                           const std::string& aWhat)
   {
     if (!aHolds && firstViolation_.empty()) {
       firstViolation_ = aWhat + " after:" + aState.path_;
@@ -119,12 +121,12 @@
     }
     aState.path_ += " ask";
     AcceptDecision decision =
-      aState.owner_.table_.AcceptOnline(request_, 3, kNow);
-    if (decision.answer_ == Acceptance::Append) {
+      aState.owner_.table_.DecideOnline(request_, 3, kNow);
+    if (decision.action_ == AcceptAction::Append) {
       aState.inFlightAppends_.push_back(
         { InFlightAppend::Purpose::Accept, std::move(decision.records_) });
-    } else if (decision.answer_ == Acceptance::Finished) {
-      aState.answers_.insert(AnswerOf(aState.owner_));
+    } else if (decision.action_ == AcceptAction::Finished) {
+      aState.receivedResults_.insert(ResultOf(aState.owner_));
     }
     Explore(aState, aDepth - 1);
   }
@@ -156,7 +158,8 @@
       return;
     }
     aState.path_ += " cancel";
-    const CancelDecision decision = aState.owner_.table_.Cancel(job_, kNow);
+    const CancelDecision decision =
+      aState.owner_.table_.DecideCancel(job_, kNow);
     if (decision.record_) {
       aState.inFlightAppends_.push_back(
         { InFlightAppend::Purpose::ResultOrCancel, { *decision.record_ } });
@@ -176,7 +179,7 @@
       aState.owner_.Write(record);
     }
     if (head.purpose_ == InFlightAppend::Purpose::Accept) {
-      aState.owner_.table_.SettleAccept(job_, true);
+      aState.owner_.table_.OnAcceptAppended(job_, true);
       aState.acceptanceReported_ = true;
     }
     Explore(aState, aDepth - 1);
@@ -199,7 +202,7 @@
         log.insert(log.end(), head.records_.begin(), head.records_.end());
       }
       if (head.purpose_ == InFlightAppend::Purpose::Accept) {
-        state.owner_.table_.SettleAccept(job_, false);
+        state.owner_.table_.OnAcceptAppended(job_, false);
       } else {
         state.inFlightAppends_.push_back(head);
       }
@@ -248,6 +251,8 @@
   explorer.Explore(ExplorerState{}, kDepth);
   CAPTURE(explorer.states_, explorer.finished_);
   CHECK(explorer.firstViolation_ == "");
+  // Fails if the exploration no longer reaches many states or finished
+  // requests.
   CHECK(explorer.states_ > 100'000);
   CHECK(explorer.finished_ > 1000);
 }
--- a/Tests/LibJobs/JobTableTest.cpp
+++ b/Tests/LibJobs/JobTableTest.cpp
@@ -15,8 +15,8 @@
 
   void AcceptBatchJob()
   {
-    REQUIRE(Submit(MakeFrame(batchJob_, 0, 2)) == Acceptance::Append);
-    REQUIRE(Submit(MakeFrame(batchJob_, 2, 2)) == Acceptance::Append);
+    REQUIRE(Submit(MakeFrame(batchJob_, 0, 2)) == AcceptAction::Append);
+    REQUIRE(Submit(MakeFrame(batchJob_, 2, 2)) == AcceptAction::Append);
   }
 
   base::RunId TakeItem() { return table_.TakeItem(batchJob_.id_).value().run_; }
@@ -29,14 +29,14 @@
 {
   // A partly submitted job must not run, and a resend continues after the items
   // received.
-  REQUIRE(Submit(MakeFrame(batchJob_, 0, 2)) == Acceptance::Append);
+  REQUIRE(Submit(MakeFrame(batchJob_, 0, 2)) == AcceptAction::Append);
   CHECK(table_.Status(batchJob_.id_, "slaegtsspor").code_ ==
         ResultCode::NotFound);
   CHECK_FALSE(table_.TakeItem(batchJob_.id_));
 
   LoggedTable next = TakeOver();
-  CHECK(next.Submit(MakeFrame(batchJob_, 0, 2)) == Acceptance::Received);
-  CHECK(next.Submit(MakeFrame(batchJob_, 2, 2)) == Acceptance::Append);
+  CHECK(next.Submit(MakeFrame(batchJob_, 0, 2)) == AcceptAction::Received);
+  CHECK(next.Submit(MakeFrame(batchJob_, 2, 2)) == AcceptAction::Append);
   CHECK(next.table_.Status(batchJob_.id_, "slaegtsspor").waiting_ == 4);
 }
 
@@ -45,14 +45,14 @@
   // A job that is submitted concurrently and after a takeover must not run
   // twice.
   const wire::SubmitFrame whole = MakeFrame(batchJob_, 0, 4);
-  const AcceptDecision first = table_.AcceptFrame(whole, kNow);
-  REQUIRE(first.answer_ == Acceptance::Append);
-  CHECK(table_.AcceptFrame(whole, kNow).answer_ == Acceptance::Wait);
+  const AcceptDecision first = table_.DecideFrame(whole, kNow);
+  REQUIRE(first.action_ == AcceptAction::Append);
+  CHECK(table_.DecideFrame(whole, kNow).action_ == AcceptAction::Wait);
   Write(first.records_, batchJob_.id_);
-  CHECK(table_.AcceptFrame(whole, kNow).answer_ == Acceptance::Duplicate);
+  CHECK(table_.DecideFrame(whole, kNow).action_ == AcceptAction::Duplicate);
 
   LoggedTable next = TakeOver();
-  CHECK(next.Submit(whole) == Acceptance::Duplicate);
+  CHECK(next.Submit(whole) == AcceptAction::Duplicate);
   CHECK(next.table_.Status(batchJob_.id_, "slaegtsspor").waiting_ == 4);
 }
 
@@ -60,15 +60,15 @@
 {
   AcceptBatchJob();
   CHECK(Submit(MakeFrame(MakeBatchJob("lot", 2, 4), 0, 4)) ==
-        Acceptance::Conflict);
+        AcceptAction::Conflict);
   CHECK(Submit(MakeFrame(MakeBatchJob("other", 2, 1), 0, 1)) ==
-        Acceptance::Append);
+        AcceptAction::Append);
 }
 
 TEST_CASE_METHOD(JobTableFixture, "JobTable_FramesOutOfOrder_AreInvalid")
 {
-  CHECK(Submit(MakeFrame(batchJob_, 2, 2)) == Acceptance::Invalid);
-  CHECK(Submit(MakeFrame(batchJob_, 0, 5)) == Acceptance::Invalid);
+  CHECK(Submit(MakeFrame(batchJob_, 2, 2)) == AcceptAction::Invalid);
+  CHECK(Submit(MakeFrame(batchJob_, 0, 5)) == AcceptAction::Invalid);
 }
 
 TEST_CASE_METHOD(JobTableFixture,
@@ -78,11 +78,11 @@
   // accepted under the key, a replay would accept the first and lose the
   // second.
   const wire::RecordRequest first = MakeRequest("key", 1);
-  const AcceptDecision decision = table_.AcceptOnline(first, 3, kNow);
-  table_.SettleAccept(first.job_, false);
-  CHECK(SubmitRequest(MakeRequest("key", 2)) == Acceptance::Conflict);
-  CHECK(SubmitRequest(first) == Acceptance::Append);
-  CHECK(SubmitRequest(first) == Acceptance::Running);
+  const AcceptDecision decision = table_.DecideOnline(first, 3, kNow);
+  table_.OnAcceptAppended(first.job_, false);
+  CHECK(SubmitRequest(MakeRequest("key", 2)) == AcceptAction::Conflict);
+  CHECK(SubmitRequest(first) == AcceptAction::Append);
+  CHECK(SubmitRequest(first) == AcceptAction::Running);
 }
 
 TEST_CASE_METHOD(JobTableFixture,
@@ -98,7 +98,7 @@
   CHECK(rerun.item_ == lost.item_);
   CHECK(rerun.attempt_ > lost.attempt_);
   CHECK(End(MakeEnded(rerun, ResultCode::Ok, Ran::Ran, "second")) ==
-        EndAction::Record);
+        EndAction::Append);
   CHECK(End(MakeEnded(lost, ResultCode::Ok, Ran::Ran, "first")) ==
         EndAction::Discard);
   CHECK(ResultAt(batchJob_.id_, 0).text_ == "second");
@@ -112,7 +112,7 @@
   const base::RunId lost = TakeItem();
   End(MakeEnded(lost, ResultCode::EndpointLost, Ran::Unknown));
   CHECK(End(MakeEnded(lost, ResultCode::Ok, Ran::Ran, "late")) ==
-        EndAction::Record);
+        EndAction::Append);
   for (int left = 0; left < 3; ++left) {
     CHECK(TakeItem().item_ != lost.item_);
   }
@@ -128,7 +128,7 @@
   base::RunId failing{ batchJob_.id_, 0, 1 };
   CHECK(End(MakeEnded(failing, ResultCode::EndpointFailed, Ran::Ran)) ==
         EndAction::Requeue);
-  const Dispatch second = table_.TakeItem(batchJob_.id_).value();
+  const DispatchedItem second = table_.TakeItem(batchJob_.id_).value();
   REQUIRE(second.recordStart_);
   Write({ kNow, ItemStarted{ second.run_, "endpoint" } });
 
@@ -138,7 +138,7 @@
         EndAction::Requeue);
   failing = next.table_.TakeItem(batchJob_.id_).value().run_;
   CHECK(next.End(MakeEnded(failing, ResultCode::EndpointFailed, Ran::Ran)) ==
-        EndAction::Record);
+        EndAction::Append);
   CHECK(next.ResultAt(batchJob_.id_, 0).code_ == ResultCode::AttemptsExhausted);
   for (int left = 0; left < 3; ++left) {
     const base::RunId run = next.table_.TakeItem(batchJob_.id_).value().run_;
@@ -165,7 +165,7 @@
   CHECK_FALSE(next.table_.TakeItem(batchJob_.id_));
 }
 
-TEST_CASE_METHOD(JobTableFixture, "JobTable_RunRefused_CountsNoAttempt")
+TEST_CASE_METHOD(JobTableFixture, "JobTable_RunRefused_IsNotCountedAsAttempt")
 {
   AcceptBatchJob();
   for (int round = 0; round < 10; ++round) {
@@ -173,7 +173,7 @@
           EndAction::Requeue);
   }
   CHECK(End(MakeEnded(TakeItem(), ResultCode::Quarantined, Ran::NotRun)) ==
-        EndAction::Record);
+        EndAction::Append);
   CHECK(ResultAt(batchJob_.id_, 0).code_ == ResultCode::Quarantined);
 }
 
@@ -184,7 +184,7 @@
   // unknown and not be rerun, live or after a takeover.
   batchJob_.idempotent_ = false;
   AcceptBatchJob();
-  const Dispatch first = table_.TakeItem(batchJob_.id_).value();
+  const DispatchedItem first = table_.TakeItem(batchJob_.id_).value();
   REQUIRE(first.recordStart_);
   Write({ kNow, ItemStarted{ first.run_, "endpoint" } });
 
@@ -194,13 +194,13 @@
         first.run_.item_);
 
   CHECK(End(MakeEnded(first.run_, ResultCode::EndpointLost, Ran::Unknown)) ==
-        EndAction::Record);
+        EndAction::Append);
   CHECK(ResultAt(batchJob_.id_, 0).code_ == ResultCode::OutcomeUnknown);
   CHECK(ResultAt(batchJob_.id_, 0).ran_ == Ran::Unknown);
 }
 
 TEST_CASE_METHOD(JobTableFixture,
-                 "JobTable_CancelDuringResultAppend_LogOrderDecides")
+                 "JobTable_CancelDuringResultAppend_WaitsForResult")
 {
   // A cancellation must not overtake a result that is being appended; otherwise
   // a replay could apply the two in a different order.
@@ -209,12 +209,12 @@
   const base::RunId late = TakeItem();
   const EndDecision ending =
     table_.DecideRunEnd(MakeEnded(early, ResultCode::Ok, Ran::Ran, "early"));
-  CHECK(table_.Cancel(batchJob_.id_, kNow).action_ == CancelAction::Wait);
+  CHECK(table_.DecideCancel(batchJob_.id_, kNow).action_ == CancelAction::Wait);
   CHECK_FALSE(table_.TakeItem(batchJob_.id_));
   CHECK(End(MakeEnded(late, ResultCode::Ok, Ran::Ran, "late")) ==
         EndAction::Wait);
   Write({ kNow, ItemsEnded{ { *ending.record_ } } });
-  Write(table_.Cancel(batchJob_.id_, kNow).record_.value());
+  Write(table_.DecideCancel(batchJob_.id_, kNow).record_.value());
   CHECK(End(MakeEnded(late, ResultCode::Ok, Ran::Ran, "late")) ==
         EndAction::Discard);
   const wire::JobStatusReply status =
@@ -230,19 +230,20 @@
                  "JobTable_RefusedOnlineRequest_MayBeSentAgain")
 {
   const wire::RecordRequest request = MakeRequest("key", 1);
-  REQUIRE(SubmitRequest(request) == Acceptance::Append);
+  REQUIRE(SubmitRequest(request) == AcceptAction::Append);
   wire::ItemResult refusal;
   refusal.code_ = ResultCode::Overloaded;
   refusal.ran_ = Ran::NotRun;
   const base::RunId run{ request.job_, 0, 1 };
   CHECK(table_.DecideResult(run, refusal, false).action_ == EndAction::Reject);
   const EndDecision decision = table_.DecideResult(run, refusal, true);
-  REQUIRE(decision.action_ == EndAction::Record);
+  REQUIRE(decision.action_ == EndAction::Append);
   const RecordEffects effects =
     Write({ kNow, ItemsEnded{ { *decision.record_ } } });
   CHECK(effects.withdrawn_.size() == 1);
-  CHECK(SubmitRequest(MakeRequest("key", 2)) == Acceptance::Append);
-  CHECK(TakeOver().SubmitRequest(MakeRequest("key", 2)) == Acceptance::Running);
+  CHECK(SubmitRequest(MakeRequest("key", 2)) == AcceptAction::Append);
+  CHECK(TakeOver().SubmitRequest(MakeRequest("key", 2)) ==
+        AcceptAction::Running);
 }
 
 TEST_CASE_METHOD(JobTableFixture,
@@ -251,14 +252,14 @@
   const wire::RecordRequest request = MakeRequest("key", 1);
   SubmitRequest(request);
   End(MakeEnded({ request.job_, 0, 1 }, ResultCode::Ok, Ran::Ran, "answer"));
-  CHECK(SubmitRequest(request) == Acceptance::Finished);
+  CHECK(SubmitRequest(request) == AcceptAction::Finished);
   CHECK(table_.FirstNeededSequence() == 1U);
-  CHECK(table_.Expire(kNow + 3'599'999) == 0);
-  CHECK(table_.Expire(kNow + 3'600'000) == 1);
+  CHECK(table_.DropDueJobs(kNow + 3'599'999) == 0);
+  CHECK(table_.DropDueJobs(kNow + 3'600'000) == 1);
   CHECK(table_.Status(request.job_, "slaegtsspor").code_ ==
         ResultCode::Expired);
   CHECK_FALSE(table_.FirstNeededSequence());
-  CHECK(SubmitRequest(MakeRequest("key", 2)) == Acceptance::Append);
+  CHECK(SubmitRequest(MakeRequest("key", 2)) == AcceptAction::Append);
 }
 
 TEST_CASE_METHOD(JobTableFixture, "JobTable_AnotherPartnersJob_IsNotFound")
@@ -273,7 +274,7 @@
 {
   AcceptBatchJob();
   End(MakeEnded(TakeItem(), ResultCode::Ok, Ran::Ran, "answer"));
-  Write(table_.Cancel(batchJob_.id_, kNow).record_.value());
+  Write(table_.DecideCancel(batchJob_.id_, kNow).record_.value());
   LoggedTable twice;
   for (const Record& record : log_) {
     twice.Write(record);
--- a/Tests/LibJobs/LaxityQueueTest.cpp
+++ b/Tests/LibJobs/LaxityQueueTest.cpp
@@ -87,7 +87,8 @@
   CHECK(selections.at("morning") == 50);
 }
 
-TEST_CASE_METHOD(LaxityQueueFixture, "LaxityQueue_UrgentJob_GetsBoundedPart")
+TEST_CASE_METHOD(LaxityQueueFixture,
+                 "LaxityQueue_UrgentJob_GetsLimitedFractionOfSelections")
 {
   // A large late job of one partner must not block the other partners.
   queue_.Add({ 1, 1 }, "late", 1, kNow, 10'000);
@@ -95,6 +96,8 @@
   queue_.Add({ 3, 3 }, "second", 1, kFarOff, 10'000);
   queue_.Add({ 4, 4 }, "third", 1, kFarOff, 10'000);
   const auto selections = PopMany(1000);
+  // A quarter of the 1000 selections may be urgent. They count for the
+  // partner's share, so it gets few others, and three partners divide the rest.
   CHECK(selections.at("late") >= 250);
   CHECK(selections.at("late") <= 300);
   CHECK(selections.at("first") >= 220);
@@ -113,18 +116,18 @@
 }
 
 TEST_CASE_METHOD(LaxityQueueFixture,
-                 "LaxityQueue_ExpectedWork_CountsJobsAheadAndShares")
+                 "LaxityQueue_ExpectedDuration_CountsJobsAheadAndShares")
 {
   // Items take one second each and run one at a time.
   queue_.Add({ 1, 1 }, "society", 1, kFarOff, 10);
-  CHECK(queue_.ExpectedWorkMs({ 1, 1 }, 0) == 10'000);
-  CHECK(queue_.ExpectedWorkMs({ 1, 1 }, 2) == 12'000);
+  CHECK(queue_.ExpectedDurationMs({ 1, 1 }, 0) == 10'000);
+  CHECK(queue_.ExpectedDurationMs({ 1, 1 }, 2) == 12'000);
   queue_.Add({ 2, 2 }, "society", 1, kFarOff - 100'000, 5);
-  CHECK(queue_.ExpectedWorkMs({ 1, 1 }, 0) == 15'000);
-  CHECK(queue_.ExpectedWorkMs({ 2, 2 }, 0) == 5'000);
+  CHECK(queue_.ExpectedDurationMs({ 1, 1 }, 0) == 15'000);
+  CHECK(queue_.ExpectedDurationMs({ 2, 2 }, 0) == 5'000);
   queue_.Add({ 3, 3 }, "publisher", 3, kFarOff, 1000);
-  CHECK(queue_.ExpectedWorkMs({ 2, 2 }, 0) == 20'000);
-  CHECK(queue_.ExpectedWorkMs({ 9, 9 }, 0) == 1'000);
+  CHECK(queue_.ExpectedDurationMs({ 2, 2 }, 0) == 20'000);
+  CHECK(queue_.ExpectedDurationMs({ 9, 9 }, 0) == 1'000);
 }
 
 TEST_CASE_METHOD(BatchSchedulerFixture,
@@ -149,14 +152,14 @@
 TEST_CASE_METHOD(BatchSchedulerFixture,
                  "BatchScheduler_Demand_IsReportedAtOnceThenCoalesced")
 {
-  CHECK(scheduler_.CollectFirstDemand(kNow).empty());
+  CHECK(scheduler_.CollectRisenFromZero(kNow).empty());
   scheduler_.AddWork(job_, 1, 5);
-  const auto first = scheduler_.CollectFirstDemand(kNow);
+  const auto first = scheduler_.CollectRisenFromZero(kNow);
   REQUIRE(first.size() == 1);
   CHECK(first[0].agent_ == "agent-1");
   CHECK(first[0].demand_.waiting_ == 5);
   scheduler_.AddWork(job_, 1, 5);
-  CHECK(scheduler_.CollectFirstDemand(kNow).empty());
+  CHECK(scheduler_.CollectRisenFromZero(kNow).empty());
   CHECK(scheduler_.CollectChangedDemand(kNow)[0].demand_.waiting_ == 10);
   CHECK(scheduler_.CollectChangedDemand(kNow).empty());
   scheduler_.RemoveJob(job_.id_, "origin-llm");
--- a/Tests/LibJobs/RecordCodecTest.cpp
+++ b/Tests/LibJobs/RecordCodecTest.cpp
@@ -81,7 +81,7 @@
   CHECK(result.text_.empty());
 }
 
-TEST_CASE_METHOD(RecordCodecFixture, "RecordCodec_OneItem_IsReadAlone")
+TEST_CASE_METHOD(RecordCodecFixture, "RecordCodec_ItemOrResultByIndex_IsRead")
 {
   const std::string bytes = EncodeRecord(AllRecordKinds()[1]);
   const auto item = base::Capture([&] { return ReadItem(bytes, 1); });
@@ -90,7 +90,7 @@
   CHECK(std::get<base::Failure>(outside).code_ ==
         base::ResultCode::CorruptRecord);
   const std::string ended = EncodeRecord(AllRecordKinds()[3]);
-  const auto result = base::Capture([&] { return ReadEnded(ended, 0); });
+  const auto result = base::Capture([&] { return ReadItemEnded(ended, 0); });
   CHECK(std::get<ItemEnded>(result).result_ == result_);
 }
 
@@ -99,12 +99,12 @@
   // A truncated record or one with flipped bits must neither terminate the
   // process nor be read out of bounds.
   std::mt19937 random(4);
-  std::size_t refused = 0;
+  std::size_t failures = 0;
   for (const Record& record : AllRecordKinds()) {
     const std::string whole = EncodeRecord(record);
     for (std::size_t size = 0; size < whole.size(); size += 8) {
       const auto torn = Decode(std::string_view(whole).substr(0, size));
-      refused += torn == nullptr ? 1 : 0;
+      failures += torn == nullptr ? 1 : 0;
     }
     CHECK(Decode(std::string_view(whole).substr(0, whole.size() - 1)) ==
           nullptr);
@@ -114,10 +114,10 @@
       byte = static_cast<char>(static_cast<unsigned char>(byte) ^
                                (1U << (random() % 8)));
       const auto decoded = Decode(damaged);
-      refused += decoded == nullptr ? 1 : 0;
+      failures += decoded == nullptr ? 1 : 0;
     }
   }
-  CHECK(refused > 0);
+  CHECK(failures > 0);
 }
 
 } // namespace pumiceturn::jobs
--- a/Tests/LibKeeper/BatchJobTest.cpp
+++ b/Tests/LibKeeper/BatchJobTest.cpp
@@ -91,14 +91,16 @@
   // flight, and must not rerun reported items.
   const auto job = Submit("lot", 300);
   keeper_->Grant("agent-1", 20);
-  const auto out = keeper_->PopSent<StartRun>("agent-1");
+  const auto inFlight = keeper_->PopSent<StartRun>("agent-1");
   TakeOver();
   keeper_->Grant("agent-2", 400);
+  // 300 items less the 256 that may be in flight at a takeover.
   CHECK(keeper_->PopSent<StartRun>("agent-2").size() == 44);
-  for (const StartRun& start : out) {
+  for (const StartRun& start : inFlight) {
     keeper_->Finish("agent-1", start, "reported");
   }
   FinishSettling();
+  // 300 items less the 44 started and the 20 reported.
   CHECK(keeper_->PopSent<StartRun>("agent-2").size() == 236);
   CHECK(keeper_->Status(job.id_).succeeded_ == 20);
 }
@@ -185,7 +187,7 @@
 }
 
 TEST_CASE_METHOD(KeeperFixture,
-                 "BatchJob_CancelDuringResultAppend_SameForAllReaders")
+                 "BatchJob_CancelDuringResultAppend_ReadersSeeSameResults")
 {
   // After a cancellation that races with a result, all readers must see the
   // same results, also after a takeover, and no further item may start.
@@ -264,7 +266,7 @@
 }
 
 TEST_CASE_METHOD(KeeperFixture,
-                 "BatchJob_NonIdempotentItem_AtMostOnceAcrossOwners")
+                 "BatchJob_NonIdempotentItem_RunsAtMostOnceAcrossOwners")
 {
   // A non-idempotent item must not be sent before its start is durable, and
   // must not be rerun after a takeover.
@@ -343,7 +345,7 @@
 }
 
 TEST_CASE_METHOD(KeeperFixture,
-                 "BatchJob_RefusedOrUnsent_IsRequeuedWithoutAttempt")
+                 "BatchJob_RefusedOrUnsent_IsRequeuedWithoutCountingAttempt")
 {
   const auto job = Submit("lot", 1);
   keeper_->unreachable_.insert("agent-1");
@@ -370,7 +372,7 @@
   CHECK(keeper_->trimmedBefore_ == log_->records_.size());
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Keeper_NotOwnerOrRecovering_RepliesWithCode")
+TEST_CASE_METHOD(KeeperFixture, "Keeper_NotOwnerOrRecovering_RefusesRequests")
 {
   keeper_->otherOwner_ = "keeper-2";
   keeper_->Release();
@@ -385,8 +387,8 @@
 
 TEST_CASE_METHOD(KeeperFixture, "Keeper_ReportForAnotherOwner_IsForwarded")
 {
-  // A report to a keeper that has lost the partition must reach the new owner;
-  // otherwise the item would be rerun.
+  // A report to a keeper that has released the partition must reach the new
+  // owner; otherwise the item would be rerun.
   Submit("lot", 1);
   keeper_->Grant("agent-1", 1);
   const auto start = keeper_->PopOnlySent<StartRun>("agent-1");
--- a/Tests/LibKeeper/KeeperFixture.h
+++ b/Tests/LibKeeper/KeeperFixture.h
@@ -243,7 +243,7 @@
     ports.limitsOf_ = [](const std::string&, const std::string&) {
       return KindLimits{ 3, 5000 };
     };
-    ports.batchShareOf_ = [](const std::string&) { return 1U; };
+    ports.batchWeightOf_ = [](const std::string&) { return 1U; };
     ports.isQuarantined_ = [this](std::uint64_t aFingerprint) {
       return quarantined_.contains(aFingerprint);
     };
--- a/Tests/LibKeeper/KeeperFleet.cpp
+++ b/Tests/LibKeeper/KeeperFleet.cpp
@@ -67,20 +67,20 @@
 }
 
 void
-TestAgent::AnswerAtMost(std::size_t aRuns)
+TestAgent::FinishAtMost(std::size_t aRuns)
 {
   const std::lock_guard lock(mutex_);
-  answersAll_ = false;
+  finishesAll_ = false;
   allowed_ = aRuns;
 }
 
 void
-TestAgent::AnswerAll()
+TestAgent::FinishAll()
 {
   const std::lock_guard lock(mutex_);
-  answersAll_ = true;
-  for (const auto& [peer, start] : std::exchange(unansweredRuns_, {})) {
-    Answer(peer, start);
+  finishesAll_ = true;
+  for (const auto& [peer, start] : std::exchange(unfinishedRuns_, {})) {
+    Finish(peer, start);
   }
 }
 
@@ -94,11 +94,11 @@
 }
 
 bool
-TestAgent::WaitForUnanswered(std::size_t aCount)
+TestAgent::WaitForUnfinished(std::size_t aCount)
 {
   std::unique_lock lock(mutex_);
   return changed_.wait_for(
-    lock, kTimeout, [&] { return unansweredRuns_.size() >= aCount; });
+    lock, kTimeout, [&] { return unfinishedRuns_.size() >= aCount; });
 }
 
 void
@@ -109,11 +109,11 @@
     Grant(aPeer);
   } else if (const auto* start = std::get_if<wire::StartRun>(&aMessage)) {
     ++started_[aPeer];
-    if (answersAll_ || allowed_ > 0) {
+    if (finishesAll_ || allowed_ > 0) {
       allowed_ -= allowed_ > 0 ? 1 : 0;
-      Answer(aPeer, *start);
+      Finish(aPeer, *start);
     } else {
-      unansweredRuns_.emplace_back(aPeer, *start);
+      unfinishedRuns_.emplace_back(aPeer, *start);
       changed_.notify_all();
     }
     Grant(aPeer);
@@ -134,8 +134,8 @@
     return;
   }
   const bool isUnanswered = std::any_of(
-    unansweredRuns_.begin(),
-    unansweredRuns_.end(),
+    unfinishedRuns_.begin(),
+    unfinishedRuns_.end(),
     [&](const auto& aUnanswered) { return aUnanswered.second.run_ == aRun; });
   if (isUnanswered) {
     return;
@@ -148,7 +148,7 @@
 }
 
 void
-TestAgent::Answer(const std::string& aPeer, const wire::StartRun& aStart)
+TestAgent::Finish(const std::string& aPeer, const wire::StartRun& aStart)
 {
   wire::RunEnded ended;
   ended.run_ = aStart.run_;
--- a/Tests/LibKeeper/KeeperFleet.h
+++ b/Tests/LibKeeper/KeeperFleet.h
@@ -18,7 +18,8 @@
 
 namespace pumiceturn::keeper {
 
-/// Links of a process that is not a keeper, with a message handler.
+/// A process other than a keeper: real links, and a handler for received
+/// messages.
 class TestPeer
 {
 public:
@@ -42,8 +43,9 @@
   std::unique_ptr<wire::LinkTable> links_;
 };
 
-/// Agent that grants a few credits at a time and answers each run from its
-/// payload. Answers can be limited, and unrecorded results resent.
+/// Agent that grants a few credits at a time and ends each run with a
+/// result made from its payload. The number of finished runs can be limited,
+/// and unrecorded results can be resent.
 class TestAgent
 {
 public:
@@ -51,30 +53,30 @@
 
   [[nodiscard]] std::string Address() const { return peer_->Address(); }
 
-  /// Answers a number of further runs and leaves later ones unanswered.
-  void AnswerAtMost(std::size_t aRuns);
-  /// Answers all unanswered and later runs.
-  void AnswerAll();
+  /// Finishes a number of further runs and leaves later ones unfinished.
+  void FinishAtMost(std::size_t aRuns);
+  /// Finishes all unfinished and later runs.
+  void FinishAll();
 
   /// Sends all results that are not acknowledged as recorded to a keeper.
   void ResendUnrecorded(const std::string& aKeeper);
 
-  /// @return whether at least aCount runs are unanswered before the timeout.
-  bool WaitForUnanswered(std::size_t aCount);
+  /// @return whether at least aCount runs are unfinished before the timeout.
+  bool WaitForUnfinished(std::size_t aCount);
 
 private:
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
-  void Answer(const std::string& aPeer, const wire::StartRun& aStart);
+  void Finish(const std::string& aPeer, const wire::StartRun& aStart);
   void Attach(const std::string& aPeer, const wire::RunId& aRun);
   void Grant(const std::string& aPeer);
 
   std::mutex mutex_;
   std::condition_variable changed_;
   std::size_t allowed_ = 0;
-  bool answersAll_ = true;
+  bool finishesAll_ = true;
   std::map<std::string, std::uint64_t> granted_;
   std::map<std::string, std::uint64_t> started_;
-  std::vector<std::pair<std::string, wire::StartRun>> unansweredRuns_;
+  std::vector<std::pair<std::string, wire::StartRun>> unfinishedRuns_;
   std::map<wire::RunId, wire::RunEnded> unrecorded_;
   std::unique_ptr<TestPeer> peer_;
 };
@@ -131,7 +133,7 @@
   std::vector<wire::ItemResult> ReadAll(const base::JobId& aJob,
                                         std::size_t aItems);
 
-  /// @return the last known owner of the job's partition.
+  /// @return the keeper that replied last, or the owner that it named.
   [[nodiscard]] std::string LastOwner() const { return owner_; }
 
   /// Destroys a keeper.
--- a/Tests/LibKeeper/KeeperFleetTest.cpp
+++ b/Tests/LibKeeper/KeeperFleetTest.cpp
@@ -60,15 +60,16 @@
                  "KeeperFleet_OwnerLostMidway_EveryItemIsAnsweredOnce")
 {
   // The loss of the owner while items run must not lose, duplicate or change a
-  // result.
+  // result. The owner is lost after some results are recorded and while some
+  // runs are unfinished.
   const auto job = MakeBatchJob();
-  fleet_.agent_->AnswerAtMost(120);
+  fleet_.agent_->FinishAtMost(120);
   REQUIRE(fleet_.Submit(job, kFrameItems));
-  REQUIRE(fleet_.agent_->WaitForUnanswered(4));
+  REQUIRE(fleet_.agent_->WaitForUnfinished(4));
   const auto before = fleet_.ReadAll(job.id_, 50);
   REQUIRE(before.size() >= 50);
   fleet_.Kill(fleet_.LastOwner());
-  fleet_.agent_->AnswerAll();
+  fleet_.agent_->FinishAll();
   for (const std::string& keeper : fleet_.Keepers()) {
     fleet_.agent_->ResendUnrecorded(keeper);
   }
--- a/Tests/LibKeeper/OnlineTest.cpp
+++ b/Tests/LibKeeper/OnlineTest.cpp
@@ -43,7 +43,8 @@
   CHECK(reply.result_.text_ == "answer");
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_RefusedNotRun_IsWithdrawnForAllCallers")
+TEST_CASE_METHOD(KeeperFixture,
+                 "Online_RunnerReportsNotRun_RequestIsWithdrawnForAllCallers")
 {
   const auto request = MakeRequest("key");
   SubmitRequest("entry-1", request);
@@ -139,7 +140,8 @@
   CHECK(keeper_->PopOnlySent<wire::RecordResultReply>("entry-1").first_);
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_NonIdempotentOwnerLost_IsUnknown")
+TEST_CASE_METHOD(KeeperFixture,
+                 "Online_OwnerLost_NonIdempotentRequestIsUnknown")
 {
   auto request = MakeRequest("key");
   request.idempotent_ = false;
@@ -180,7 +182,8 @@
   CHECK(keeper_->PopSent<StartRun>("agent-2").empty());
 }
 
-TEST_CASE_METHOD(KeeperFixture, "Online_LateResultOfLostEntry_CancelsOwnersRun")
+TEST_CASE_METHOD(KeeperFixture,
+                 "Online_AgentReportsLateResult_OwnersRunIsCancelled")
 {
   const auto request = MakeRequest("key");
   SubmitRequest("entry-1", request);
