--- a/Libraries/LibJobs/JobTable.cpp
+++ b/Libraries/LibJobs/JobTable.cpp
@@ -9,6 +9,8 @@
 
 namespace {
 
+/// Time without a new submission after which a job that is not accepted is
+/// dropped. Limits the log and memory that abandoned submissions hold.
 constexpr std::int64_t kAbandonedJobTimeoutMs = 3'600'000;
 /// Limits the memory for dropped jobs that are answered with Expired.
 constexpr std::size_t kMaxRememberedExpired = 65536;
@@ -861,7 +863,7 @@
 }
 
 void
-JobTable::MoveToFinished(const base::JobId& aJob, bool aIsOk)
+JobTable::MoveToFinished(const base::JobId& aJob, bool aHasSucceeded)
 {
   const Job& job = jobs_.at(aJob);
   FinishedRequest& finished = finished_[aJob];
@@ -873,7 +875,7 @@
   constexpr std::uint64_t kMax = std::numeric_limits<std::uint32_t>::max();
   finished.retentionS_ =
     static_cast<std::uint32_t>(std::min(job.description_.retentionS_, kMax));
-  finished.succeeded_ = aIsOk;
+  finished.succeeded_ = aHasSucceeded;
   jobs_.erase(aJob);
   ScheduleDrop(aJob, finished.ExpiresUnixMs());
 }
--- a/Libraries/LibJobs/JobTable.h
+++ b/Libraries/LibJobs/JobTable.h
@@ -258,7 +258,7 @@
     const base::JobId& aJob) const;
   [[nodiscard]] std::optional<std::uint64_t> FirstSequenceOf(
     const base::JobId& aJob) const;
-  void MoveToFinished(const base::JobId& aJob, bool aIsOk);
+  void MoveToFinished(const base::JobId& aJob, bool aHasSucceeded);
   static wire::JobStatusReply StatusOf(const base::JobId& aJob,
                                        const FinishedRequest& aRequest);
   void Close(Job& aJob, Job::Phase aPhase, std::int64_t aUnixMs);
--- a/Libraries/LibJobs/LaxityQueue.h
+++ b/Libraries/LibJobs/LaxityQueue.h
@@ -37,9 +37,9 @@
 
 /// Selects the batch item that runs next at one service. Partners share the
 /// endpoints' time by weight (start-time fair queuing over the measured service
-/// time). Within a partner the job with the least laxity, that is due time less
-/// remaining work, goes first. A job that is about to miss its due time may be
-/// selected although its partner has had its share. The fraction of such
+/// time). Within a partner the job with the least laxity, that is due time
+/// minus remaining work, goes first. A job that is about to miss its due time
+/// may be selected although its partner has had its share. The fraction of such
 /// selections is limited, and their service time counts for the partner.
 /// Holds one element per job, not per item. Not thread-safe, no I/O.
 class LaxityQueue
@@ -96,7 +96,7 @@
                                                 std::uint32_t aRunning) const;
 
 private:
-  /// Due time less remaining work, in Unix milliseconds. Laxity is this minus
+  /// Due time minus remaining work, in Unix milliseconds. Laxity is this minus
   /// the current time, so the order of jobs does not change as time passes.
   using LatestStart = std::int64_t;
 
--- a/Libraries/LibKeeper/JobService.h
+++ b/Libraries/LibKeeper/JobService.h
@@ -65,6 +65,8 @@
     /// Time after a takeover for agents to report runs of the previous owner.
     base::Duration settlingTime_{ std::chrono::seconds{ 1 } };
     /// Assumed maximum number of items of a batch job in flight at a takeover.
+    /// That many items are not dispatched until the settling time has passed.
+    /// If more were in flight, some may run twice.
     std::uint32_t maxInFlightAtTakeover_ = 256;
     base::Duration drainGrace_{ std::chrono::seconds{ 20 } };
     base::Duration expireInterval_{ std::chrono::seconds{ 1 } };
