--- a/Benchmarks/RoutingModel/Model.cpp
+++ b/Benchmarks/RoutingModel/Model.cpp
@@ -120,7 +120,7 @@
   Request& request = requests_[aRequest];
   Entry& entry = entries_[request.entry_];
   if (!aIsRetry) {
-    entry.budget_.RecordAttempt();
+    entry.budget_.RecordFirstAttempt();
   }
   const bool mayGo = request.tried_.size() < kMaxEndpointsTried &&
                      (!aIsRetry || entry.budget_.TryConsume());
--- a/Libraries/LibEntry/CallerService.cpp
+++ b/Libraries/LibEntry/CallerService.cpp
@@ -46,7 +46,7 @@
   arrival.secondRandom_ = random();
   const auto deadline = aContext.deadline();
   if (deadline != std::chrono::system_clock::time_point::max()) {
-    arrival.allowed_ = std::chrono::duration_cast<base::Duration>(
+    arrival.timeLeft_ = std::chrono::duration_cast<base::Duration>(
       deadline - std::chrono::system_clock::now());
   }
   return arrival;
@@ -73,23 +73,23 @@
   return MakeRefusal(aFailure, isTransient ? kRetryElsewhereMs : 0);
 }
 
-/// A partner and the ID of the job that it queries.
-struct JobQuery
+/// A partner and the ID of the job or request that its RPC names.
+struct JobTarget
 {
   std::string partner_;
   wire::JobId job_;
 };
 
-base::Result<JobQuery>
-CheckJobQuery(const EntryCore& aCore,
-              const grpc::CallbackServerContext& aContext,
-              const std::string& aKey)
+base::Result<JobTarget>
+CheckJobTarget(const EntryCore& aCore,
+               const grpc::CallbackServerContext& aContext,
+               const std::string& aKey)
 {
   const auto configuration = aCore.context_.configuration_.Current();
   BOOST_LEAF_AUTO(partner,
                   Authenticate(*configuration, AuthorizationOf(aContext)));
   BOOST_LEAF_AUTO(key, CheckKey(aKey));
-  return JobQuery{ partner->name(), base::MakeJobId(partner->name(), key) };
+  return JobTarget{ partner->name(), base::MakeJobId(partner->name(), key) };
 }
 
 /// Builds the status of a failed query. It doesn't state whether the job's
@@ -102,56 +102,57 @@
 
 /// Sends a request to the owner of the job's partition and finishes the unary
 /// RPC with its reply.
-template<typename Answer, typename Request, typename Fill>
+template<typename OwnerReply, typename Request, typename Fill>
 void
 ForwardToOwner(EntryCore& aCore,
                grpc::ServerUnaryReactor* aReactor,
-               const JobQuery& aJob,
+               const JobTarget& aJob,
                Request aRequest,
                Fill aFill)
 {
   aRequest.job_ = aJob.job_;
   aRequest.partner_ = aJob.partner_;
-  aCore.owners_->Call(
+  aCore.ownerCalls_->Call(
     aJob.job_,
     std::move(aRequest),
     CallerService::kOwnerTimeout,
-    [aReactor, aFill](OwnerCalls::Reply aReply) {
+    [aReactor, aFill](OwnerCalls::ReplyOrFailure aReply) {
       if (const auto* failure = std::get_if<Failure>(&aReply)) {
         aReactor->Finish(MakeQueryFailure(failure->code_, failure->detail_));
         return;
       }
-      const auto& answer = std::get<Answer>(std::get<wire::Message>(aReply));
-      if (answer.code_ != ResultCode::Ok) {
-        aReactor->Finish(MakeQueryFailure(answer.code_, {}));
+      const auto& ownerReply =
+        std::get<OwnerReply>(std::get<wire::Message>(aReply));
+      if (ownerReply.code_ != ResultCode::Ok) {
+        aReactor->Finish(MakeQueryFailure(ownerReply.code_, {}));
         return;
       }
-      aReactor->Finish(aFill(answer));
+      aReactor->Finish(aFill(ownerReply));
     });
 }
 
 /// Authenticates the partner and checks the key, then forwards the request to
 /// the owner; finishes the RPC if a check fails.
-template<typename Answer, typename Request, typename Fill>
+template<typename OwnerReply, typename Request, typename Fill>
 grpc::ServerUnaryReactor*
-HandleJobQuery(EntryCore& aCore,
-               grpc::CallbackServerContext* aContext,
-               const std::string& aKey,
-               Request aRequest,
-               Fill aFill)
+HandleJobTarget(EntryCore& aCore,
+                grpc::CallbackServerContext* aContext,
+                const std::string& aKey,
+                Request aRequest,
+                Fill aFill)
 {
   auto* reactor = aContext->DefaultReactor();
   auto checked =
-    base::Capture([&] { return CheckJobQuery(aCore, *aContext, aKey); });
+    base::Capture([&] { return CheckJobTarget(aCore, *aContext, aKey); });
   if (const auto* failure = std::get_if<Failure>(&checked)) {
     reactor->Finish(MakeQueryFailure(failure->code_, failure->detail_));
     return reactor;
   }
-  ForwardToOwner<Answer>(aCore,
-                         reactor,
-                         std::get<JobQuery>(checked),
-                         std::move(aRequest),
-                         std::move(aFill));
+  ForwardToOwner<OwnerReply>(aCore,
+                             reactor,
+                             std::get<JobTarget>(checked),
+                             std::move(aRequest),
+                             std::move(aFill));
   return reactor;
 }
 
@@ -221,13 +222,13 @@
   }
   auto& description = std::get<OnlineDescription>(described);
   const std::string key = description.record_.key_;
-  const std::uint64_t call = core_->online_->Start(
+  const std::uint64_t call = core_->onlineCalls_->Start(
     std::move(description), CallSink(stream, key, std::move(open)));
-  // OnCancel() may run on a gRPC thread during a write of another call, so the
-  // lock of OnlineCalls is only taken on a pool thread.
+  // gRPC may run OnCancel() inside a write that another call makes while
+  // holding the lock of OnlineCalls, so Cancel() is called on a pool thread.
   stream->SetHandlers({ [core = core_, call] {
                          core->context_.pool_.Post(
-                           [core, call] { core->online_->Cancel(call); });
+                           [core, call] { core->onlineCalls_->Cancel(call); });
                        },
                         {} });
   return reactor;
@@ -285,13 +286,13 @@
                       const caller::GetJobRequest* aRequest,
                       caller::JobStatus* aReply)
 {
-  return HandleJobQuery<wire::JobStatusReply>(
+  return HandleJobTarget<wire::JobStatusReply>(
     *core_,
     aContext,
     aRequest->job_key(),
     wire::GetJob{},
-    [aReply](const wire::JobStatusReply& aAnswer) {
-      *aReply = MakeJobStatus(aAnswer);
+    [aReply](const wire::JobStatusReply& aOwnerReply) {
+      *aReply = MakeJobStatus(aOwnerReply);
       return grpc::Status::OK;
     });
 }
@@ -303,14 +304,14 @@
   auto stream = ResultsReader::Stream::Make();
   auto* reactor = stream.get();
   auto checked = base::Capture(
-    [&] { return CheckJobQuery(*core_, *aContext, aRequest->job_key()); });
+    [&] { return CheckJobTarget(*core_, *aContext, aRequest->job_key()); });
   if (const auto* failure = std::get_if<Failure>(&checked)) {
     stream->Close(MakeQueryFailure(failure->code_, failure->detail_));
     return reactor;
   }
   auto reader = std::make_shared<ResultsReader>(
-    core_, stream, std::get<JobQuery>(checked).partner_, *aRequest);
-  stream->SetHandlers({ {}, [reader] { reader->OnDrained(); } });
+    core_, stream, std::get<JobTarget>(checked).partner_, *aRequest);
+  stream->SetHandlers({ {}, [reader] { reader->OnPageWritten(); } });
   reader->Fetch();
   return reactor;
 }
@@ -320,13 +321,13 @@
                          const caller::CancelJobRequest* aRequest,
                          caller::CancelJobReply* aReply)
 {
-  return HandleJobQuery<wire::JobStatusReply>(
+  return HandleJobTarget<wire::JobStatusReply>(
     *core_,
     aContext,
     aRequest->job_key(),
     wire::CancelJob{},
-    [aReply](const wire::JobStatusReply& aAnswer) {
-      *aReply->mutable_status() = MakeJobStatus(aAnswer);
+    [aReply](const wire::JobStatusReply& aOwnerReply) {
+      *aReply->mutable_status() = MakeJobStatus(aOwnerReply);
       return grpc::Status::OK;
     });
 }
@@ -338,7 +339,7 @@
 {
   wire::ReadResults request;
   request.limit_ = 1;
-  return HandleJobQuery<wire::ResultsPage>(
+  return HandleJobTarget<wire::ResultsPage>(
     *core_,
     aContext,
     aRequest->request_key(),
--- a/Libraries/LibEntry/EndpointRouter.cpp
+++ b/Libraries/LibEntry/EndpointRouter.cpp
@@ -33,7 +33,7 @@
 std::vector<EndpointRouter::Link>
 EndpointRouter::SetConfiguration(
   const configuration::Snapshot& aConfiguration,
-  const std::function<bool(const std::string&)>& aIsLeaving)
+  const std::function<bool(const std::string&)>& aIsDrained)
 {
   std::vector<Link> links;
   std::set<std::string, std::less<>> declared;
@@ -60,11 +60,11 @@
           service.name(),
           ServiceRoutes{
             routing::EndpointChooser(options_.failureDomain_, options_.policy_),
-            routing::RetryBudget(options_.retries_) })
+            routing::RetryBudget(options_.retryLimits_) })
         .first->second;
     routes.chooser_.SetEndpoints(chosen);
     for (const routing::EndpointDescription& endpoint : chosen) {
-      routes.chooser_.SetDrained(endpoint.name_, aIsLeaving(endpoint.name_));
+      routes.chooser_.SetDrained(endpoint.name_, aIsDrained(endpoint.name_));
     }
     base::Log(kSubsetChosen,
               { { "service", service.name() },
@@ -125,7 +125,7 @@
   }
   ServiceRoutes& routes = found->second;
   if (!aRequest.isRetry_) {
-    routes.budget_.RecordAttempt();
+    routes.budget_.RecordFirstAttempt();
   }
   const routing::ChoiceRequest requested{ aRequest.prefix_,
                                           aRequest.suspect_,
--- a/Libraries/LibEntry/EndpointRouter.h
+++ b/Libraries/LibEntry/EndpointRouter.h
@@ -48,7 +48,7 @@
     std::string failureDomain_;
     std::size_t subsetSize_ = 20;
     routing::Policy policy_ = routing::PowerOfTwoChoices{};
-    routing::RetryBudget::Limits retries_;
+    routing::RetryBudget::Limits retryLimits_;
     std::uint64_t seed_ = 0;
   };
 
@@ -65,12 +65,12 @@
   explicit EndpointRouter(Options aOptions);
 
   /// Applies the endpoints of a configuration.
-  /// @param aIsLeaving Returns whether an endpoint was drained by operators or
+  /// @param aIsDrained Returns whether an endpoint was drained by operators or
   /// is leaving according to the host list.
   /// @return the links to all endpoints in the subsets.
   std::vector<Link> SetConfiguration(
     const configuration::Snapshot& aConfiguration,
-    const std::function<bool(const std::string&)>& aIsLeaving);
+    const std::function<bool(const std::string&)>& aIsDrained);
 
   void SetDrained(const std::string& aEndpoint, bool aIsDrained);
   void OnLinkState(const std::string& aEndpoint, wire::LinkState aState);
@@ -91,7 +91,7 @@
                base::Instant aNow);
 
   /// @return whether the service is declared and at least one of its endpoints
-  /// is linked and not draining.
+  /// is linked and neither drained nor draining.
   [[nodiscard]] bool HasEligible(std::string_view aService) const;
 
 private:
--- a/Libraries/LibEntry/EntryCore.h
+++ b/Libraries/LibEntry/EntryCore.h
@@ -13,8 +13,8 @@
 /// State shared by the gRPC services of one entry.
 struct EntryCore
 {
-  /// Maximum number of open RPCs that carry work. Each keeps its prompt and its
-  /// answer in memory.
+  /// Maximum number of open calls and job submissions (openCalls_). Each keeps
+  /// its prompt and its answer in memory.
   static constexpr int kMaxOpenCalls = 8192;
 
   explicit EntryCore(node::Context aContext)
@@ -23,12 +23,12 @@
   }
 
   node::Context context_;
-  std::shared_ptr<OnlineCalls> online_;
-  std::shared_ptr<OwnerCalls> owners_;
+  std::shared_ptr<OnlineCalls> onlineCalls_;
+  std::shared_ptr<OwnerCalls> ownerCalls_;
   SpoolBudget spoolBudget_;
   std::atomic<bool> draining_{ false };
-  /// Open RPCs that a shutdown would interrupt. ReadResults isn't counted: it
-  /// can be resumed at any entry.
+  /// Open Call, CallService and SubmitJob RPCs, which a shutdown would
+  /// interrupt. ReadResults can be resumed at any entry.
   std::atomic<int> openCalls_{ 0 };
 };
 
--- a/Libraries/LibEntry/EntryFunction.cpp
+++ b/Libraries/LibEntry/EntryFunction.cpp
@@ -47,7 +47,7 @@
 }
 
 EndpointRouter::Options
-MakeRouting(const settings::Settings& aSettings)
+MakeRouterOptions(const settings::Settings& aSettings)
 {
   const settings::EntrySettings& entry = aSettings.entry();
   EndpointRouter::Options options;
@@ -56,9 +56,9 @@
   options.subsetSize_ =
     entry.subset_size() == 0 ? kDefaultSubsetSize : entry.subset_size();
   options.policy_ = ToPolicy(entry.routing());
-  options.retries_.share_ =
+  options.retryLimits_.share_ =
     entry.retry_share() == 0.0 ? kDefaultRetryShare : entry.retry_share();
-  options.retries_.burst_ =
+  options.retryLimits_.burst_ =
     entry.retry_burst() == 0 ? kDefaultRetryBurst : entry.retry_burst();
   options.seed_ = std::random_device{}();
   return options;
@@ -92,18 +92,19 @@
   aCore->context_.configuration_.Subscribe(
     [weak](const configuration::ConfigurationCache::SnapshotPointer& aNew) {
       if (const auto core = weak.lock()) {
-        core->online_->OnConfiguration(*aNew);
+        core->onlineCalls_->OnConfiguration(*aNew);
       }
     });
   aCore->context_.hosts_.Subscribe(
     [weak](const platform::HostDirectory::Snapshot& aNew) {
       if (const auto core = weak.lock()) {
-        core->online_->OnHostList(*aNew);
+        core->onlineCalls_->OnHostList(*aNew);
       }
     });
-  aCore->online_->OnConfiguration(*aCore->context_.configuration_.Current());
+  aCore->onlineCalls_->OnConfiguration(
+    *aCore->context_.configuration_.Current());
   if (const auto hosts = aCore->context_.hosts_.Current()) {
-    aCore->online_->OnHostList(*hosts);
+    aCore->onlineCalls_->OnHostList(*hosts);
   }
 }
 
@@ -136,8 +137,8 @@
   aBuilder.AddChannelArgument(
     GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS,
     kMinClientPingIntervalMs);
-  // Without this, two processes could listen on the same port and split the
-  // callers.
+  // Without this, two processes could listen on the same port and each would
+  // get only some of the connections.
   aBuilder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
 }
 
@@ -148,10 +149,10 @@
 {
   auto state = std::make_unique<State>(aContext);
   EntryCore& core = *state->core_;
-  core.online_ =
-    std::make_shared<OnlineCalls>(aContext, MakeRouting(aContext.settings_));
-  core.owners_ = std::make_shared<OwnerCalls>(aContext);
-  core.owners_->Start();
+  core.onlineCalls_ = std::make_shared<OnlineCalls>(
+    aContext, MakeRouterOptions(aContext.settings_));
+  core.ownerCalls_ = std::make_shared<OwnerCalls>(aContext);
+  core.ownerCalls_->Start();
   SubscribeToUpdates(state->core_);
   AddGauges(state->core_);
 
@@ -187,21 +188,21 @@
 EntryFunction::OnMessage(const std::string& aPeer,
                          const wire::Message& aMessage)
 {
-  state_->core_->online_->OnMessage(aPeer, aMessage);
-  state_->core_->owners_->OnMessage(aMessage);
+  state_->core_->onlineCalls_->OnMessage(aPeer, aMessage);
+  state_->core_->ownerCalls_->OnMessage(aMessage);
 }
 
 void
 EntryFunction::OnLinkState(const std::string& aPeer, wire::LinkState aState)
 {
-  state_->core_->online_->OnLinkState(aPeer, aState);
-  state_->core_->owners_->OnLinkState(aPeer, aState);
+  state_->core_->onlineCalls_->OnLinkState(aPeer, aState);
+  state_->core_->ownerCalls_->OnLinkState(aPeer, aState);
 }
 
 bool
 EntryFunction::HasRun(const wire::RunId& aRun) const
 {
-  return state_->core_->online_->HasJob(aRun.job_);
+  return state_->core_->onlineCalls_->HasJob(aRun.job_);
 }
 
 void
@@ -219,17 +220,17 @@
   if (core.draining_.exchange(true)) {
     return;
   }
-  base::Log(
-    kEntryDraining,
-    { { "calls", core.online_->Count() }, { "open", core.openCalls_.load() } });
+  base::Log(kEntryDraining,
+            { { "calls", core.onlineCalls_->Count() },
+              { "open", core.openCalls_.load() } });
 }
 
 bool
 EntryFunction::IsIdle() const
 {
   const EntryCore& core = *state_->core_;
-  return core.openCalls_ == 0 && core.online_->Count() == 0 &&
-         core.owners_->Count() == 0;
+  return core.openCalls_ == 0 && core.onlineCalls_->Count() == 0 &&
+         core.ownerCalls_->Count() == 0;
 }
 
 node::Readiness
@@ -254,8 +255,9 @@
 EntryFunction::Stop()
 {
   if (state_->server_ != nullptr) {
-    // gRPC waits for all RPCs, including those that wait for an owner.
-    state_->core_->owners_->Stop();
+    // Shutdown() waits for all RPCs, so those that wait for an owner are failed
+    // first.
+    state_->core_->ownerCalls_->Stop();
     state_->server_->Shutdown(std::chrono::system_clock::now() +
                               kShutdownTimeout);
     state_->server_->Wait();
--- a/Libraries/LibEntry/EntryFunction.h
+++ b/Libraries/LibEntry/EntryFunction.h
@@ -25,8 +25,8 @@
   void OnMessage(const std::string& aPeer, const wire::Message& aMessage);
   void OnLinkState(const std::string& aPeer, wire::LinkState aState);
 
-  /// @return whether the run belongs to this entry; otherwise its end is for
-  /// the keeper.
+  /// @return whether this entry has, or recently had, a call for the run's
+  /// request. If not, RunEnded must be passed to the keeper in this process.
   [[nodiscard]] bool HasRun(const wire::RunId& aRun) const;
 
   /// Adds this role's fields to the next heartbeat to a peer.
@@ -36,7 +36,7 @@
   /// Refuses new requests from now on. Open requests are finished.
   void BeginDrain();
 
-  /// @return whether a shutdown would interrupt nothing.
+  /// @return whether no call is open, so that a shutdown interrupts nothing.
   [[nodiscard]] bool IsIdle() const;
   [[nodiscard]] node::Readiness GetReadiness() const;
 
--- a/Libraries/LibEntry/Events.h
+++ b/Libraries/LibEntry/Events.h
@@ -17,7 +17,7 @@
   7002,
   "not_routed",
   LogLevel::Warning,
-  "No endpoint was available for a request."
+  "No endpoint was chosen for a request; the code gives the reason."
 };
 inline constexpr base::Event kSubsetChosen{
   7003,
@@ -25,7 +25,7 @@
   LogLevel::Info,
   "The subset of a service's endpoints that this host connects to was chosen."
 };
-inline constexpr base::Event kCallRefused{
+inline constexpr base::Event kCallFailed{
   7004,
   "call_refused",
   LogLevel::Info,
@@ -63,8 +63,8 @@
   7010,
   "operator_order",
   LogLevel::Info,
-  "An operator changed the configuration, drained or returned a host, or "
-  "lifted a quarantine."
+  "An operator changed the configuration, drained a host or returned it to "
+  "service, or lifted a quarantine."
 };
 
 } // namespace pumiceturn::entry
--- a/Libraries/LibEntry/JobReceiver.cpp
+++ b/Libraries/LibEntry/JobReceiver.cpp
@@ -83,10 +83,10 @@
     }
     const auto configuration = core_->context_.configuration_.Current();
     BOOST_LEAF_AUTO(
-      terms,
+      checkedHeader,
       DescribeJob(
         *configuration, partner_, message_.header(), base::WallNow()));
-    spool_.emplace(std::move(terms), core_->spoolBudget_);
+    spool_.emplace(std::move(checkedHeader), core_->spoolBudget_);
     return {};
   }
   if (!message_.has_item()) {
@@ -121,7 +121,7 @@
     if (!spool_.has_value()) {
       return base::Fail(ResultCode::InvalidRequest, "the job has no header");
     }
-    return spool_->Seal();
+    return spool_->Complete();
   });
   if (const auto* failure = std::get_if<base::Failure>(&outcome)) {
     Refuse(*failure, Ran::NotRun);
@@ -139,19 +139,20 @@
   wire::SubmitFrame frame = spool_->MakeFrame(nextItem_);
   const auto next = nextItem_ + static_cast<std::uint32_t>(frame.items_.size());
   const bool isLast = frame.last_;
-  core_->owners_->Call(
-    spool_->Job().id_,
-    std::move(frame),
-    kFrameTimeout,
-    [self = shared_from_this(), next, isLast](OwnerCalls::Reply aReply) {
-      self->OnFrameReply(next, isLast, std::move(aReply));
-    });
+  core_->ownerCalls_->Call(spool_->Job().id_,
+                           std::move(frame),
+                           kFrameTimeout,
+                           [self = shared_from_this(), next, isLast](
+                             OwnerCalls::ReplyOrFailure aReply) {
+                             self->OnFrameReply(
+                               next, isLast, std::move(aReply));
+                           });
 }
 
 void
 JobReceiver::OnFrameReply(std::uint32_t aNext,
                           bool aIsLast,
-                          OwnerCalls::Reply aReply)
+                          OwnerCalls::ReplyOrFailure aReply)
 {
   if (const auto* failure = std::get_if<base::Failure>(&aReply)) {
     Refuse(*failure, aIsLast ? Ran::Unknown : Ran::NotRun);
@@ -160,8 +161,8 @@
   const auto& reply =
     std::get<wire::SubmitReply>(std::get<wire::Message>(aReply));
   // After a takeover the new owner may lack frames that were not yet durable.
-  // The job is sent again from the start; the owner doesn't write frames twice
-  // that it already has.
+  // The job is sent again from the start; the owner doesn't write again the
+  // frames that it already has.
   const bool isMissingFrames =
     reply.code_ == ResultCode::InvalidRequest && nextItem_ > 0;
   if (isMissingFrames && restarts_ < kMaxRestarts) {
--- a/Libraries/LibEntry/JobReceiver.h
+++ b/Libraries/LibEntry/JobReceiver.h
@@ -23,9 +23,10 @@
 public:
   /// Timeout of one frame; longer than a takeover of the partition.
   static constexpr base::Duration kFrameTimeout{ std::chrono::seconds{ 20 } };
+  /// How often the job may be sent again from its first item after a takeover.
   static constexpr std::uint32_t kMaxRestarts = 3;
-  /// How long to wait for OnCancel() after a failed read, which may also mean a
-  /// broken connection.
+  /// How long to wait for OnCancel() after a failed read, which means either
+  /// the end of the items or a broken connection.
   static constexpr base::Duration kCancelGracePeriod{ std::chrono::milliseconds{
     20 } };
 
@@ -54,7 +55,7 @@
   void SendFrame();
   void OnFrameReply(std::uint32_t aNext,
                     bool aIsLast,
-                    OwnerCalls::Reply aReply);
+                    OwnerCalls::ReplyOrFailure aReply);
   void Refuse(const base::Failure& aFailure, base::Ran aRan);
   void Accept(const wire::SubmitReply& aReply);
   bool IsFinished();
--- a/Libraries/LibEntry/JobSpool.cpp
+++ b/Libraries/LibEntry/JobSpool.cpp
@@ -19,11 +19,12 @@
 constexpr std::size_t kReservationStep = std::size_t{ 1 } << 20U;
 
 /// Seed of the second digest. Both digests together form the key of a job
-/// without one.
+/// without one. Arbitrary but not 0; keys are derived from it, so it must not
+/// change.
 constexpr std::uint64_t kSecondSeed = 0x6C6F74;
 
 std::uint64_t
-HashTerms(const wire::JobDescription& aJob, std::uint64_t aSeed)
+HashHeader(const wire::JobDescription& aJob, std::uint64_t aSeed)
 {
   return base::HashBytes(
     fmt::format("{}/{}/{}", aJob.service_, aJob.kind_, aJob.maxTokens_), aSeed);
@@ -47,11 +48,11 @@
   reserved_.fetch_sub(aBytes);
 }
 
-JobSpool::JobSpool(JobTerms aTerms, SpoolBudget& aBudget)
-  : terms_(std::move(aTerms))
+JobSpool::JobSpool(CheckedJobHeader aHeader, SpoolBudget& aBudget)
+  : header_(std::move(aHeader))
   , budget_(aBudget)
-  , digest_(HashTerms(terms_.job_, 0))
-  , secondDigest_(HashTerms(terms_.job_, kSecondSeed))
+  , digest_(HashHeader(header_.job_, 0))
+  , secondDigest_(HashHeader(header_.job_, kSecondSeed))
 {
 }
 
@@ -63,18 +64,19 @@
 base::Result<void>
 JobSpool::Add(std::string_view aName, std::string_view aPayload)
 {
-  const std::uint32_t item = terms_.job_.itemCount_;
-  if (aPayload.size() > terms_.maxItemBytes_ || aName.size() > kMaxKeyBytes) {
+  const std::uint32_t item = header_.job_.itemCount_;
+  if (aPayload.size() > header_.maxItemBytes_ || aName.size() > kMaxKeyBytes) {
     return Fail(ResultCode::ItemTooLarge,
-                fmt::format("item {}: {} bytes exceed the limit of {}",
+                fmt::format("item {}: the name is too long, or the {} bytes of "
+                            "content exceed the limit of {}",
                             item,
                             aPayload.size(),
-                            terms_.maxItemBytes_));
+                            header_.maxItemBytes_));
   }
-  if (item >= terms_.maxItems_) {
+  if (item >= header_.maxItems_) {
     return Fail(
       ResultCode::TooManyItems,
-      fmt::format("the job has more than {} items", terms_.maxItems_));
+      fmt::format("the job has more than {} items", header_.maxItems_));
   }
   const std::size_t size = content_.size() + aName.size() + aPayload.size() +
                            (2 * sizeof(std::uint32_t));
@@ -97,22 +99,22 @@
   digest_ = base::HashBytes(aPayload, base::HashBytes(aName, digest_));
   secondDigest_ =
     base::HashBytes(aPayload, base::HashBytes(aName, secondDigest_));
-  ++terms_.job_.itemCount_;
+  ++header_.job_.itemCount_;
   return {};
 }
 
 base::Result<void>
-JobSpool::Seal()
+JobSpool::Complete()
 {
-  wire::JobDescription& job = terms_.job_;
+  wire::JobDescription& job = header_.job_;
   if (job.itemCount_ == 0) {
     return Fail(ResultCode::InvalidRequest, "the job has no items");
   }
-  if (terms_.declaredItems_ != 0 && terms_.declaredItems_ != job.itemCount_) {
+  if (header_.declaredItems_ != 0 && header_.declaredItems_ != job.itemCount_) {
     return Fail(ResultCode::InvalidRequest,
                 fmt::format("received {} items, but the header declares {}",
                             job.itemCount_,
-                            terms_.declaredItems_));
+                            header_.declaredItems_));
   }
   job.digest_ = digest_;
   if (job.key_.empty()) {
@@ -134,7 +136,7 @@
     ++next_.item_;
   }
   wire::SubmitFrame frame;
-  frame.job_ = terms_.job_;
+  frame.job_ = header_.job_;
   frame.firstItem_ = aFirstItem;
   std::size_t bytes = 0;
   while (next_.offset_ < content_.size() &&
--- a/Libraries/LibEntry/JobSpool.h
+++ b/Libraries/LibEntry/JobSpool.h
@@ -40,22 +40,23 @@
   static constexpr std::size_t kMaxFrameItems = 2048;
 
   /// @param aBudget Must outlive the spool.
-  JobSpool(JobTerms aTerms, SpoolBudget& aBudget);
+  JobSpool(CheckedJobHeader aHeader, SpoolBudget& aBudget);
   ~JobSpool();
   JobSpool(const JobSpool&) = delete;
   JobSpool& operator=(const JobSpool&) = delete;
 
   /// Appends an item.
-  /// @return ItemTooLarge, TooManyItems or Overloaded; the whole job must then
-  /// be refused.
+  /// Fails with ItemTooLarge, TooManyItems or Overloaded; the whole job must
+  /// then be refused.
   base::Result<void> Add(std::string_view aName, std::string_view aPayload);
 
-  /// Ends the job and sets its digest, key and ID.
-  /// @return InvalidRequest if the job has no items, or not as many as its
-  /// header declares, for example after a broken connection.
-  base::Result<void> Seal();
+  /// Completes the job after its last item: sets its digest, ID and, if the
+  /// caller gave none, its key. Fails with InvalidRequest if the job has no
+  /// items, or not as many as its header declares, for example after a broken
+  /// connection.
+  base::Result<void> Complete();
 
-  [[nodiscard]] const wire::JobDescription& Job() const { return terms_.job_; }
+  [[nodiscard]] const wire::JobDescription& Job() const { return header_.job_; }
 
   /// @param aFirstItem Index of the first item; the number of items in all
   /// earlier frames.
@@ -73,7 +74,7 @@
   void Append(std::string_view aPart);
   std::string_view ReadPart(std::size_t& aOffset) const;
 
-  JobTerms terms_;
+  CheckedJobHeader header_;
   SpoolBudget& budget_;
   std::size_t reserved_ = 0;
   std::string content_;
--- a/Libraries/LibEntry/MessageStream.h
+++ b/Libraries/LibEntry/MessageStream.h
@@ -16,8 +16,8 @@
 
 /// Streams messages to one caller through gRPC's callback API. Messages are
 /// queued and written in order; no thread blocks. Owns itself until gRPC calls
-/// OnDone(). Thread-safe. No other lock is taken and gRPC isn't called while
-/// its lock is held.
+/// OnDone(). Thread-safe. While the stream's lock is held, no other lock is
+/// taken and gRPC isn't called.
 template<typename Message>
 class MessageStream final : public grpc::ServerWriteReactor<Message>
 {
@@ -26,7 +26,7 @@
   {
     /// The caller cancelled; called at most once.
     std::function<void()> cancelled_;
-    std::function<void()> drained_; ///< All queued messages were written.
+    std::function<void()> allWritten_; ///< All queued messages were written.
   };
 
   static std::shared_ptr<MessageStream> Make()
@@ -46,8 +46,8 @@
     PushAll(std::move(one));
   }
 
-  /// Queues several messages at once; drained_ isn't called before the last one
-  /// is written.
+  /// Queues several messages at once; allWritten_ isn't called before the last
+  /// one is written.
   void PushAll(std::vector<Message> aMessages)
   {
     {
@@ -82,18 +82,18 @@
 
   void OnWriteDone(bool aIsOk) override
   {
-    bool isDrained = false;
+    bool isAllWritten = false;
     {
       const std::lock_guard lock(mutex_);
       isWriting_ = false;
       if (!aIsOk) {
         queue_.clear();
       }
-      isDrained = aIsOk && queue_.empty() && !closing_.has_value();
+      isAllWritten = aIsOk && queue_.empty() && !closing_.has_value();
     }
     WriteNext();
-    if (isDrained && handlers_.drained_) {
-      handlers_.drained_();
+    if (isAllWritten && handlers_.allWritten_) {
+      handlers_.allWritten_();
     }
   }
 
--- a/Libraries/LibEntry/OnlineAction.h
+++ b/Libraries/LibEntry/OnlineAction.h
@@ -12,24 +12,26 @@
 
 /// An online request after its checks, with its derived key, IDs and limits.
 struct OnlineDescription
-/// Sent to the owner; contains the payload.
 {
+  /// The message sent to the owner; contains the payload.
   wire::RecordRequest record_;
   base::Instant deadline_;
-  bool streamed_ = true; ///< Whether the caller wants chunks.
-  /// Maximum number of runs that may have begun.
+  bool isStreaming_ =
+    true; ///< Whether the text is sent to the caller in chunks.
+  /// Maximum number of runs, not counting refused ones.
   std::uint32_t maxAttempts_ = 2;
   base::Duration backoff_{ std::chrono::milliseconds{ 20 } };
   std::uint64_t fingerprint_ = 0;
   std::uint64_t prefix_ = 0;
   bool quarantined_ = false;
-  /// Random bits. The upper half is part of the run IDs, so that two entries
-  /// never use the same ID for runs of one request; all bits seed the jitter.
+  /// Random bits. Some of the upper 32 are part of the run IDs, so that two
+  /// entries don't use the same ID for runs of one request; all bits seed the
+  /// jitter.
   std::uint64_t random_ = 0;
 };
 
-/// Sends a message to the owner of the request's partition. Answered by
-/// OnOwnerSent() or OnOwnerUnreachable().
+/// Sends a message to the owner of the request's partition. The executor then
+/// calls OnOwnerSent() or OnOwnerUnreachable().
 struct SendToOwner
 {
   wire::Message message_;
@@ -41,25 +43,27 @@
   wire::Message message_;
 };
 
-/// Requests an endpoint. Answered by OnEndpoint() or OnNoEndpoint().
+/// Requests an endpoint. The executor then calls OnEndpoint() or
+/// OnNoEndpoint().
 struct ChooseEndpoint
-/// Consumes one retry of the budget.
 {
+  /// Consumes one retry of the budget if an endpoint is available.
   bool isRetry_ = false;
 };
 
-/// A run is no longer in flight at its endpoint.
-struct RunReleased
+/// Tells the router that a run at this endpoint ended.
+struct ReportRunEnd
 {
   std::string endpoint_;
   routing::RunOutcome outcome_ = routing::RunOutcome::Abandoned;
 };
 
-/// Quarantines the request's content, which has crashed several endpoints.
+/// Quarantines the request's content, which has crashed two endpoints.
 struct QuarantineContent
 {};
 
-/// The record is durable and the first text has arrived.
+/// Tells the caller that its request is durable. Sent before the first chunk or
+/// the result, or when the request turns out to be a duplicate.
 struct EmitAccepted
 {
   bool duplicate_ = false;
@@ -78,6 +82,7 @@
   wire::ItemResult result_;
   bool duplicate_ = false;
   bool isTextStreamed_ = false; ///< The chunks sent contain the whole text.
+  /// The result's text differs from the chunks sent and replaces them.
   bool replacesChunks_ = false;
   std::string endpoint_;
 };
@@ -94,7 +99,7 @@
 using OnlineAction = std::variant<SendToOwner,
                                   SendToEndpoint,
                                   ChooseEndpoint,
-                                  RunReleased,
+                                  ReportRunEnd,
                                   QuarantineContent,
                                   EmitAccepted,
                                   EmitChunk,
--- a/Libraries/LibEntry/OnlineCalls.cpp
+++ b/Libraries/LibEntry/OnlineCalls.cpp
@@ -43,7 +43,7 @@
                                    "Online calls accepted after their checks."))
   , retries_(aContext.metrics_.GetCounter("pumiceturn_call_retries_total",
                                           "Additional runs of online calls."))
-  , refused_(
+  , failed_(
       aContext.metrics_.GetCounter("pumiceturn_calls_failed_total",
                                    "Online calls without a durable result."))
   , firstToken_(aContext.metrics_.GetHistogram(
@@ -120,13 +120,13 @@
   const base::Instant now = base::MonotonicNow();
   router_.OnLinkState(aPeer, aState);
   if (aState == wire::LinkState::Up) {
-    const auto orphans = orphanedRuns_.find(aPeer);
-    if (orphans != orphanedRuns_.end()) {
-      for (const wire::RunId& run : orphans->second) {
+    const auto uncancelled = uncancelledRuns_.find(aPeer);
+    if (uncancelled != uncancelledRuns_.end()) {
+      for (const wire::RunId& run : uncancelled->second) {
         context_.links_.Send(aPeer, wire::CancelRun{ run });
       }
-      orphanedRunCount_ -= orphans->second.size();
-      orphanedRuns_.erase(orphans);
+      uncancelledRunCount_ -= uncancelled->second.size();
+      uncancelledRuns_.erase(uncancelled);
     }
   }
   std::vector<std::uint64_t> numbers;
@@ -157,19 +157,19 @@
   drainedByOperators_ = { drained.begin(), drained.end() };
   const auto links = router_.SetConfiguration(
     aConfiguration,
-    [this](const std::string& aEndpoint) { return IsLeaving(aEndpoint); });
+    [this](const std::string& aEndpoint) { return IsDrained(aEndpoint); });
   std::map<std::string, std::string> wanted;
   for (const EndpointRouter::Link& link : links) {
     wanted.emplace(link.endpoint_, link.address_);
-    const auto known = linked_.find(link.endpoint_);
-    if (known == linked_.end() || known->second != link.address_) {
+    const auto known = linkAddresses_.find(link.endpoint_);
+    if (known == linkAddresses_.end() || known->second != link.address_) {
       context_.links_.Connect(link.endpoint_, link.address_);
     }
     if (context_.links_.IsUp(link.endpoint_)) {
       router_.OnLinkState(link.endpoint_, wire::LinkState::Up);
     }
   }
-  for (const auto& [endpoint, address] : linked_) {
+  for (const auto& [endpoint, address] : linkAddresses_) {
     // An endpoint that is still declared may also be linked by the keeper in
     // this process.
     const bool isGone = !wanted.contains(endpoint) &&
@@ -178,7 +178,7 @@
       context_.links_.Disconnect(endpoint);
     }
   }
-  linked_ = std::move(wanted);
+  linkAddresses_ = std::move(wanted);
 }
 
 void
@@ -191,8 +191,8 @@
       leavingByHostList_.insert(host.name());
     }
   }
-  for (const auto& [endpoint, address] : linked_) {
-    router_.SetDrained(endpoint, IsLeaving(endpoint));
+  for (const auto& [endpoint, address] : linkAddresses_) {
+    router_.SetDrained(endpoint, IsDrained(endpoint));
   }
 }
 
@@ -211,7 +211,7 @@
 }
 
 bool
-OnlineCalls::HasRun(const wire::RunId& aRun) const
+OnlineCalls::HasEntryRun(const wire::RunId& aRun) const
 {
   if (!OnlineRequest::IsEntryAttempt(aRun.attempt_)) {
     return false;
@@ -231,7 +231,7 @@
 OnlineCalls::Handle(const std::string& aPeer, const wire::Heartbeat& aMessage)
 {
   const base::Instant now = base::MonotonicNow();
-  // A link that came up during startup was not reported to this object.
+  // If the link came up during startup, OnLinkState() wasn't called for it.
   if (context_.links_.IsUp(aPeer)) {
     router_.OnLinkState(aPeer, wire::LinkState::Up);
   }
@@ -259,7 +259,7 @@
   for (const std::uint64_t call : CallsOf(job)) {
     ActiveCall& active = calls_.at(call);
     if (active.request_.Endpoint() != aPeer) {
-      active.staleRuns_.push_back(StaleRun{ aPeer, aMessage.run_ });
+      active.earlierRuns_.push_back(EarlierRun{ aPeer, aMessage.run_ });
     }
   }
   ApplyToJob(job, [&](OnlineRequest& aRequest) {
@@ -332,7 +332,7 @@
 OnlineCalls::ExecuteActions(std::uint64_t aCall, ActiveCall& aActive)
 {
   while (true) {
-    std::deque<OnlineAction> actions = aActive.request_.DrainActions();
+    std::deque<OnlineAction> actions = aActive.request_.TakeActions();
     if (actions.empty()) {
       break;
     }
@@ -343,7 +343,7 @@
   if (aActive.request_.IsDone()) {
     Remove(aCall, aActive);
   } else {
-    ScheduleWake(aCall, aActive);
+    ScheduleTimer(aCall, aActive);
   }
 }
 
@@ -351,8 +351,8 @@
 OnlineCalls::Remove(std::uint64_t aCall, ActiveCall& aActive)
 {
   const wire::JobId job = aActive.request_.Description().record_.job_;
-  if (aActive.request_.IsRecorded() && finishedJobs_.insert(job).second) {
-    for (const StaleRun& stale : aActive.staleRuns_) {
+  if (aActive.request_.IsResultDurable() && finishedJobs_.insert(job).second) {
+    for (const EarlierRun& stale : aActive.earlierRuns_) {
       context_.links_.Send(stale.endpoint_, wire::RunRecorded{ stale.run_ });
     }
     finishedJobOrder_.push_back(job);
@@ -369,9 +369,9 @@
 }
 
 void
-OnlineCalls::ScheduleWake(std::uint64_t aCall, ActiveCall& aActive)
+OnlineCalls::ScheduleTimer(std::uint64_t aCall, ActiveCall& aActive)
 {
-  const auto wake = aActive.request_.NextWake();
+  const auto wake = aActive.request_.NextTimer();
   const bool isScheduled = !wake.has_value() || (aActive.wakeAt_.has_value() &&
                                                  *aActive.wakeAt_ <= *wake);
   if (isScheduled) {
@@ -380,13 +380,13 @@
   aActive.wakeAt_ = wake;
   context_.pool_.PostAt(*wake, [self = weak_from_this(), aCall, time = *wake] {
     if (const auto calls = self.lock()) {
-      calls->OnWake(aCall, time);
+      calls->OnCallTimer(aCall, time);
     }
   });
 }
 
 void
-OnlineCalls::OnWake(std::uint64_t aCall, base::Instant aTime)
+OnlineCalls::OnCallTimer(std::uint64_t aCall, base::Instant aTime)
 {
   const std::lock_guard lock(mutex_);
   const auto found = calls_.find(aCall);
@@ -438,9 +438,9 @@
   if (isStart) {
     aActive.request_.OnStartNotSent(aAction.endpoint_, base::MonotonicNow());
   }
-  if (isCancel && orphanedRunCount_ < kMaxOrphanedRuns) {
-    orphanedRuns_[aAction.endpoint_].push_back(cancelled);
-    ++orphanedRunCount_;
+  if (isCancel && uncancelledRunCount_ < kMaxUncancelledRuns) {
+    uncancelledRuns_[aAction.endpoint_].push_back(cancelled);
+    ++uncancelledRunCount_;
   }
 }
 
@@ -486,7 +486,7 @@
               { "other", choice.other_ },
               { "other_load", choice.otherLoad_ },
               { "report_age_ms", age },
-              { "attempt", aActive.request_.Attempt() + 1 },
+              { "attempt", aActive.request_.RunCount() + 1 },
               { "suspect", aActive.suspect_ } });
   if (aAction.isRetry_) {
     retries_.Add();
@@ -497,7 +497,7 @@
 }
 
 void
-OnlineCalls::Execute(ActiveCall& aActive, RunReleased& aAction)
+OnlineCalls::Execute(ActiveCall& aActive, ReportRunEnd& aAction)
 {
   router_.OnEnded(aActive.request_.Description().record_.service_,
                   aAction.endpoint_,
@@ -510,8 +510,8 @@
 OnlineCalls::Execute(ActiveCall& aActive, QuarantineContent& /*aAction*/)
 {
   const std::uint64_t fingerprint = aActive.request_.Description().fingerprint_;
-  // The crashes may already have been merged from agents' heartbeats, or the
-  // entry may have been lifted.
+  // The crashes may already have been merged from agents' heartbeats, or an
+  // operator may have lifted the quarantine.
   const base::Instant now = base::MonotonicNow();
   const std::array fingerprints{ fingerprint };
   while (context_.quarantine_.Check(fingerprint, now) !=
@@ -550,9 +550,9 @@
 void
 OnlineCalls::Execute(ActiveCall& aActive, EmitFailed& aAction)
 {
-  refused_.Add();
+  failed_.Add();
   const wire::RecordRequest& record = aActive.request_.Description().record_;
-  base::Log(kCallRefused,
+  base::Log(kCallFailed,
             { { "request", base::ToString(record.job_) },
               { "partner", record.partner_ },
               { "service", record.service_ },
@@ -564,7 +564,7 @@
 }
 
 bool
-OnlineCalls::IsLeaving(const std::string& aEndpoint) const
+OnlineCalls::IsDrained(const std::string& aEndpoint) const
 {
   return drainedByOperators_.contains(aEndpoint) ||
          leavingByHostList_.contains(aEndpoint);
--- a/Libraries/LibEntry/OnlineCalls.h
+++ b/Libraries/LibEntry/OnlineCalls.h
@@ -21,9 +21,10 @@
 
 namespace pumiceturn::entry {
 
-/// The online calls of this entry. Executes the actions of each OnlineRequest
-/// using links and timers. Thread-safe; a single lock protects all calls and
-/// the routing table, since each event takes a few microseconds.
+/// The online calls of this entry. An online request is a job of one item; its
+/// JobId identifies it. Executes the actions of each OnlineRequest using links
+/// and timers. Thread-safe; a single lock protects all calls and the routing
+/// state, since each event takes a few microseconds.
 class OnlineCalls : public std::enable_shared_from_this<OnlineCalls>
 {
 public:
@@ -31,11 +32,12 @@
   /// held: must neither block nor call OnlineCalls.
   using Sink = std::function<void(OnlineAction aEmission)>;
 
-  /// Maximum number of runs to be cancelled when the link to their unreachable
-  /// endpoint is up again.
-  static constexpr std::size_t kMaxOrphanedRuns = 1024;
-  /// Maximum number of remembered jobs whose result is durable. The agents of
-  /// late runs are notified that they can release them.
+  /// Maximum number of runs whose cancellation waits until the link to their
+  /// endpoint is up again; further ones aren't cancelled.
+  static constexpr std::size_t kMaxUncancelledRuns = 1024;
+  /// Maximum number of finished requests that are remembered. An agent that
+  /// reports the end of such a request's run later is told to forget the run:
+  /// it gets RunRecorded.
   static constexpr std::size_t kMaxFinishedJobs = 4096;
 
   OnlineCalls(node::Context aContext, EndpointRouter::Options aRouting);
@@ -54,9 +56,9 @@
 
   [[nodiscard]] std::size_t Count() const;
 
-  /// @return whether an entry numbered this run and its job is active here or
-  /// finished recently.
-  [[nodiscard]] bool HasRun(const wire::RunId& aRun) const;
+  /// @return whether the run's attempt number was assigned by an entry and
+  /// HasJob() holds.
+  [[nodiscard]] bool HasEntryRun(const wire::RunId& aRun) const;
 
   /// @return whether this entry has a call for the job or recently finished
   /// one.
@@ -66,7 +68,7 @@
   [[nodiscard]] std::map<std::string, wire::Heartbeat> Heartbeats() const;
 
 private:
-  struct StaleRun
+  struct EarlierRun
   {
     std::string endpoint_;
     wire::RunId run_;
@@ -75,12 +77,13 @@
   {
     OnlineRequest request_;
     Sink sink_;
-    std::string owner_; ///< Host that received the last message for the owner.
+    /// Host to which the last message for the owner was addressed.
+    std::string owner_;
     bool suspect_ = false;
     base::Instant startedAt_;
     std::optional<base::Instant> wakeAt_;
     bool hasStreamed_ = false;
-    std::vector<StaleRun> staleRuns_;
+    std::vector<EarlierRun> earlierRuns_;
   };
 
   using Calls = std::unordered_map<std::uint64_t, ActiveCall>;
@@ -102,20 +105,20 @@
 
   void ExecuteActions(std::uint64_t aCall, ActiveCall& aActive);
   void Remove(std::uint64_t aCall, ActiveCall& aActive);
-  void ScheduleWake(std::uint64_t aCall, ActiveCall& aActive);
-  void OnWake(std::uint64_t aCall, base::Instant aTime);
+  void ScheduleTimer(std::uint64_t aCall, ActiveCall& aActive);
+  void OnCallTimer(std::uint64_t aCall, base::Instant aTime);
 
   void Execute(ActiveCall& aActive, SendToOwner& aAction);
   void Execute(ActiveCall& aActive, SendToEndpoint& aAction);
   void Execute(ActiveCall& aActive, ChooseEndpoint& aAction);
-  void Execute(ActiveCall& aActive, RunReleased& aAction);
+  void Execute(ActiveCall& aActive, ReportRunEnd& aAction);
   void Execute(ActiveCall& aActive, QuarantineContent& aAction);
   void Execute(ActiveCall& aActive, EmitAccepted& aAction);
   void Execute(ActiveCall& aActive, EmitChunk& aAction);
   void Execute(ActiveCall& aActive, EmitFinished& aAction);
   void Execute(ActiveCall& aActive, EmitFailed& aAction);
 
-  [[nodiscard]] bool IsLeaving(const std::string& aEndpoint) const;
+  [[nodiscard]] bool IsDrained(const std::string& aEndpoint) const;
   [[nodiscard]] std::vector<std::uint64_t> CallsOf(
     const wire::JobId& aJob) const;
 
@@ -125,17 +128,18 @@
   Calls calls_;
   std::unordered_multimap<wire::JobId, std::uint64_t> callsByJob_;
   std::uint64_t nextCall_;
-  std::map<std::string, std::vector<wire::RunId>> orphanedRuns_;
-  std::size_t orphanedRunCount_ = 0;
+  std::map<std::string, std::vector<wire::RunId>> uncancelledRuns_;
+  std::size_t uncancelledRunCount_ = 0;
   std::unordered_set<wire::JobId> finishedJobs_;
   std::deque<wire::JobId> finishedJobOrder_;
-  std::map<std::string, std::string> linked_; ///< Link addresses by endpoint.
+  /// Link addresses by endpoint.
+  std::map<std::string, std::string> linkAddresses_;
   std::unordered_set<std::string> drainedByOperators_;
   std::unordered_set<std::string> leavingByHostList_;
   std::map<std::string, wire::Heartbeat> heartbeats_;
   metrics::Counter& started_;
   metrics::Counter& retries_;
-  metrics::Counter& refused_;
+  metrics::Counter& failed_;
   metrics::Histogram& firstToken_;
   metrics::Histogram& duration_;
 };
--- a/Libraries/LibEntry/OnlineRequest.cpp
+++ b/Libraries/LibEntry/OnlineRequest.cpp
@@ -14,10 +14,11 @@
 namespace {
 
 /// Bits of a run's attempt number that count the attempts of one entry; the
-/// other bits are random.
+/// bits between it and kEntryAttemptFlag are random.
 constexpr std::uint32_t kAttemptMask = 0xFF;
 
-/// Set in attempt numbers of entries. Owners count from small numbers.
+/// Set in attempt numbers of entries. Owners use only small attempt numbers, so
+/// theirs never have it.
 constexpr std::uint32_t kEntryAttemptFlag = 0x80000000;
 
 /// Time to wait for a reply while the link is up.
@@ -28,7 +29,7 @@
 constexpr base::Duration kDuplicatePollInterval{ std::chrono::seconds{ 1 } };
 
 bool
-IsTransient(ResultCode aCode)
+IsOwnerUnavailable(ResultCode aCode)
 {
   switch (aCode) {
     case ResultCode::NotOwner:
@@ -44,7 +45,7 @@
 }
 
 /// @return whether the code means that the run failed without an answer from
-/// the engine.
+/// the endpoint.
 bool
 IsRunFailure(ResultCode aCode)
 {
@@ -79,8 +80,8 @@
   }
 }
 
-/// @return whether a run that ended with this code, and was not refused, has
-/// run.
+/// @return the Ran value to report for a request that ends with this code and
+/// wasn't refused.
 Ran
 RanAfter(ResultCode aCode)
 {
@@ -134,11 +135,11 @@
 OnlineRequest::OnOwnerSent(base::Instant aNow)
 {
   resendAt_ = aNow + kReplyTimeout;
-  if (record_ == RecordPhase::Duplicate) {
+  if (recordPhase_ == RecordPhase::Duplicate) {
     resendAt_ = aNow + kDuplicatePollInterval;
     return;
   }
-  if (record_ != RecordPhase::Pending) {
+  if (recordPhase_ != RecordPhase::Pending) {
     return;
   }
   recordSent_ = true;
@@ -148,7 +149,7 @@
   // the record: the owner may have a result for its key.
   const bool mayRunBeforeRecord =
     description_.record_.idempotent_ && !description_.quarantined_;
-  if (mayRunBeforeRecord && run_ == RunPhase::Idle && !callerAnswered_) {
+  if (mayRunBeforeRecord && runPhase_ == RunPhase::Idle && !callerAnswered_) {
     Choose(false);
   }
 }
@@ -171,12 +172,12 @@
 OnlineRequest::OnRecordReply(const wire::RecordReply& aReply,
                              base::Instant aNow)
 {
-  if (done_ || record_ == RecordPhase::Refused) {
+  if (done_ || recordPhase_ == RecordPhase::Refused) {
     return;
   }
-  if (record_ == RecordPhase::Accepted) {
+  if (recordPhase_ == RecordPhase::Accepted) {
     // Late replies are ignored, except for a result that this call didn't send:
-    // the request was cancelled by its key.
+    // a caller has cancelled the request with CancelJob.
     const bool isEnded = aReply.code_ == ResultCode::Ok &&
                          aReply.state_ == wire::RecordState::Finished;
     if (isEnded) {
@@ -193,7 +194,7 @@
       OnAccepted(aNow);
       return;
     case wire::RecordState::Running:
-      OnRunningElsewhere(aNow);
+      OnOtherCallRunning(aNow);
       return;
     case wire::RecordState::Finished:
       OnAlreadyFinished(aReply.result_);
@@ -205,13 +206,13 @@
 OnlineRequest::OnRecordResultReply(const wire::RecordResultReply& aReply,
                                    base::Instant aNow)
 {
-  if (done_ || !result_.has_value() || record_ != RecordPhase::Accepted) {
+  if (done_ || !result_.has_value() || recordPhase_ != RecordPhase::Accepted) {
     return;
   }
   if (aReply.code_ == ResultCode::NotFound) {
-    // The owner lost the record with its only complete copy, or withdrew it.
+    // The record was lost with the last complete copy, or the owner removed it.
     // The record is sent again, followed by the result.
-    record_ = RecordPhase::Pending;
+    recordPhase_ = RecordPhase::Pending;
     ownerTimeoutAt_ = aNow + kOwnerTimeout;
     SendRecord();
     return;
@@ -229,14 +230,15 @@
     actions_.emplace_back(
       SendToEndpoint{ endpoint_, wire::RunRecorded{ resultRun_ } });
   }
-  const bool isOurs = aReply.first_ || aReply.result_.ran_ == Ran::Unspecified;
+  const bool isOurResult =
+    aReply.first_ || aReply.result_.ran_ == Ran::Unspecified;
   if (callerAnswered_) {
     Finish();
-  } else if (isOurs && refusal_.has_value()) {
+  } else if (isOurResult && refusal_.has_value()) {
     AnswerFailed(refusal_->code_, Ran::NotRun, refusal_->retryAfterMs_, {});
     Finish();
   } else {
-    AnswerFinished(isOurs ? *result_ : aReply.result_);
+    AnswerFinished(isOurResult ? *result_ : aReply.result_);
   }
 }
 
@@ -256,21 +258,21 @@
     Finish();
     return;
   }
-  run_ = RunPhase::Idle;
-  record_ = RecordPhase::Duplicate;
+  runPhase_ = RunPhase::Idle;
+  recordPhase_ = RecordPhase::Duplicate;
   SendRecord();
 }
 
 void
 OnlineRequest::OnEndpoint(const std::string& aEndpoint, base::Instant aNow)
 {
-  if (run_ != RunPhase::Choosing) {
+  if (runPhase_ != RunPhase::Choosing) {
     return;
   }
-  run_ = RunPhase::Running;
+  runPhase_ = RunPhase::Running;
   endpoint_ = aEndpoint;
-  ++starts_;
-  ++unknownRuns_;
+  ++runsSent_;
+  ++begunRuns_;
   assembler_ = {};
   requestedFrom_ = 0;
   streamed_.BeginAttempt();
@@ -281,9 +283,9 @@
   start.run_ = CurrentRun();
   start.service_ = record.service_;
   start.kind_ = record.kind_;
-  start.online_ = true;
+  start.onlineCalls_ = true;
   start.idempotent_ = record.idempotent_;
-  start.wantChunks_ = description_.streamed_;
+  start.wantChunks_ = description_.isStreaming_;
   const std::int64_t remaining = base::ToMs(description_.deadline_ - aNow);
   start.deadlineMs_ = static_cast<std::uint32_t>(std::clamp<std::int64_t>(
     remaining, 1, std::numeric_limits<std::uint32_t>::max()));
@@ -299,17 +301,17 @@
                             std::uint32_t aRetryAfterMs,
                             base::Instant aNow)
 {
-  if (run_ == RunPhase::Choosing) {
+  if (runPhase_ == RunPhase::Choosing) {
     // A refusal from an endpoint is more specific than the lack of another
     // endpoint.
-    Refuse(lastRefusal_.value_or(Refusal{ aCode, aRetryAfterMs }), aNow);
+    Refuse(bestRefusal_.value_or(Refusal{ aCode, aRetryAfterMs }), aNow);
   }
 }
 
 void
 OnlineRequest::OnStartNotSent(const std::string& aEndpoint, base::Instant aNow)
 {
-  if (run_ != RunPhase::Running || endpoint_ != aEndpoint) {
+  if (runPhase_ != RunPhase::Running || endpoint_ != aEndpoint) {
     return;
   }
   OnRunRefused(Refusal{ ResultCode::NoEndpoint, 0 }, aNow);
@@ -318,7 +320,7 @@
 void
 OnlineRequest::OnChunk(const wire::Chunk& aChunk, base::Instant aNow)
 {
-  if (run_ != RunPhase::Running || aChunk.run_ != CurrentRun()) {
+  if (runPhase_ != RunPhase::Running || aChunk.run_ != CurrentRun()) {
     return;
   }
   if (assembler_.Add(aChunk)) {
@@ -337,8 +339,8 @@
                           const wire::RunEnded& aEnded,
                           base::Instant aNow)
 {
-  const bool isCurrent = run_ == RunPhase::Running && aEndpoint == endpoint_ &&
-                         aEnded.run_ == CurrentRun();
+  const bool isCurrent = runPhase_ == RunPhase::Running &&
+                         aEndpoint == endpoint_ && aEnded.run_ == CurrentRun();
   if (!isCurrent) {
     return;
   }
@@ -356,7 +358,7 @@
                               wire::LinkState aState,
                               base::Instant aNow)
 {
-  if (run_ != RunPhase::Running || endpoint_ != aEndpoint) {
+  if (runPhase_ != RunPhase::Running || endpoint_ != aEndpoint) {
     return;
   }
   switch (aState) {
@@ -386,10 +388,12 @@
     return;
   }
   callerAnswered_ = true;
-  const bool isOurs = record_ == RecordPhase::Accepted ||
-                      (record_ == RecordPhase::Pending && recordSent_);
-  const bool mayRecord = isOurs && (mayWithdraw_ || isResultFromEndpoint_);
-  CancelRunNow();
+  const bool mayBeOurRecord =
+    recordPhase_ == RecordPhase::Accepted ||
+    (recordPhase_ == RecordPhase::Pending && recordSent_);
+  const bool mayRecord =
+    mayBeOurRecord && (mayWithdraw_ || isResultFromEndpoint_);
+  CancelCurrentRun();
   if (!mayRecord) {
     Finish();
     return;
@@ -405,7 +409,7 @@
 }
 
 std::optional<base::Instant>
-OnlineRequest::NextWake() const
+OnlineRequest::NextTimer() const
 {
   if (done_) {
     return std::nullopt;
@@ -413,7 +417,7 @@
   std::optional<base::Instant> earliest = backgroundEndsAt_;
   if (!callerAnswered_) {
     UpdateEarliest(earliest, description_.deadline_);
-    if (record_ == RecordPhase::Pending) {
+    if (recordPhase_ == RecordPhase::Pending) {
       UpdateEarliest(earliest, ownerTimeoutAt_);
     }
   }
@@ -436,9 +440,10 @@
   if (!done_ && IsDue(withdrawalTimeoutAt_, aNow)) {
     OnWithdrawalTimeout(aNow);
   }
-  const bool hasNoOwner = !callerAnswered_ && record_ == RecordPhase::Pending &&
-                          ownerTimeoutAt_ <= aNow;
-  if (!done_ && hasNoOwner) {
+  const bool isOwnerTimedOut = !callerAnswered_ &&
+                               recordPhase_ == RecordPhase::Pending &&
+                               ownerTimeoutAt_ <= aNow;
+  if (!done_ && isOwnerTimedOut) {
     OnOwnerTimeout();
   }
   if (!done_ && IsDue(resendAt_, aNow)) {
@@ -457,7 +462,7 @@
 }
 
 std::deque<OnlineAction>
-OnlineRequest::DrainActions()
+OnlineRequest::TakeActions()
 {
   return std::exchange(actions_, {});
 }
@@ -488,7 +493,7 @@
 void
 OnlineRequest::ResendNow()
 {
-  switch (record_) {
+  switch (recordPhase_) {
     case RecordPhase::Pending:
     case RecordPhase::Duplicate:
       SendRecord();
@@ -508,7 +513,7 @@
 void
 OnlineRequest::OnAccepted(base::Instant aNow)
 {
-  record_ = RecordPhase::Accepted;
+  recordPhase_ = RecordPhase::Accepted;
   resendAt_.reset();
   resends_ = 0;
   unansweredRecords_ = 0;
@@ -525,18 +530,18 @@
     Refuse(Refusal{ ResultCode::Quarantined, 0 }, aNow);
     return;
   }
-  if (run_ == RunPhase::Idle && !description_.record_.idempotent_ &&
+  if (runPhase_ == RunPhase::Idle && !description_.record_.idempotent_ &&
       MayHaveRun()) {
-    EndWithoutAnswer(ResultCode::OutcomeUnknown, {}, aNow);
-  } else if (run_ == RunPhase::Idle) {
+    EndWithError(ResultCode::OutcomeUnknown, {}, aNow);
+  } else if (runPhase_ == RunPhase::Idle) {
     Choose(false);
   }
 }
 
 void
-OnlineRequest::OnRunningElsewhere(base::Instant aNow)
+OnlineRequest::OnOtherCallRunning(base::Instant aNow)
 {
-  const bool mayBeOurs = record_ == RecordPhase::Pending &&
+  const bool mayBeOurs = recordPhase_ == RecordPhase::Pending &&
                          unansweredRecords_ > 1 && !callerAnswered_;
   if (mayBeOurs && description_.record_.idempotent_) {
     // The owner may have accepted an earlier RecordRequest of this call whose
@@ -547,8 +552,8 @@
     OnAccepted(aNow);
     return;
   }
-  const bool isFirstReply = record_ != RecordPhase::Duplicate;
-  record_ = RecordPhase::Duplicate;
+  const bool isFirstReply = recordPhase_ != RecordPhase::Duplicate;
+  recordPhase_ = RecordPhase::Duplicate;
   resendAt_ = aNow + kDuplicatePollInterval;
   if (callerAnswered_) {
     Finish();
@@ -557,8 +562,9 @@
   if (!isFirstReply) {
     return;
   }
-  CancelRunNow();
-  run_ = RunPhase::Idle; // The other call may still be withdrawn.
+  CancelCurrentRun();
+  runPhase_ = RunPhase::Idle; // Lets this call run the request if the other
+                              // call is withdrawn.
   result_.reset();
   isResultFromEndpoint_ = false;
   refusal_.reset();
@@ -570,11 +576,12 @@
 void
 OnlineRequest::OnAlreadyFinished(const wire::ItemResult& aResult)
 {
-  CancelRunNow();
+  CancelCurrentRun();
   recorded_ = true;
-  const bool isOurs = record_ == RecordPhase::Accepted ||
-                      (acceptedSent_ && record_ == RecordPhase::Pending);
-  record_ = isOurs ? RecordPhase::Accepted : RecordPhase::Duplicate;
+  const bool isOurRecord =
+    recordPhase_ == RecordPhase::Accepted ||
+    (acceptedSent_ && recordPhase_ == RecordPhase::Pending);
+  recordPhase_ = isOurRecord ? RecordPhase::Accepted : RecordPhase::Duplicate;
   if (callerAnswered_) {
     Finish();
     return;
@@ -587,13 +594,13 @@
                                base::Instant aNow)
 {
   unansweredRecords_ -= unansweredRecords_ > 0 ? 1 : 0;
-  // The call that this duplicate waited for was cancelled before it ran. The
+  // If the call that this duplicate waited for was cancelled before it ran, the
   // duplicate sends its record again and then runs.
-  const bool isKeyFree =
-    record_ == RecordPhase::Duplicate && aReply.code_ == ResultCode::Cancelled;
-  if (isKeyFree || IsTransient(aReply.code_)) {
-    const bool hasNewHint = !aReply.ownerHint_.empty() && resends_ == 0;
-    if (hasNewHint) {
+  const bool isOtherCallCancelled = recordPhase_ == RecordPhase::Duplicate &&
+                                    aReply.code_ == ResultCode::Cancelled;
+  if (isOtherCallCancelled || IsOwnerUnavailable(aReply.code_)) {
+    const bool isFirstHint = !aReply.ownerHint_.empty() && resends_ == 0;
+    if (isFirstHint) {
       ++resends_;
       ResendNow();
     } else {
@@ -601,8 +608,8 @@
     }
     return;
   }
-  record_ = RecordPhase::Refused;
-  CancelRunNow();
+  recordPhase_ = RecordPhase::Refused;
+  CancelCurrentRun();
   if (!callerAnswered_) {
     const ResultCode code = ToRecordRefusal(aReply.code_);
     const bool isUnknown = MayHaveRun() || unansweredRecords_ > 0;
@@ -619,33 +626,32 @@
 void
 OnlineRequest::Choose(bool aIsRetry)
 {
-  run_ = RunPhase::Choosing;
+  runPhase_ = RunPhase::Choosing;
   actions_.emplace_back(ChooseEndpoint{ aIsRetry });
 }
 
 void
 OnlineRequest::OnRunRefused(Refusal aRefusal, base::Instant aNow)
 {
-  --unknownRuns_;
+  --begunRuns_;
   ReleaseRun(routing::RunOutcome::Abandoned);
   tried_.push_back(endpoint_);
   ++refusals_;
-  overloaded_ += aRefusal.code_ == ResultCode::Overloaded ? 1 : 0;
+  overloadRefusals_ += aRefusal.code_ == ResultCode::Overloaded ? 1 : 0;
   const bool isBetter =
-    !lastRefusal_.has_value() ||
+    !bestRefusal_.has_value() ||
     (aRefusal.retryAfterMs_ > 0 &&
-     (lastRefusal_->retryAfterMs_ == 0 ||
-      aRefusal.retryAfterMs_ < lastRefusal_->retryAfterMs_));
+     (bestRefusal_->retryAfterMs_ == 0 ||
+      aRefusal.retryAfterMs_ < bestRefusal_->retryAfterMs_));
   if (isBetter) {
-    lastRefusal_ = aRefusal;
+    bestRefusal_ = aRefusal;
   }
-  const bool mayTryAnother = overloaded_ < kMaxOverloadedEndpoints &&
-                             refusals_ < kMaxRefusedEndpoints &&
-                             HasTimeForRetry(aNow);
+  const bool mayTryAnother = overloadRefusals_ < kMaxOverloadRefusals &&
+                             refusals_ < kMaxRefusals && HasTimeForRetry(aNow);
   if (mayTryAnother) {
     Choose(true);
   } else {
-    Refuse(*lastRefusal_, aNow);
+    Refuse(*bestRefusal_, aNow);
   }
 }
 
@@ -660,37 +666,37 @@
   resultRun_ = CurrentRun();
   if (!description_.record_.idempotent_) {
     const bool isKnown = aCode == ResultCode::EndpointFailed;
-    EndWithoutAnswer(isKnown ? aCode : ResultCode::OutcomeUnknown,
-                     std::string(base::NameOf(aCode)),
-                     aNow);
+    EndWithError(isKnown ? aCode : ResultCode::OutcomeUnknown,
+                 std::string(base::NameOf(aCode)),
+                 aNow);
     return;
   }
   if (crashes_ >= kCrashesToQuarantine) {
     actions_.emplace_back(QuarantineContent{});
-    EndWithoutAnswer(
+    EndWithError(
       ResultCode::Quarantined, "the request crashed two endpoints", aNow);
     return;
   }
-  if (unknownRuns_ >= description_.maxAttempts_) {
-    EndWithoutAnswer(
+  if (begunRuns_ >= description_.maxAttempts_) {
+    EndWithError(
       ResultCode::AttemptsExhausted, std::string(base::NameOf(aCode)), aNow);
     return;
   }
   if (!HasTimeForRetry(aNow)) {
-    EndWithoutAnswer(
+    EndWithError(
       aCode, "not enough time before the deadline for a retry", aNow);
     return;
   }
   const routing::Backoff backoff{ description_.backoff_ };
-  run_ = RunPhase::BackingOff;
-  retryAt_ = aNow + backoff.Delay(unknownRuns_ - 1, NextRandom());
+  runPhase_ = RunPhase::BackingOff;
+  retryAt_ = aNow + backoff.Delay(begunRuns_ - 1, NextRandom());
 }
 
 void
 OnlineRequest::OnRunAnswered(const wire::RunEnded& aEnded, base::Instant aNow)
 {
   const bool isStreamed =
-    description_.streamed_ && aEnded.code_ == ResultCode::Ok;
+    description_.isStreaming_ && aEnded.code_ == ResultCode::Ok;
   if (!isStreamed) {
     CompleteRun(
       aEnded.code_, aEnded.text_, aEnded.tokens_, aEnded.detail_, aNow);
@@ -713,7 +719,7 @@
                            base::Instant aNow)
 {
   ReleaseRun(routing::RunOutcome::Answered);
-  run_ = RunPhase::Ended;
+  runPhase_ = RunPhase::Ended;
   endpointGraceEndsAt_.reset();
   resultRun_ = CurrentRun();
   isResultFromEndpoint_ = true;
@@ -740,14 +746,14 @@
 }
 
 void
-OnlineRequest::CancelRunNow()
+OnlineRequest::CancelCurrentRun()
 {
-  if (run_ == RunPhase::Running) {
+  if (runPhase_ == RunPhase::Running) {
     actions_.emplace_back(
       SendToEndpoint{ endpoint_, wire::CancelRun{ CurrentRun() } });
     ReleaseRun(routing::RunOutcome::Abandoned);
   }
-  run_ = RunPhase::Ended;
+  runPhase_ = RunPhase::Ended;
   retryAt_.reset();
   endpointGraceEndsAt_.reset();
 }
@@ -755,21 +761,20 @@
 void
 OnlineRequest::ReleaseRun(routing::RunOutcome aOutcome)
 {
-  actions_.emplace_back(RunReleased{ endpoint_, aOutcome });
+  actions_.emplace_back(ReportRunEnd{ endpoint_, aOutcome });
 }
 
 void
 OnlineRequest::Refuse(Refusal aRefusal, base::Instant aNow)
 {
-  run_ = RunPhase::Ended;
+  runPhase_ = RunPhase::Ended;
   if (MayHaveRun()) {
-    EndWithoutAnswer(
-      lastFailure_, std::string(base::NameOf(aRefusal.code_)), aNow);
+    EndWithError(lastFailure_, std::string(base::NameOf(aRefusal.code_)), aNow);
     return;
   }
   refusal_ = aRefusal;
-  const bool isCertain = record_ == RecordPhase::Refused ||
-                         (record_ == RecordPhase::Pending && !recordSent_);
+  const bool isCertain = recordPhase_ == RecordPhase::Refused ||
+                         (recordPhase_ == RecordPhase::Pending && !recordSent_);
   if (isCertain) {
     AnswerFailed(aRefusal.code_, Ran::NotRun, aRefusal.retryAfterMs_, {});
     Finish();
@@ -781,7 +786,7 @@
   if (!withdrawalTimeoutAt_.has_value() && !callerAnswered_) {
     withdrawalTimeoutAt_ = aNow + kWithdrawalTimeout;
   }
-  if (record_ == RecordPhase::Accepted) {
+  if (recordPhase_ == RecordPhase::Accepted) {
     wire::ItemResult withdrawn;
     withdrawn.code_ = aRefusal.code_;
     withdrawn.ran_ = Ran::NotRun;
@@ -790,11 +795,11 @@
 }
 
 void
-OnlineRequest::EndWithoutAnswer(ResultCode aCode,
-                                std::string aDetail,
-                                base::Instant aNow)
+OnlineRequest::EndWithError(ResultCode aCode,
+                            std::string aDetail,
+                            base::Instant aNow)
 {
-  run_ = RunPhase::Ended;
+  runPhase_ = RunPhase::Ended;
   isResultFromEndpoint_ = false;
   wire::ItemResult result;
   result.code_ = aCode;
@@ -810,7 +815,7 @@
   if (resultRun_.job_ != description_.record_.job_) {
     resultRun_ = CurrentRun();
   }
-  if (record_ != RecordPhase::Accepted) {
+  if (recordPhase_ != RecordPhase::Accepted) {
     return; // Sent once the record is accepted.
   }
   if (mayWithdraw_ || isResultFromEndpoint_) {
@@ -832,7 +837,7 @@
 void
 OnlineRequest::OnDeadline(base::Instant aNow)
 {
-  if (record_ == RecordPhase::Duplicate) {
+  if (recordPhase_ == RecordPhase::Duplicate) {
     AnswerFailed(ResultCode::DeadlineExceeded,
                  Ran::Unknown,
                  0,
@@ -852,11 +857,12 @@
     ContinueInBackground(aNow);
     return;
   }
-  CancelRunNow();
-  const bool isAtMostOnce = !description_.record_.idempotent_ && MayHaveRun();
+  CancelCurrentRun();
+  const bool isOutcomeUnknown =
+    !description_.record_.idempotent_ && MayHaveRun();
   wire::ItemResult expired;
-  expired.code_ =
-    isAtMostOnce ? ResultCode::OutcomeUnknown : ResultCode::DeadlineExceeded;
+  expired.code_ = isOutcomeUnknown ? ResultCode::OutcomeUnknown
+                                   : ResultCode::DeadlineExceeded;
   expired.ran_ = MayHaveRun() ? Ran::Unknown : Ran::NotRun;
   // An owner that may have the record could still run the request, so NotRun
   // isn't certain.
@@ -873,7 +879,7 @@
 void
 OnlineRequest::OnOwnerTimeout()
 {
-  CancelRunNow();
+  CancelCurrentRun();
   const bool isCertain = !recordSent_ && !MayHaveRun();
   AnswerFailed(ResultCode::NotRecorded,
                isCertain ? Ran::NotRun : Ran::Unknown,
@@ -896,8 +902,8 @@
 OnlineRequest::StreamNewText()
 {
   const bool hasBegun = assembler_.ReceivedSequence() > 0;
-  const bool mayStream = !callerAnswered_ && description_.streamed_ &&
-                         hasBegun && record_ == RecordPhase::Accepted;
+  const bool mayStream = !callerAnswered_ && description_.isStreaming_ &&
+                         hasBegun && recordPhase_ == RecordPhase::Accepted;
   if (!mayStream) {
     return;
   }
@@ -919,7 +925,7 @@
 void
 OnlineRequest::AnswerFinished(const wire::ItemResult& aRecorded)
 {
-  const bool isDuplicate = record_ == RecordPhase::Duplicate;
+  const bool isDuplicate = recordPhase_ == RecordPhase::Duplicate;
   if (!acceptedSent_) {
     acceptedSent_ = true;
     actions_.emplace_back(EmitAccepted{ isDuplicate });
@@ -960,7 +966,7 @@
 void
 OnlineRequest::Finish()
 {
-  CancelRunNow();
+  CancelCurrentRun();
   resendAt_.reset();
   done_ = true;
 }
@@ -978,7 +984,7 @@
   wire::RunId run;
   run.job_ = description_.record_.job_;
   run.attempt_ =
-    kEntryAttemptFlag | (high & ~kAttemptMask) | (starts_ & kAttemptMask);
+    kEntryAttemptFlag | (high & ~kAttemptMask) | (runsSent_ & kAttemptMask);
   return run;
 }
 
--- a/Libraries/LibEntry/OnlineRequest.h
+++ b/Libraries/LibEntry/OnlineRequest.h
@@ -19,7 +19,7 @@
 
 /// State machine of one online call, from its record to its durable result.
 /// Events are passed in with the current time; the resulting actions are
-/// fetched with DrainActions() after each event. Does no I/O. See "An online
+/// fetched with TakeActions() after each event. Does no I/O. See "An online
 /// call" in docs/ARCHITECTURE.md for the protocol and docs/design/retries.md
 /// for reruns and refusals.
 class OnlineRequest
@@ -33,8 +33,9 @@
   /// Time for the owner to answer, including a takeover of its partition,
   /// before the request is refused as NotRecorded.
   static constexpr base::Duration kOwnerTimeout{ std::chrono::seconds{ 5 } };
-  /// How long a refusal waits for its record to be withdrawn. Afterwards
-  /// Ran::Unknown is reported instead of NotRun.
+  /// A refused request's record is withdrawn by recording a NotRun result. If
+  /// that takes longer than this, the caller gets Ran::Unknown instead of
+  /// NotRun.
   static constexpr base::Duration kWithdrawalTimeout{ std::chrono::milliseconds{
     200 } };
   /// How long the result is still sent to the owner after the caller was
@@ -48,8 +49,8 @@
     100 } };
   static constexpr base::Duration kMaxResendDelay{ std::chrono::seconds{ 1 } };
   static constexpr std::uint32_t kRetryAfterNotRecordedMs = 1000;
-  static constexpr std::uint32_t kMaxOverloadedEndpoints = 2;
-  static constexpr std::uint32_t kMaxRefusedEndpoints = 4;
+  static constexpr std::uint32_t kMaxOverloadRefusals = 2;
+  static constexpr std::uint32_t kMaxRefusals = 4;
   static constexpr std::uint32_t kCrashesToQuarantine = 2;
 
   /// @return whether the attempt number was assigned by an entry rather than an
@@ -60,9 +61,10 @@
 
   void Begin(base::Instant aNow);
 
-  /// Results of SendToOwner: the message was queued on a link, or no owner or
-  /// no link to it is known.
+  /// The message of a SendToOwner was queued on the link to the owner.
   void OnOwnerSent(base::Instant aNow);
+  /// The message of a SendToOwner wasn't queued: the owner isn't known or not
+  /// linked.
   void OnOwnerUnreachable(base::Instant aNow);
 
   /// The owner or the link to it changed. Messages without a reply are sent
@@ -92,11 +94,11 @@
   void OnCallerGone(base::Instant aNow);
 
   /// @return when OnTimer() must be called next; std::nullopt once IsDone().
-  [[nodiscard]] std::optional<base::Instant> NextWake() const;
+  [[nodiscard]] std::optional<base::Instant> NextTimer() const;
   void OnTimer(base::Instant aNow);
 
   /// @return the actions since the last call, in order.
-  [[nodiscard]] std::deque<OnlineAction> DrainActions();
+  [[nodiscard]] std::deque<OnlineAction> TakeActions();
 
   /// @return whether the request is complete and may be destroyed.
   [[nodiscard]] bool IsDone() const { return done_; }
@@ -115,16 +117,17 @@
   /// @return the endpoint of the current or last run; empty before the first.
   [[nodiscard]] const std::string& Endpoint() const { return endpoint_; }
 
-  [[nodiscard]] std::uint32_t Attempt() const { return starts_; }
+  [[nodiscard]] std::uint32_t RunCount() const { return runsSent_; }
 
-  /// @return whether the result is durable, so that agents may release its
-  /// runs.
-  [[nodiscard]] bool IsRecorded() const { return recorded_; }
+  /// @return whether the result is durable; agents may then forget the
+  /// request's runs.
+  [[nodiscard]] bool IsResultDurable() const { return recorded_; }
 
 private:
   enum class RecordPhase : std::uint8_t
   {
-    Pending,   ///< RecordRequest was sent; no decision yet.
+    Pending, ///< No reply of the owner yet; the RecordRequest may not have been
+             ///< sent.
     Accepted,  ///< Durable; this entry runs the request.
     Duplicate, ///< Another call with this key runs it.
     Refused,   ///< The owner has no record of this call.
@@ -149,7 +152,7 @@
   void ResendNow();
   void OnAccepted(base::Instant aNow);
   void OnOwnerRunsRequest();
-  void OnRunningElsewhere(base::Instant aNow);
+  void OnOtherCallRunning(base::Instant aNow);
   void OnAlreadyFinished(const wire::ItemResult& aResult);
   void OnRecordRefused(const wire::RecordReply& aReply, base::Instant aNow);
   void Choose(bool aIsRetry);
@@ -162,12 +165,12 @@
                    std::string aDetail,
                    base::Instant aNow);
   void RequestMissingChunks();
-  void CancelRunNow();
+  void CancelCurrentRun();
   void ReleaseRun(routing::RunOutcome aOutcome);
   void Refuse(Refusal aRefusal, base::Instant aNow);
-  void EndWithoutAnswer(base::ResultCode aCode,
-                        std::string aDetail,
-                        base::Instant aNow);
+  void EndWithError(base::ResultCode aCode,
+                    std::string aDetail,
+                    base::Instant aNow);
   void Record(wire::ItemResult aResult, base::Instant aNow);
   void OnDeadline(base::Instant aNow);
   void OnOwnerTimeout();
@@ -180,7 +183,7 @@
                     std::string aDetail);
   void ContinueInBackground(base::Instant aNow);
   void Finish();
-  [[nodiscard]] bool MayHaveRun() const { return unknownRuns_ > 0; }
+  [[nodiscard]] bool MayHaveRun() const { return begunRuns_ > 0; }
   [[nodiscard]] bool HasTimeForRetry(base::Instant aNow) const;
   [[nodiscard]] bool WaitsForOwner() const;
   [[nodiscard]] wire::RunId CurrentRun() const;
@@ -190,21 +193,22 @@
   std::uint64_t jitter_;
   std::deque<OnlineAction> actions_;
 
-  RecordPhase record_ = RecordPhase::Pending;
+  RecordPhase recordPhase_ = RecordPhase::Pending;
   bool recordSent_ = false;             ///< The owner may have the record.
   std::uint32_t unansweredRecords_ = 0; ///< RecordRequests without a reply.
-  bool mayWithdraw_ = true;
+  bool mayWithdraw_ = true; ///< False if the record may belong to another call.
   std::uint32_t resends_ = 0;
   std::optional<base::Instant> resendAt_;
   base::Instant ownerTimeoutAt_;
 
-  RunPhase run_ = RunPhase::Idle;
+  RunPhase runPhase_ = RunPhase::Idle;
   std::string endpoint_;
   std::vector<std::string> tried_;
-  std::uint32_t starts_ = 0;      ///< Runs sent, including refused ones.
-  std::uint32_t unknownRuns_ = 0; ///< Runs that may have begun.
+  std::uint32_t runsSent_ = 0; ///< Runs sent, including refused ones.
+  /// Runs sent and not refused; they may have begun.
+  std::uint32_t begunRuns_ = 0;
   std::uint32_t refusals_ = 0;
-  std::uint32_t overloaded_ = 0;
+  std::uint32_t overloadRefusals_ = 0;
   std::uint32_t crashes_ = 0;
   base::ResultCode lastFailure_ = base::ResultCode::EndpointLost;
   std::optional<base::Instant> retryAt_;
@@ -213,8 +217,9 @@
   /// First sequence number that was requested again; 0 if none.
   std::uint64_t requestedFrom_ = 0;
 
-  std::optional<Refusal> lastRefusal_; ///< Best refusal by an endpoint.
-  std::optional<Refusal> refusal_;     ///< Not reported to the caller yet.
+  /// Refusal with the shortest known retry delay.
+  std::optional<Refusal> bestRefusal_;
+  std::optional<Refusal> refusal_; ///< Not reported to the caller yet.
   std::optional<base::Instant> withdrawalTimeoutAt_;
   std::optional<wire::ItemResult> result_; ///< To be recorded by the owner.
   wire::RunId resultRun_;
--- a/Libraries/LibEntry/OperatorService.cpp
+++ b/Libraries/LibEntry/OperatorService.cpp
@@ -23,14 +23,14 @@
 using Heartbeats = std::map<std::string, wire::Heartbeat>;
 
 std::uint32_t
-ToLastHeardMs(base::Duration aSince)
+ToMsOrNever(base::Duration aAge)
 {
   constexpr std::uint32_t kNever = std::numeric_limits<std::uint32_t>::max();
-  if (aSince == base::Duration::max()) {
+  if (aAge == base::Duration::max()) {
     return kNever;
   }
   return static_cast<std::uint32_t>(
-    std::min<std::int64_t>(base::ToMs(aSince), kNever));
+    std::min<std::int64_t>(base::ToMs(aAge), kNever));
 }
 
 void
@@ -50,7 +50,7 @@
     const bool isSelf = host.name() == aContext.settings_.host();
     status.set_linked(isSelf || aContext.links_.IsUp(host.name()));
     status.set_last_heard_ms(
-      isSelf ? 0 : ToLastHeardMs(aContext.links_.SinceHeard(host.name())));
+      isSelf ? 0 : ToMsOrNever(aContext.links_.SinceHeard(host.name())));
     status.set_draining(host.state() == settings::HOST_STATE_LEAVING ||
                         aConfiguration.IsDrained(host.name()));
     const auto heartbeat = aHeartbeats.find(host.name());
@@ -142,7 +142,7 @@
   details.set_difference(aConflict.difference_);
   const base::ResultCode code = base::ResultCode::VersionConflict;
   return { ToStatusCode(code),
-           fmt::format("{}: version {} is in force",
+           fmt::format("{}: the current version is {}",
                        base::NameOf(code),
                        aConflict.currentVersion_),
            details.SerializeAsString() };
@@ -278,13 +278,13 @@
   if (const auto* failure = std::get_if<base::Failure>(&outcome)) {
     return MakeFailureStatus(*failure);
   }
-  for (const auto& current :
+  for (const auto& applied :
        std::get<std::vector<configuration::HistoryEntry>>(outcome)) {
     operations::HistoryEntry& entry = *aReply.add_entries();
-    entry.set_version(current.version_);
-    entry.set_author(current.author_);
-    entry.set_comment(current.comment_);
-    entry.set_applied_unix_ms(current.appliedUnixMs_);
+    entry.set_version(applied.version_);
+    entry.set_author(applied.author_);
+    entry.set_comment(applied.comment_);
+    entry.set_applied_unix_ms(applied.appliedUnixMs_);
   }
   return grpc::Status::OK;
 }
@@ -323,7 +323,7 @@
 {
   const node::Context& context = core_->context_;
   const auto configuration = context.configuration_.Current();
-  const Heartbeats heartbeats = core_->online_->Heartbeats();
+  const Heartbeats heartbeats = core_->onlineCalls_->Heartbeats();
   aReply->set_configuration_version(configuration->Version());
   FillHosts(context, *configuration, heartbeats, *aReply);
   FillEndpoints(context, *configuration, heartbeats, *aReply);
@@ -376,7 +376,7 @@
             { { "order", "lift" },
               { "fingerprint", aRequest->fingerprint() },
               { "found", isFound } });
-  core_->context_.links_.HeartbeatNow(); // Informs the other entries.
+  core_->context_.links_.HeartbeatNow(); // Informs the other hosts.
   aReply->set_found(isFound);
   reactor->Finish(grpc::Status::OK);
   return reactor;
--- a/Libraries/LibEntry/OperatorService.h
+++ b/Libraries/LibEntry/OperatorService.h
@@ -14,7 +14,7 @@
 
 /// Implements the operators' RPCs. Calls that block on the platform run one
 /// after the other on the worker pool, so that a slow platform occupies at most
-/// one of its threads.
+/// one pool thread.
 class OperatorService final : public operations::Operator::CallbackService
 {
 public:
--- a/Libraries/LibEntry/OwnerCalls.cpp
+++ b/Libraries/LibEntry/OwnerCalls.cpp
@@ -41,14 +41,14 @@
     aMessage);
 }
 
-OwnerCalls::Reply
+OwnerCalls::ReplyOrFailure
 MakeStopped()
 {
   return base::Failure{ ResultCode::Draining, "this entry is draining" };
 }
 
 bool
-IsRetryable(ResultCode aCode)
+IsOwnerUnavailable(ResultCode aCode)
 {
   return aCode == ResultCode::NotOwner || aCode == ResultCode::StaleEpoch ||
          aCode == ResultCode::Recovering || aCode == ResultCode::Draining ||
@@ -67,9 +67,9 @@
 void
 OwnerCalls::Start()
 {
-  context_.pool_.PostEvery(kTick, [self = weak_from_this()] {
+  context_.pool_.PostEvery(kTimerInterval, [self = weak_from_this()] {
     if (const auto calls = self.lock()) {
-      calls->Tick();
+      calls->OnTimer();
     }
   });
 }
@@ -141,7 +141,7 @@
       return;
     }
     Pending& pending = found->second;
-    if (IsRetryable(head->code_)) {
+    if (IsOwnerUnavailable(head->code_)) {
       const base::Instant now = base::MonotonicNow();
       const bool hasNewHint =
         !head->ownerHint_.empty() && head->ownerHint_ != pending.owner_;
@@ -158,7 +158,7 @@
     callback = std::move(pending.callback_);
     pending_.erase(found);
   }
-  callback(Reply{ aMessage });
+  callback(ReplyOrFailure{ aMessage });
 }
 
 void
@@ -181,7 +181,7 @@
 }
 
 void
-OwnerCalls::Tick()
+OwnerCalls::OnTimer()
 {
   std::vector<Callback> expired;
   {
--- a/Libraries/LibEntry/OwnerCalls.h
+++ b/Libraries/LibEntry/OwnerCalls.h
@@ -24,10 +24,12 @@
 class OwnerCalls : public std::enable_shared_from_this<OwnerCalls>
 {
 public:
-  using Reply = base::Outcome<wire::Message>;
-  using Callback = std::function<void(Reply aReply)>;
+  using ReplyOrFailure = base::Outcome<wire::Message>;
+  using Callback = std::function<void(ReplyOrFailure aReply)>;
 
-  static constexpr base::Duration kTick{ std::chrono::milliseconds{ 100 } };
+  /// Interval at which resends and deadlines are checked.
+  static constexpr base::Duration kTimerInterval{ std::chrono::milliseconds{
+    100 } };
   /// Time after which a request without a reply is sent again.
   static constexpr base::Duration kReplyTimeout{ std::chrono::seconds{ 2 } };
 
@@ -70,7 +72,7 @@
 
   void Add(std::uint64_t aCall, Pending aPending);
   void Send(Pending& aPending, base::Instant aNow);
-  void Tick();
+  void OnTimer();
   std::uint64_t NextCall();
 
   node::Context context_;
--- a/Libraries/LibEntry/Replies.cpp
+++ b/Libraries/LibEntry/Replies.cpp
@@ -43,7 +43,8 @@
   return caller::JOB_STATE_UNSPECIFIED;
 }
 
-/// Maps codes without a specific status by their range of one hundred.
+/// Maps codes that have no status of their own by their hundreds digit;
+/// ResultCode.h explains the ranges.
 grpc::StatusCode
 ToStatusCodeByRange(ResultCode aCode)
 {
--- a/Libraries/LibEntry/RequestChecks.cpp
+++ b/Libraries/LibEntry/RequestChecks.cpp
@@ -24,7 +24,7 @@
   return aGiven == 0 ? aDefault : aGiven;
 }
 
-/// The fields that both kinds of online calls have in common.
+/// The fields that both types of online calls have in common.
 struct OnlineFields
 {
   std::string_view service_;
@@ -68,9 +68,9 @@
 }
 
 base::Result<base::Duration>
-CheckDeadline(const declarations::RequestKind& aKind,
-              std::uint32_t aRequestedMs,
-              base::Duration aAllowed)
+CheckTimeLimit(const declarations::RequestKind& aKind,
+               std::uint32_t aRequestedMs,
+               base::Duration aTimeLeft)
 {
   if (aRequestedMs > kMaxDeadlineMs) {
     return Fail(ResultCode::OutOfRange,
@@ -80,12 +80,12 @@
   }
   const std::uint32_t requested =
     OrDefault(aRequestedMs, OrDefault(aKind.deadline_ms(), kDefaultDeadlineMs));
-  const base::Duration deadline =
-    std::min<base::Duration>(std::chrono::milliseconds{ requested }, aAllowed);
-  if (deadline <= base::Duration::zero()) {
+  const base::Duration timeLimit =
+    std::min<base::Duration>(std::chrono::milliseconds{ requested }, aTimeLeft);
+  if (timeLimit <= base::Duration::zero()) {
     return Fail(ResultCode::DeadlineTooShort);
   }
-  return deadline;
+  return timeLimit;
 }
 
 base::Result<OnlineDescription>
@@ -115,8 +115,8 @@
     return Fail(ResultCode::InvalidRequest, "request_key is too long");
   }
   BOOST_LEAF_AUTO(maxTokens, CheckMaxTokens(*kind, aFields.maxTokens_));
-  BOOST_LEAF_AUTO(deadline,
-                  CheckDeadline(*kind, aFields.deadlineMs_, aArrival.allowed_));
+  BOOST_LEAF_AUTO(
+    deadline, CheckTimeLimit(*kind, aFields.deadlineMs_, aArrival.timeLeft_));
 
   OnlineDescription description;
   wire::RecordRequest& record = description.record_;
@@ -145,9 +145,9 @@
   description.fingerprint_ =
     routing::MakeFingerprint(record.service_, record.payload_);
   // Plain services have no prompts, so there is nothing to stream or cache.
-  description.streamed_ = aFields.type_ == declarations::SERVICE_TYPE_MODEL;
+  description.isStreaming_ = aFields.type_ == declarations::SERVICE_TYPE_MODEL;
   description.prefix_ =
-    description.streamed_ ? routing::HashPrefix(aFields.payload_) : 0;
+    description.isStreaming_ ? routing::HashPrefix(aFields.payload_) : 0;
   description.random_ = aArrival.random_;
   return description;
 }
@@ -178,7 +178,7 @@
              const caller::CallRequest& aRequest,
              const Arrival& aArrival)
 {
-  const OnlineFields parts{
+  const OnlineFields fields{
     aRequest.service(),
     aRequest.kind(),
     aRequest.request_key(),
@@ -187,7 +187,7 @@
     aRequest.max_tokens(),
     declarations::SERVICE_TYPE_MODEL,
   };
-  return Describe(aConfiguration, aPartner, parts, aArrival);
+  return Describe(aConfiguration, aPartner, fields, aArrival);
 }
 
 base::Result<OnlineDescription>
@@ -196,7 +196,7 @@
                     const caller::ServiceCallRequest& aRequest,
                     const Arrival& aArrival)
 {
-  const OnlineFields parts{
+  const OnlineFields fields{
     aRequest.service(),
     aRequest.kind(),
     aRequest.request_key(),
@@ -205,10 +205,10 @@
     0,
     declarations::SERVICE_TYPE_PLAIN,
   };
-  return Describe(aConfiguration, aPartner, parts, aArrival);
+  return Describe(aConfiguration, aPartner, fields, aArrival);
 }
 
-base::Result<JobTerms>
+base::Result<CheckedJobHeader>
 DescribeJob(const configuration::Snapshot& aConfiguration,
             const declarations::Partner& aPartner,
             const caller::JobHeader& aHeader,
@@ -240,22 +240,24 @@
                   ? "the due time has passed"
                   : "the due time is later than the request kind allows");
   }
-  JobTerms terms;
-  terms.job_.partner_ = aPartner.name();
-  terms.job_.service_ = aHeader.service();
-  terms.job_.kind_ = aHeader.kind();
-  terms.job_.key_ = aHeader.job_key();
-  terms.job_.dueUnixMs_ = due;
-  terms.job_.retentionS_ = OrDefault(kind->retention_s(), kDefaultRetentionS);
-  terms.job_.maxTokens_ = maxTokens;
-  terms.job_.maxAttempts_ =
+  CheckedJobHeader checkedHeader;
+  checkedHeader.job_.partner_ = aPartner.name();
+  checkedHeader.job_.service_ = aHeader.service();
+  checkedHeader.job_.kind_ = aHeader.kind();
+  checkedHeader.job_.key_ = aHeader.job_key();
+  checkedHeader.job_.dueUnixMs_ = due;
+  checkedHeader.job_.retentionS_ =
+    OrDefault(kind->retention_s(), kDefaultRetentionS);
+  checkedHeader.job_.maxTokens_ = maxTokens;
+  checkedHeader.job_.maxAttempts_ =
     OrDefault(kind->max_attempts(), kDefaultMaxAttempts);
-  terms.job_.idempotent_ =
+  checkedHeader.job_.idempotent_ =
     kind->idempotency() == declarations::IDEMPOTENCY_IDEMPOTENT;
-  terms.maxItemBytes_ = OrDefault(kind->max_item_bytes(), kDefaultMaxItemBytes);
-  terms.maxItems_ = OrDefault(kind->max_items(), kDefaultMaxItems);
-  terms.declaredItems_ = aHeader.items();
-  return terms;
+  checkedHeader.maxItemBytes_ =
+    OrDefault(kind->max_item_bytes(), kDefaultMaxItemBytes);
+  checkedHeader.maxItems_ = OrDefault(kind->max_items(), kDefaultMaxItems);
+  checkedHeader.declaredItems_ = aHeader.items();
+  return checkedHeader;
 }
 
 base::Result<std::string>
--- a/Libraries/LibEntry/RequestChecks.h
+++ b/Libraries/LibEntry/RequestChecks.h
@@ -19,8 +19,8 @@
 {
   base::Instant now_;
   base::WallTime wallNow_;
-  /// Time until the caller's own deadline; Duration::max() without one.
-  base::Duration allowed_ = base::Duration::max();
+  /// Time until the caller's gRPC deadline; Duration::max() if there is none.
+  base::Duration timeLeft_ = base::Duration::max();
   std::uint64_t random_ = 0;
   std::uint64_t secondRandom_ = 0;
 };
@@ -57,9 +57,9 @@
                     const caller::ServiceCallRequest& aRequest,
                     const Arrival& aArrival);
 
-/// A job as described by its header. Its ID, key, count and digest are set by
-/// JobSpool.
-struct JobTerms
+/// A job as described by its header. Its ID, item count and digest, and the key
+/// if the caller gave none, are set by JobSpool.
+struct CheckedJobHeader
 {
   wire::JobDescription job_;
   std::uint32_t maxItemBytes_ = 0;
@@ -68,7 +68,7 @@
 };
 
 /// Validates the header of a job.
-base::Result<JobTerms>
+base::Result<CheckedJobHeader>
 DescribeJob(const configuration::Snapshot& aConfiguration,
             const declarations::Partner& aPartner,
             const caller::JobHeader& aHeader,
--- a/Libraries/LibEntry/ResultsReader.cpp
+++ b/Libraries/LibEntry/ResultsReader.cpp
@@ -37,16 +37,17 @@
   request.partner_ = partner_;
   request.from_ = from_;
   request.limit_ = kPageItems;
-  core_->owners_->Call(job_,
-                       std::move(request),
-                       kPageTimeout,
-                       [self = shared_from_this()](OwnerCalls::Reply aReply) {
-                         self->OnPage(std::move(aReply));
-                       });
+  core_->ownerCalls_->Call(
+    job_,
+    std::move(request),
+    kPageTimeout,
+    [self = shared_from_this()](OwnerCalls::ReplyOrFailure aReply) {
+      self->OnPage(std::move(aReply));
+    });
 }
 
 void
-ResultsReader::OnDrained()
+ResultsReader::OnPageWritten()
 {
   if (ended_) {
     stream_->Close(grpc::Status::OK);
@@ -56,7 +57,7 @@
 }
 
 void
-ResultsReader::OnPage(OwnerCalls::Reply aReply)
+ResultsReader::OnPage(OwnerCalls::ReplyOrFailure aReply)
 {
   if (const auto* failure = std::get_if<base::Failure>(&aReply)) {
     stream_->Close(MakeStatus(MakeOutcome(
--- a/Libraries/LibEntry/ResultsReader.h
+++ b/Libraries/LibEntry/ResultsReader.h
@@ -31,11 +31,11 @@
   /// Requests the next page from the owner.
   void Fetch();
 
-  /// Called when the last page was written.
-  void OnDrained();
+  /// Called when all items of the fetched page were written.
+  void OnPageWritten();
 
 private:
-  void OnPage(OwnerCalls::Reply aReply);
+  void OnPage(OwnerCalls::ReplyOrFailure aReply);
   void FinishOrPoll();
 
   std::shared_ptr<EntryCore> core_;
@@ -44,7 +44,7 @@
   wire::JobId job_;
   std::uint32_t from_;
   bool follow_;
-  bool ended_ = false;
+  bool ended_ = false; ///< The fetched page is the last one of an ended job.
 };
 
 } // namespace pumiceturn::entry
--- a/Libraries/LibEntry/ServiceCall.cpp
+++ b/Libraries/LibEntry/ServiceCall.cpp
@@ -35,11 +35,11 @@
 ServiceCall::Begin(OnlineDescription aDescription)
 {
   key_ = aDescription.record_.key_;
-  const std::uint64_t call =
-    core_->online_->Start(std::move(aDescription),
-                          [self = shared_from_this()](OnlineAction aEmission) {
-                            self->OnEmission(std::move(aEmission));
-                          });
+  const std::uint64_t call = core_->onlineCalls_->Start(
+    std::move(aDescription),
+    [self = shared_from_this()](OnlineAction aEmission) {
+      self->OnEmission(std::move(aEmission));
+    });
   bool isCancelled = false;
   {
     const std::lock_guard lock(mutex_);
@@ -47,7 +47,7 @@
     isCancelled = cancelled_;
   }
   if (isCancelled) {
-    core_->online_->Cancel(call);
+    core_->onlineCalls_->Cancel(call);
   }
 }
 
@@ -63,7 +63,7 @@
   FinishOnce(grpc::Status::CANCELLED);
   if (call != 0) {
     core_->context_.pool_.Post(
-      [core = core_, call] { core->online_->Cancel(call); });
+      [core = core_, call] { core->onlineCalls_->Cancel(call); });
   }
 }
 
--- a/Libraries/LibRouting/EndpointChooser.cpp
+++ b/Libraries/LibRouting/EndpointChooser.cpp
@@ -68,7 +68,7 @@
   if (!hasSamePositions) {
     prefixes_ = {}; // The estimate refers to endpoints by position.
   }
-  RebuildEligible();
+  RebuildEligibleAndTotals();
 }
 
 void
@@ -77,7 +77,7 @@
   Endpoint* endpoint = Find(aEndpoint);
   if (endpoint != nullptr && endpoint->linked_ != aIsLinked) {
     endpoint->linked_ = aIsLinked;
-    RebuildEligible();
+    RebuildEligibleAndTotals();
   }
 }
 
@@ -86,7 +86,7 @@
 {
   if (Endpoint* endpoint = Find(aEndpoint)) {
     endpoint->drained_ = aIsDrained;
-    RebuildEligible();
+    RebuildEligibleAndTotals();
   }
 }
 
@@ -115,7 +115,7 @@
   for (const std::uint64_t prefix : aHeartbeat.prefixesDropped_) {
     prefixes_.Drop(position, prefix);
   }
-  RebuildEligible();
+  RebuildEligibleAndTotals();
 }
 
 void
@@ -129,7 +129,7 @@
   endpoint->othersLoad_ = 0;
   endpoint->reportedAt_.reset();
   prefixes_.Clear(positions_.at(std::string(aEndpoint)));
-  RebuildEligible();
+  RebuildEligibleAndTotals();
 }
 
 void
@@ -142,7 +142,7 @@
     return;
   }
   ++endpoint->inFlight_;
-  endpoint->suspects_ += aIsSuspect ? 1 : 0;
+  endpoint->suspectsInFlight_ += aIsSuspect ? 1 : 0;
   totalLoad_ += IsEligible(*endpoint) ? 1 : 0;
   prefixes_.Add(positions_.at(std::string(aEndpoint)), aPrefix);
 }
@@ -159,8 +159,8 @@
   }
   UpdateAvoidance(*endpoint, aOutcome, aNow);
   --endpoint->inFlight_;
-  if (aIsSuspect && endpoint->suspects_ > 0) {
-    --endpoint->suspects_;
+  if (aIsSuspect && endpoint->suspectsInFlight_ > 0) {
+    --endpoint->suspectsInFlight_;
   }
   if (IsEligible(*endpoint) && totalLoad_ > 0) {
     --totalLoad_;
@@ -241,7 +241,7 @@
 }
 
 bool
-EndpointChooser::IsCandidate(const Endpoint& aEndpoint,
+EndpointChooser::IsAllowedBy(const Endpoint& aEndpoint,
                              const ChoiceRequest& aRequest) const
 {
   return !IsExcluded(aEndpoint.description_.name_, aRequest.excluded_);
@@ -270,7 +270,7 @@
 double
 EndpointChooser::MeanOthersLoad() const
 {
-  return static_cast<double>(totalOthers_) /
+  return static_cast<double>(totalOthersLoad_) /
          static_cast<double>(std::max<std::size_t>(eligible_.size(), 1));
 }
 
@@ -282,38 +282,38 @@
 }
 
 void
-EndpointChooser::RebuildEligible()
+EndpointChooser::RebuildEligibleAndTotals()
 {
   eligible_.clear();
   totalLoad_ = 0;
   totalCapacity_ = 0;
-  totalOthers_ = 0;
+  totalOthersLoad_ = 0;
   for (std::size_t index = 0; index < endpoints_.size(); ++index) {
     const Endpoint& endpoint = endpoints_[index];
     if (IsEligible(endpoint)) {
       eligible_.push_back(index);
       totalLoad_ += endpoint.inFlight_ + endpoint.othersLoad_;
       totalCapacity_ += endpoint.description_.capacity_;
-      totalOthers_ += endpoint.othersLoad_;
+      totalOthersLoad_ += endpoint.othersLoad_;
     }
   }
 }
 
 std::optional<std::size_t>
 EndpointChooser::PickRandom(const ChoiceRequest& aRequest,
-                            std::optional<std::size_t> aOther,
+                            std::optional<std::size_t> aExcept,
                             base::Instant aNow,
                             std::mt19937_64& aRandom) const
 {
   if (eligible_.empty()) {
     return std::nullopt;
   }
-  const auto isCandidate = [&](std::size_t aIndex) {
-    return aIndex != aOther && IsCandidate(endpoints_[aIndex], aRequest);
+  const auto isUsable = [&](std::size_t aIndex) {
+    return aIndex != aExcept && IsAllowedBy(endpoints_[aIndex], aRequest);
   };
   for (int draw = 0; draw < kMaxRandomDraws; ++draw) {
     const std::size_t index = eligible_[aRandom() % eligible_.size()];
-    if (isCandidate(index) && endpoints_[index].avoidedUntil_ <= aNow) {
+    if (isUsable(index) && endpoints_[index].avoidedUntil_ <= aNow) {
       return index;
     }
   }
@@ -321,7 +321,7 @@
   const std::size_t first = aRandom() % eligible_.size();
   for (std::size_t step = 0; step < eligible_.size(); ++step) {
     const std::size_t index = eligible_[(first + step) % eligible_.size()];
-    if (!isCandidate(index)) {
+    if (!isUsable(index)) {
       continue;
     }
     if (endpoints_[index].avoidedUntil_ <= aNow) {
@@ -343,17 +343,17 @@
   double bestLoad = 0.0;
   for (const std::size_t index : prefixes_.HoldersOf(aRequest.prefix_)) {
     const Endpoint& endpoint = endpoints_[index];
-    const bool isCandidate = IsEligible(endpoint) &&
-                             IsCandidate(endpoint, aRequest) &&
-                             endpoint.avoidedUntil_ <= aNow;
-    if (!isCandidate) {
+    const bool isUsable = IsEligible(endpoint) &&
+                          IsAllowedBy(endpoint, aRequest) &&
+                          endpoint.avoidedUntil_ <= aNow;
+    if (!isUsable) {
       continue;
     }
     const double load = EstimateLoad(endpoint, aNow);
     const double loadOfOneRequest =
       1.0 / std::max<std::uint32_t>(endpoint.description_.capacity_, 1);
-    const bool isBounded = load <= bound + loadOfOneRequest;
-    if (isBounded && (!best.has_value() || load < bestLoad)) {
+    const bool isWithinBound = load <= bound + loadOfOneRequest;
+    if (isWithinBound && (!best.has_value() || load < bestLoad)) {
       best = index;
       bestLoad = load;
     }
@@ -407,7 +407,7 @@
       endpoint.description_.failureDomain_ == failureDomain_;
     // Two suspects on one endpoint would make it impossible to tell which of
     // them crashed it. The penalty outweighs any difference in load.
-    const bool hasSuspect = aRequest.suspect_ && endpoint.suspects_ > 0;
+    const bool hasSuspect = aRequest.suspect_ && endpoint.suspectsInFlight_ > 0;
     constexpr double kSuspectPenalty = 1e6;
     return EstimateLoad(endpoint, aNow) +
            (isSameDomain ? 0.0 : aPolicy.domainPenalty_) +
@@ -430,7 +430,7 @@
 {
   for (std::size_t step = 0; step < eligible_.size(); ++step) {
     const std::size_t index = eligible_[aPolicy.next_++ % eligible_.size()];
-    if (IsCandidate(endpoints_[index], aRequest)) {
+    if (IsAllowedBy(endpoints_[index], aRequest)) {
       return Describe(index, ChoiceReason::InTurn, aNow);
     }
   }
--- a/Libraries/LibRouting/EndpointChooser.h
+++ b/Libraries/LibRouting/EndpointChooser.h
@@ -67,7 +67,7 @@
 {
   std::string name_;
   std::string failureDomain_;
-  /// Concurrent runs; replaced by the value in heartbeats.
+  /// Maximum number of concurrent runs, until a heartbeat reports it.
   std::uint32_t capacity_ = 1;
 
   bool operator==(const EndpointDescription&) const = default;
@@ -90,17 +90,18 @@
   double load_ = 0.0; ///< Estimated load as a share of capacity.
   std::string other_; ///< The other candidate; empty if there was none.
   double otherLoad_ = 0.0;
+  /// Age of the last heartbeat; Duration::max() if there was none.
   base::Duration reportAge_{ 0 };
 };
 
 /// Chooses an endpoint for each request of one service.
 ///
-/// An endpoint's load is the number of own requests in flight plus the load
-/// from other hosts in the agent's last heartbeat. As that report ages, it is
-/// gradually replaced by the mean over all endpoints. The cost of a choice
-/// doesn't grow with the number of endpoints.
+/// An endpoint's load is the number of this host's requests in flight there
+/// plus the load from other hosts in the agent's last heartbeat. As that report
+/// ages, it is gradually replaced by the mean over all endpoints. The cost of a
+/// choice usually doesn't grow with the number of endpoints.
 ///
-/// Not thread-safe: the owner holds the routing table's lock.
+/// Not thread-safe; the caller must hold a lock.
 class EndpointChooser
 {
 public:
@@ -153,7 +154,8 @@
                                              base::Instant aNow,
                                              std::mt19937_64& aRandom);
 
-  /// @return whether at least one endpoint is linked and not draining.
+  /// @return whether at least one endpoint is linked and neither drained nor
+  /// draining.
   [[nodiscard]] bool HasEligible() const;
 
   /// @return the shortest expected wait in milliseconds that an eligible
@@ -170,7 +172,7 @@
     bool drained_ = false;  ///< Set by operators or the host list.
     bool draining_ = false; ///< Reported by the endpoint itself.
     std::uint32_t inFlight_ = 0;
-    std::uint32_t suspects_ = 0;
+    std::uint32_t suspectsInFlight_ = 0;
     std::uint32_t othersLoad_ = 0; ///< Reported load from other hosts.
     std::uint32_t expectedWaitMs_ = 0;
     std::uint32_t consecutiveFailures_ = 0;
@@ -180,7 +182,7 @@
 
   [[nodiscard]] Endpoint* Find(std::string_view aName);
   [[nodiscard]] static bool IsEligible(const Endpoint& aEndpoint);
-  [[nodiscard]] bool IsCandidate(const Endpoint& aEndpoint,
+  [[nodiscard]] bool IsAllowedBy(const Endpoint& aEndpoint,
                                  const ChoiceRequest& aRequest) const;
   static void UpdateAvoidance(Endpoint& aEndpoint,
                               RunOutcome aOutcome,
@@ -189,10 +191,10 @@
                                     base::Instant aNow) const;
   [[nodiscard]] double MeanLoad() const;
   [[nodiscard]] double MeanOthersLoad() const;
-  void RebuildEligible();
+  void RebuildEligibleAndTotals();
   [[nodiscard]] std::optional<std::size_t> PickRandom(
     const ChoiceRequest& aRequest,
-    std::optional<std::size_t> aOther,
+    std::optional<std::size_t> aExcept,
     base::Instant aNow,
     std::mt19937_64& aRandom) const;
   [[nodiscard]] std::optional<std::size_t> PickPrefixHolder(
@@ -220,9 +222,10 @@
   std::vector<Endpoint> endpoints_;
   std::unordered_map<std::string, std::size_t> positions_;
   std::vector<std::size_t> eligible_; ///< Positions in endpoints_.
-  std::uint64_t totalLoad_ = 0;       ///< Own and others', eligible only.
+  /// Runs of this and other hosts at eligible endpoints.
+  std::uint64_t totalLoad_ = 0;
   std::uint64_t totalCapacity_ = 0;   ///< Of eligible endpoints.
-  std::uint64_t totalOthers_ = 0;     ///< Load from other hosts.
+  std::uint64_t totalOthersLoad_ = 0; ///< Load from other hosts.
   PrefixEstimate prefixes_;
 };
 
--- a/Libraries/LibRouting/Fingerprint.cpp
+++ b/Libraries/LibRouting/Fingerprint.cpp
@@ -5,6 +5,7 @@
 namespace pumiceturn::routing {
 
 namespace {
+/// Arbitrary; the same on all hosts.
 constexpr std::uint64_t kPrefixSeed = 0x70726566;
 }
 
--- a/Libraries/LibRouting/PrefixEstimate.h
+++ b/Libraries/LibRouting/PrefixEstimate.h
@@ -19,11 +19,12 @@
   static constexpr std::size_t kMaxPrefixesPerEndpoint = 512;
   static constexpr std::size_t kMaxHoldersPerPrefix = 4;
 
-  void Add(std::size_t aEndpoint, std::uint64_t aPrefix);
-  void Drop(std::size_t aEndpoint, std::uint64_t aPrefix);
+  /// @param aPrefix Hash of the prefix; 0 for none, which is ignored.
+  void Add(std::size_t aPosition, std::uint64_t aPrefix);
+  void Drop(std::size_t aPosition, std::uint64_t aPrefix);
 
   /// Removes all prefixes of an endpoint, after its process was replaced.
-  void Clear(std::size_t aEndpoint);
+  void Clear(std::size_t aPosition);
 
   /// @return positions of the endpoints that probably hold the prefix.
   [[nodiscard]] std::span<const std::size_t> HoldersOf(
--- a/Libraries/LibRouting/QuarantineTable.cpp
+++ b/Libraries/LibRouting/QuarantineTable.cpp
@@ -44,8 +44,8 @@
 {
   const std::lock_guard lock(mutex_);
   const auto isSuspect = [this, aNow](std::uint64_t aFingerprint) {
-    const auto found = entries_.find(aFingerprint);
-    return found != entries_.end() && !found->second.lifted_ &&
+    const auto found = records_.find(aFingerprint);
+    return found != records_.end() && !found->second.lifted_ &&
            found->second.expires_ > aNow;
   };
   const bool anySuspect =
@@ -59,15 +59,15 @@
       continue;
     }
     EvictIfFull(fingerprint, aNow);
-    Entry& entry = entries_[fingerprint];
-    const std::uint16_t before = isKnown ? entry.crashes_ : std::uint16_t{ 0 };
+    Record& record = records_[fingerprint];
+    const std::uint16_t before = isKnown ? record.crashes_ : std::uint16_t{ 0 };
     constexpr std::uint16_t kMaxCrashes =
       std::numeric_limits<std::uint16_t>::max();
     const auto crashes = before == kMaxCrashes
                            ? kMaxCrashes
                            : static_cast<std::uint16_t>(before + 1);
-    const bool wasLifted = entry.lifted_ || entry.crashedSinceLift_;
-    entry = Entry{ crashes, aNow + lifetime_, false, wasLifted };
+    const bool wasLifted = record.lifted_ || record.crashedSinceLift_;
+    record = Record{ crashes, aNow + lifetime_, false, wasLifted };
     counted.push_back(fingerprint);
   }
   return counted;
@@ -85,9 +85,9 @@
     const base::Instant expires =
       aNow + std::min<base::Duration>(
                std::chrono::milliseconds{ suspect.expiresInMs_ }, lifetime_);
-    const auto found = entries_.find(suspect.fingerprint_);
+    const auto found = records_.find(suspect.fingerprint_);
     const bool isLive =
-      found != entries_.end() && found->second.expires_ > aNow;
+      found != records_.end() && found->second.expires_ > aNow;
     if (isLive && found->second.lifted_) {
       continue;
     }
@@ -97,20 +97,20 @@
       }
       if (!isLive) {
         EvictIfFull(suspect.fingerprint_, aNow);
-        entries_[suspect.fingerprint_] = Entry{ 0, expires, true, false };
+        records_[suspect.fingerprint_] = Record{ 0, expires, true, false };
       } else {
         found->second.lifted_ = true;
       }
       continue;
     }
     // An equal count must not extend the expiry: two peers that exchange their
-    // tables would keep the entry alive forever.
+    // tables would keep the record alive forever.
     if (isLive && found->second.crashes_ >= suspect.crashes_) {
       continue;
     }
     EvictIfFull(suspect.fingerprint_, aNow);
-    entries_[suspect.fingerprint_] =
-      Entry{ suspect.crashes_, expires, false, false };
+    records_[suspect.fingerprint_] =
+      Record{ suspect.crashes_, expires, false, false };
   }
 }
 
@@ -118,8 +118,8 @@
 QuarantineTable::Check(std::uint64_t aFingerprint, base::Instant aNow) const
 {
   const std::lock_guard lock(mutex_);
-  const auto found = entries_.find(aFingerprint);
-  if (found == entries_.end() || found->second.lifted_ ||
+  const auto found = records_.find(aFingerprint);
+  if (found == records_.end() || found->second.lifted_ ||
       found->second.expires_ <= aNow) {
     return Suspicion::None;
   }
@@ -131,8 +131,8 @@
 QuarantineTable::Lift(std::uint64_t aFingerprint, base::Instant aNow)
 {
   const std::lock_guard lock(mutex_);
-  const auto found = entries_.find(aFingerprint);
-  if (found == entries_.end() || found->second.lifted_ ||
+  const auto found = records_.find(aFingerprint);
+  if (found == records_.end() || found->second.lifted_ ||
       found->second.expires_ <= aNow) {
     return false;
   }
@@ -145,12 +145,12 @@
 {
   const std::lock_guard lock(mutex_);
   std::vector<wire::Suspect> listed;
-  for (const auto& [fingerprint, entry] : entries_) {
-    if (entry.expires_ > aNow) {
+  for (const auto& [fingerprint, record] : records_) {
+    if (record.expires_ > aNow) {
       const std::uint16_t crashes =
-        entry.lifted_ ? std::uint16_t{ 0 } : entry.crashes_;
+        record.lifted_ ? std::uint16_t{ 0 } : record.crashes_;
       listed.push_back(wire::Suspect{
-        fingerprint, crashes, RemainingMs(entry.expires_, aNow) });
+        fingerprint, crashes, RemainingMs(record.expires_, aNow) });
     }
   }
   std::sort(listed.begin(), listed.end(), HasHigherPriority);
@@ -160,13 +160,13 @@
 void
 QuarantineTable::EvictIfFull(std::uint64_t aFingerprint, base::Instant aNow)
 {
-  if (entries_.size() < kMaxEntries || entries_.contains(aFingerprint)) {
+  if (records_.size() < kMaxEntries || records_.contains(aFingerprint)) {
     return;
   }
-  std::erase_if(entries_, [aNow](const auto& aItem) {
+  std::erase_if(records_, [aNow](const auto& aItem) {
     return aItem.second.expires_ <= aNow;
   });
-  if (entries_.size() < kMaxEntries) {
+  if (records_.size() < kMaxEntries) {
     return;
   }
   // Evicts suspects before quarantined content: it takes one more crash to
@@ -181,8 +181,8 @@
     }
     return aLeft.second.expires_ < aRight.second.expires_;
   };
-  entries_.erase(
-    std::min_element(entries_.begin(), entries_.end(), isEvictedBefore));
+  records_.erase(
+    std::min_element(records_.begin(), records_.end(), isEvictedBefore));
 }
 
 } // namespace pumiceturn::routing
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -9,7 +9,7 @@
 }
 
 void
-RetryBudget::RecordAttempt()
+RetryBudget::RecordFirstAttempt()
 {
   available_ = std::min(available_ + limits_.share_, limits_.burst_);
 }
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -5,7 +5,7 @@
 /// Limits retries to a share of first attempts, so that retries don't overload
 /// a failing fleet further.
 ///
-/// Not thread-safe: the owner holds the routing table's lock.
+/// Not thread-safe; the caller must hold a lock.
 class RetryBudget
 {
 public:
@@ -22,7 +22,7 @@
   }
 
   /// Records a first attempt, which adds share_ to the available retries.
-  void RecordAttempt();
+  void RecordFirstAttempt();
 
   /// Consumes one retry.
   /// @return false if none is available; the caller must then refuse the
--- a/Libraries/LibRouting/RunAssembler.cpp
+++ b/Libraries/LibRouting/RunAssembler.cpp
@@ -27,19 +27,20 @@
 void
 RunAssembler::SetEnd(std::uint64_t aLastSequence)
 {
-  last_ = aLastSequence;
+  endSequence_ = aLastSequence;
 }
 
 bool
 RunAssembler::HasGap() const
 {
-  return !pending_.empty() || (last_.has_value() && received_ < *last_);
+  return !pending_.empty() ||
+         (endSequence_.has_value() && received_ < *endSequence_);
 }
 
 bool
 RunAssembler::IsComplete() const
 {
-  return last_.has_value() && received_ >= *last_;
+  return endSequence_.has_value() && received_ >= *endSequence_;
 }
 
 void
--- a/Libraries/LibRouting/RunAssembler.h
+++ b/Libraries/LibRouting/RunAssembler.h
@@ -10,8 +10,9 @@
 namespace pumiceturn::routing {
 
 /// Assembles the chunks of one run in order. Chunks may be delayed, repeated or
-/// reordered after a link was replaced; without reassembly the caller would see
-/// scrambled or repeated text. Sequence numbers start at 1 and have no gaps.
+/// reordered after a link was lost and came up again; without reassembly the
+/// caller would see scrambled or repeated text. Sequence numbers start at 1 and
+/// have no gaps.
 class RunAssembler
 {
 public:
@@ -44,7 +45,7 @@
   std::string text_;
   std::uint32_t tokens_ = 0;
   std::uint64_t received_ = 0;
-  std::optional<std::uint64_t> last_;
+  std::optional<std::uint64_t> endSequence_;
   std::map<std::uint64_t, wire::Chunk> pending_;
 };
 
--- a/Libraries/LibRouting/Subset.h
+++ b/Libraries/LibRouting/Subset.h
@@ -16,9 +16,10 @@
 };
 
 /// Chooses the endpoints that a host connects to, by rendezvous hashing of host
-/// and endpoint, alternating between failure domains. Each host loses about the
-/// same share of its links with a domain, and a change in the fleet moves few
-/// links. Deterministic, so the subset is the same after a restart.
+/// and endpoint, alternating between failure domains. If a failure domain
+/// fails, each host loses about the same share of its links, and a change in
+/// the fleet moves few links. Deterministic, so the subset is the same after a
+/// restart.
 /// @param aHost Name of the connecting host.
 /// @param aSubsetSize Number of endpoints to choose; 0 chooses all.
 /// @return positions in aCandidates, best first.
--- a/Tests/LibEntry/EntryFunctionTest.cpp
+++ b/Tests/LibEntry/EntryFunctionTest.cpp
@@ -117,7 +117,7 @@
   int accepted_ = 0;
   std::optional<caller::CallFinished> finished_;
   grpc::Status status_;
-  caller::Outcome details_;
+  caller::Outcome outcome_;
 };
 
 ObservedCall
@@ -142,7 +142,7 @@
     }
   }
   observed.status_ = stream->Finish();
-  observed.details_.ParseFromString(observed.status_.error_details());
+  observed.outcome_.ParseFromString(observed.status_.error_details());
   return observed;
 }
 
@@ -171,8 +171,8 @@
                            const std::string& aToken = FakeFleet::kToken) {
     const ObservedCall observed = Call(fleet, aRequest, aToken);
     CHECK_FALSE(observed.status_.ok());
-    CHECK(observed.details_.ran() == caller::RAN_NOT_RUN);
-    return static_cast<ResultCode>(observed.details_.code());
+    CHECK(observed.outcome_.ran() == caller::RAN_NOT_RUN);
+    return static_cast<ResultCode>(observed.outcome_.code());
   };
   CHECK(refusal(MakeLookUp(), "wrong") == ResultCode::Unauthenticated);
   caller::CallRequest request = MakeLookUp();
@@ -220,7 +220,7 @@
 
 // Guards against runs that continue, and records that stay open, after the
 // caller cancelled.
-TEST_CASE("EntryFunction_CallerCancels_StopsRunAndRecordsIt")
+TEST_CASE("EntryFunction_CallerCancels_StopsRunAndRecordsCancellation")
 {
   FakeFleet fleet(AcceptingKeeper{}, BeginRun, BeginRun);
   fleet.WaitForLinks({ "agent-0", "agent-1" });
@@ -254,10 +254,10 @@
   CHECK(fleet.Entry().GetReadiness() == node::Readiness::Draining);
   CHECK_FALSE(fleet.Entry().IsIdle());
   const ObservedCall refused = Call(fleet, MakeLookUp());
-  CHECK(refused.details_.code() ==
+  CHECK(refused.outcome_.code() ==
         static_cast<std::uint32_t>(ResultCode::Draining));
-  CHECK(refused.details_.ran() == caller::RAN_NOT_RUN);
-  CHECK(refused.details_.retry_after_ms() > 0);
+  CHECK(refused.outcome_.ran() == caller::RAN_NOT_RUN);
+  CHECK(refused.outcome_.retry_after_ms() > 0);
 
   const bool isOnFirst = !fleet.Agent(0).Received<wire::StartRun>().empty();
   FakePeer& agent = fleet.Agent(isOnFirst ? 0 : 1);
@@ -353,7 +353,8 @@
 
 // Guards against repeated and missing results when gRPC writes faster than the
 // entry queues a page.
-TEST_CASE("EntryFunction_CallerFasterThanPage_GetsEachResultOnceInOrder")
+TEST_CASE(
+  "EntryFunction_CallerReadsFasterThanEntryQueues_GetsEachResultOnceInOrder")
 {
   constexpr std::uint32_t kResults = 1000;
   constexpr std::uint32_t kPage = 256;
--- a/Tests/LibEntry/FakeFleet.h
+++ b/Tests/LibEntry/FakeFleet.h
@@ -86,7 +86,7 @@
 
   std::mutex mutex_;
   std::condition_variable linked_;
-  std::set<std::string> up_; ///< Peers whose link was reported to the entry.
+  std::set<std::string> up_; ///< Peers whose link has come up.
   bool isStarted_ = false;
   settings::Settings settings_;
   std::unique_ptr<FakePeer> keeper_;
--- a/Tests/LibEntry/JobSpoolTest.cpp
+++ b/Tests/LibEntry/JobSpoolTest.cpp
@@ -12,10 +12,10 @@
 {
   JobSpoolFixture()
   {
-    terms_.job_.partner_ = "society";
-    terms_.job_.service_ = "origin-llm";
-    terms_.maxItemBytes_ = 1000;
-    terms_.maxItems_ = 10000;
+    header_.job_.partner_ = "society";
+    header_.job_.service_ = "origin-llm";
+    header_.maxItemBytes_ = 1000;
+    header_.maxItems_ = 10000;
   }
 
   /// @return the error code, or Ok if the item was accepted.
@@ -26,9 +26,9 @@
     return CodeOf(base::Capture([&] { return aSpool.Add(aName, aPayload); }));
   }
 
-  static ResultCode Seal(JobSpool& aSpool)
+  static ResultCode Complete(JobSpool& aSpool)
   {
-    return CodeOf(base::Capture([&] { return aSpool.Seal(); }));
+    return CodeOf(base::Capture([&] { return aSpool.Complete(); }));
   }
 
   static ResultCode CodeOf(const base::Outcome<std::monostate>& aOutcome)
@@ -37,7 +37,7 @@
     return failure == nullptr ? ResultCode::Ok : failure->code_;
   }
 
-  JobTerms terms_;
+  CheckedJobHeader header_;
   SpoolBudget budget_;
 };
 
@@ -45,14 +45,14 @@
 
 TEST_CASE_METHOD(JobSpoolFixture, "JobSpool_ManyItems_AreReadInBoundedFrames")
 {
-  JobSpool spool(terms_, budget_);
+  JobSpool spool(header_, budget_);
   constexpr std::uint32_t kItems = 5000;
   const std::string padding(200, 'x');
   for (std::uint32_t item = 0; item < kItems; ++item) {
     REQUIRE(Add(spool, std::to_string(item), padding + std::to_string(item)) ==
             ResultCode::Ok);
   }
-  REQUIRE(Seal(spool) == ResultCode::Ok);
+  REQUIRE(Complete(spool) == ResultCode::Ok);
   std::uint32_t next = 0;
   bool isLast = false;
   while (!isLast) {
@@ -64,7 +64,7 @@
       bytes += item.payload_.size();
       ++next;
     }
-    CHECK(bytes < JobSpool::kTargetFrameBytes + terms_.maxItemBytes_);
+    CHECK(bytes < JobSpool::kTargetFrameBytes + header_.maxItemBytes_);
     isLast = frame.last_;
   }
   CHECK(next == kItems);
@@ -76,28 +76,28 @@
 TEST_CASE_METHOD(JobSpoolFixture, "JobSpool_NoKey_DerivesKeyFromContent")
 {
   const auto keyOf = [this](std::string_view aName, std::string_view aPayload) {
-    JobSpool spool(terms_, budget_);
+    JobSpool spool(header_, budget_);
     CHECK(Add(spool, aName, aPayload) == ResultCode::Ok);
-    CHECK(Seal(spool) == ResultCode::Ok);
+    CHECK(Complete(spool) == ResultCode::Ok);
     return spool.Job().key_;
   };
   CHECK(keyOf("a", "bc") == keyOf("a", "bc"));
   CHECK(keyOf("a", "bc") != keyOf("ab", "c"));
   const std::string before = keyOf("a", "bc");
-  terms_.job_.kind_ = "other";
+  header_.job_.kind_ = "other";
   CHECK(keyOf("a", "bc") != before);
 }
 
 TEST_CASE_METHOD(JobSpoolFixture, "JobSpool_LimitExceeded_ReturnsMatchingCode")
 {
-  terms_.maxItems_ = 1;
-  terms_.declaredItems_ = 2;
-  JobSpool spool(terms_, budget_);
-  CHECK(Seal(spool) == ResultCode::InvalidRequest);
+  header_.maxItems_ = 1;
+  header_.declaredItems_ = 2;
+  JobSpool spool(header_, budget_);
+  CHECK(Complete(spool) == ResultCode::InvalidRequest);
   CHECK(Add(spool, "n", std::string(1001, 'x')) == ResultCode::ItemTooLarge);
   CHECK(Add(spool, "n", "x") == ResultCode::Ok);
   CHECK(Add(spool, "n", "x") == ResultCode::TooManyItems);
-  CHECK(Seal(spool) == ResultCode::InvalidRequest);
+  CHECK(Complete(spool) == ResultCode::InvalidRequest);
 }
 
 // Guards against exceeding the entry's memory limit when many jobs are
@@ -107,12 +107,12 @@
 {
   REQUIRE(budget_.TryReserve(SpoolBudget::kMaxBytes));
   {
-    JobSpool spool(terms_, budget_);
+    JobSpool spool(header_, budget_);
     CHECK(Add(spool, "n", "x") == ResultCode::Overloaded);
   }
   budget_.Release(SpoolBudget::kMaxBytes);
   {
-    JobSpool spool(terms_, budget_);
+    JobSpool spool(header_, budget_);
     CHECK(Add(spool, "n", "x") == ResultCode::Ok);
   }
   CHECK(budget_.TryReserve(SpoolBudget::kMaxBytes));
--- a/Tests/LibEntry/OnlineRequestTest.cpp
+++ b/Tests/LibEntry/OnlineRequestTest.cpp
@@ -31,15 +31,16 @@
     Collect();
   }
 
-  /// Collects the actions and reports the result of each message to the owner.
+  /// Collects the actions and tells the request whether each message to the
+  /// owner could be sent.
   void Collect()
   {
-    for (bool isOpen = true; isOpen;) {
-      isOpen = false;
-      for (OnlineAction& action : request_->DrainActions()) {
+    for (bool hasNewActions = true; hasNewActions;) {
+      hasNewActions = false;
+      for (OnlineAction& action : request_->TakeActions()) {
         if (std::holds_alternative<SendToOwner>(action) && isOwnerUp_) {
           request_->OnOwnerSent(now_);
-          isOpen = true;
+          hasNewActions = true;
         } else if (std::holds_alternative<SendToOwner>(action)) {
           request_->OnOwnerUnreachable(now_);
         }
@@ -57,7 +58,7 @@
 
   /// @return the collected actions of one type, which are removed.
   template<typename Action>
-  std::vector<Action> Drain()
+  std::vector<Action> Take()
   {
     std::vector<Action> matches;
     for (const OnlineAction& action : actions_) {
@@ -72,7 +73,7 @@
   }
 
   template<typename Message>
-  std::vector<Message> DrainSent()
+  std::vector<Message> TakeSent()
   {
     std::vector<Message> matches;
     const auto addMatch = [&matches](const wire::Message& aMessage) {
@@ -95,7 +96,7 @@
   void AssignEndpoint(const std::string& aName)
   {
     Apply([&](OnlineRequest& aRequest) { aRequest.OnEndpoint(aName, now_); });
-    const auto starts = DrainSent<wire::StartRun>();
+    const auto starts = TakeSent<wire::StartRun>();
     REQUIRE(starts.size() == 1);
     run_ = starts.front().run_;
     endpoint_ = aName;
@@ -159,7 +160,7 @@
   std::string StreamedText()
   {
     std::string text;
-    for (const EmitChunk& chunk : Drain<EmitChunk>()) {
+    for (const EmitChunk& chunk : Take<EmitChunk>()) {
       text += chunk.text_;
     }
     return text;
@@ -167,18 +168,18 @@
 
   EmitFinished DrainFinished()
   {
-    const auto finished = Drain<EmitFinished>();
+    const auto finished = Take<EmitFinished>();
     REQUIRE(finished.size() == 1);
-    CHECK(Drain<EmitFailed>().empty());
+    CHECK(Take<EmitFailed>().empty());
     CHECK(request_->IsDone());
     return finished.front();
   }
 
-  EmitFailed DrainFailed()
+  EmitFailed TakeFailed()
   {
-    const auto failed = Drain<EmitFailed>();
+    const auto failed = Take<EmitFailed>();
     REQUIRE(failed.size() == 1);
-    CHECK(Drain<EmitFinished>().empty());
+    CHECK(Take<EmitFinished>().empty());
     return failed.front();
   }
 
@@ -196,7 +197,7 @@
   AtMostOnceFixture()
   {
     description_.record_.idempotent_ = false;
-    description_.streamed_ = false;
+    description_.isStreaming_ = false;
   }
 };
 
@@ -216,20 +217,20 @@
                  "OnlineRequest_AnswerBeforeRecord_IsHeldUntilDurable")
 {
   Begin();
-  CHECK(DrainSent<wire::RecordRequest>().size() == 1);
-  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  CHECK(TakeSent<wire::RecordRequest>().size() == 1);
+  CHECK(Take<ChooseEndpoint>().size() == 1);
   AssignEndpoint("e1");
   ReceiveChunk(1, "from ");
   ReceiveChunk(2, "Fyn");
-  CHECK(Drain<EmitAccepted>().empty());
+  CHECK(Take<EmitAccepted>().empty());
   CHECK(StreamedText().empty());
 
   ReceiveRecordReply();
-  CHECK(Drain<EmitAccepted>().size() == 1);
+  CHECK(Take<EmitAccepted>().size() == 1);
   CHECK(StreamedText() == "from Fyn");
   ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 2);
-  CHECK(Drain<EmitFinished>().empty());
-  const auto results = DrainSent<wire::RecordResult>();
+  CHECK(Take<EmitFinished>().empty());
+  const auto results = TakeSent<wire::RecordResult>();
   REQUIRE(results.size() == 1);
   CHECK(results.front().result_.text_ == "from Fyn");
 
@@ -237,7 +238,7 @@
   const EmitFinished finished = DrainFinished();
   CHECK(finished.isTextStreamed_);
   CHECK_FALSE(finished.replacesChunks_);
-  CHECK(DrainSent<wire::RunRecorded>().size() == 1);
+  CHECK(TakeSent<wire::RunRecorded>().size() == 1);
 }
 
 // Guards against repeated text after a rerun of a request that was partly
@@ -249,10 +250,10 @@
   AssignEndpoint("e1");
   ReceiveRecordReply();
   ReceiveChunk(1, "Sommer");
-  Drain<ChooseEndpoint>();
+  Take<ChooseEndpoint>();
   SetLinkState(wire::LinkState::Replaced);
   AdvanceTime(20ms);
-  const auto again = Drain<ChooseEndpoint>();
+  const auto again = Take<ChooseEndpoint>();
   REQUIRE(again.size() == 1);
   CHECK(again.front().isRetry_);
   CHECK(request_->Tried().front() == "e1");
@@ -292,9 +293,8 @@
 
 // Guards against missing or repeated chunks when the link is replaced while
 // streaming.
-TEST_CASE_METHOD(
-  OnlineFixture,
-  "OnlineRequest_LinkReplacedWhileStreaming_ReattachesBySequence")
+TEST_CASE_METHOD(OnlineFixture,
+                 "OnlineRequest_LinkLostAndUpAgain_RequestsMissingChunks")
 {
   Begin();
   AssignEndpoint("e1");
@@ -303,7 +303,7 @@
   SetLinkState(wire::LinkState::Lost);
   AdvanceTime(100ms);
   SetLinkState(wire::LinkState::Up);
-  const auto attached = DrainSent<wire::AttachRun>();
+  const auto attached = TakeSent<wire::AttachRun>();
   REQUIRE(attached.size() == 1);
   CHECK(attached.front().receivedSequence_ == 1);
   AdvanceTime(OnlineRequest::kEndpointGracePeriod);
@@ -313,14 +313,14 @@
   ReceiveChunk(4, "d");
   ReceiveChunk(2, "b");
   CHECK(StreamedText() == "abcd");
-  CHECK(DrainSent<wire::RecordResult>().size() == 1);
-  CHECK(DrainSent<wire::CancelRun>().empty());
+  CHECK(TakeSent<wire::RecordResult>().size() == 1);
+  CHECK(TakeSent<wire::CancelRun>().empty());
 }
 
 // Guards against mixing in the answer of an abandoned run after the request was
 // rerun elsewhere.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_AnswerLostAfterRun_RerunsAndIgnoresOldAnswer")
+                 "OnlineRequest_LinkStaysLost_RerunsAndIgnoresOldChunks")
 {
   Begin();
   AssignEndpoint("e1");
@@ -328,7 +328,7 @@
   const wire::RunId old = run_;
   SetLinkState(wire::LinkState::Lost);
   AdvanceTime(OnlineRequest::kEndpointGracePeriod);
-  CHECK(DrainSent<wire::CancelRun>().size() == 1);
+  CHECK(TakeSent<wire::CancelRun>().size() == 1);
   AdvanceTime(20ms);
   AssignEndpoint("e2");
   const wire::RunId current = run_;
@@ -348,11 +348,11 @@
   AssignEndpoint("e1");
   ReceiveRecordReply();
   ReceiveRunEnded(ResultCode::EndpointCrashed, Ran::Ran);
-  CHECK(Drain<QuarantineContent>().empty());
+  CHECK(Take<QuarantineContent>().empty());
   AdvanceTime(20ms);
   AssignEndpoint("e2");
   ReceiveRunEnded(ResultCode::EndpointCrashed, Ran::Ran);
-  CHECK(Drain<QuarantineContent>().size() == 1);
+  CHECK(Take<QuarantineContent>().size() == 1);
   ReceiveResultReply();
   const EmitFinished finished = DrainFinished();
   CHECK(finished.result_.code_ == ResultCode::Quarantined);
@@ -366,17 +366,17 @@
 {
   description_.quarantined_ = true;
   Begin();
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
   ReceiveRecordReply();
-  CHECK(Drain<EmitFailed>().empty());
-  const auto withdrawn = DrainSent<wire::RecordResult>();
+  CHECK(Take<EmitFailed>().empty());
+  const auto withdrawn = TakeSent<wire::RecordResult>();
   REQUIRE(withdrawn.size() == 1);
   CHECK(withdrawn.front().result_.ran_ == Ran::NotRun);
   ReceiveResultReply();
-  const EmitFailed failed = DrainFailed();
+  const EmitFailed failed = TakeFailed();
   CHECK(failed.code_ == ResultCode::Quarantined);
   CHECK(failed.ran_ == Ran::NotRun);
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
 }
 
 // Guards against a second answer when a call is resent while the first one is
@@ -388,8 +388,8 @@
   AssignEndpoint("e1");
   ReceiveChunk(1, "mine");
   ReceiveRecordReply(wire::RecordState::Running);
-  CHECK(DrainSent<wire::CancelRun>().size() == 1);
-  const auto accepted = Drain<EmitAccepted>();
+  CHECK(TakeSent<wire::CancelRun>().size() == 1);
+  const auto accepted = Take<EmitAccepted>();
   REQUIRE(accepted.size() == 1);
   CHECK(accepted.front().duplicate_);
   ReceiveRecordReply(wire::RecordState::Finished,
@@ -403,17 +403,18 @@
 
 // Guards against a duplicate that waits forever after the first call was
 // withdrawn.
-TEST_CASE_METHOD(OnlineFixture, "OnlineRequest_FirstCallWithdrawn_RunsItself")
+TEST_CASE_METHOD(OnlineFixture,
+                 "OnlineRequest_FirstCallWithdrawn_DuplicateRuns")
 {
   Begin();
   AssignEndpoint("e1");
   ReceiveRecordReply(wire::RecordState::Running);
-  Drain<ChooseEndpoint>();
-  DrainSent<wire::RecordRequest>();
+  Take<ChooseEndpoint>();
+  TakeSent<wire::RecordRequest>();
   AdvanceTime(1s);
-  CHECK(DrainSent<wire::RecordRequest>().size() == 1);
+  CHECK(TakeSent<wire::RecordRequest>().size() == 1);
   ReceiveRecordReply(wire::RecordState::New);
-  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  CHECK(Take<ChooseEndpoint>().size() == 1);
   AssignEndpoint("e2");
   ReceiveChunk(1, "now");
   CHECK(StreamedText() == "now");
@@ -431,11 +432,11 @@
   ReceiveChunk(1, "x");
   isOwnerUp_ = false;
   ReceiveRunEnded(ResultCode::Ok, Ran::Ran, 1);
-  CHECK(DrainSent<wire::RecordResult>().size() == 1);
-  CHECK(Drain<EmitFinished>().empty());
+  CHECK(TakeSent<wire::RecordResult>().size() == 1);
+  CHECK(Take<EmitFinished>().empty());
   isOwnerUp_ = true;
   Apply([](OnlineRequest& aRequest) { aRequest.OnOwnerChanged(); });
-  CHECK(DrainSent<wire::RecordResult>().size() == 1);
+  CHECK(TakeSent<wire::RecordResult>().size() == 1);
   ReceiveResultReply();
   CHECK(DrainFinished().result_.text_ == "x");
 }
@@ -468,22 +469,23 @@
 
 // Guards against runs that continue, and records that stay open, after the
 // caller disconnected.
-TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_CallerDisconnects_CancelsRunAndRecordsIt")
+TEST_CASE_METHOD(
+  OnlineFixture,
+  "OnlineRequest_CallerDisconnects_CancelsRunAndRecordsCancellation")
 {
   Begin();
   AssignEndpoint("e1");
   Apply([&](OnlineRequest& aRequest) { aRequest.OnCallerGone(now_); });
-  CHECK(DrainSent<wire::CancelRun>().size() == 1);
+  CHECK(TakeSent<wire::CancelRun>().size() == 1);
   CHECK_FALSE(request_->IsDone());
   ReceiveRecordReply();
-  const auto results = DrainSent<wire::RecordResult>();
+  const auto results = TakeSent<wire::RecordResult>();
   REQUIRE(results.size() == 1);
   CHECK(results.front().result_.code_ == ResultCode::Cancelled);
   CHECK(results.front().result_.ran_ == Ran::Unknown);
   ReceiveResultReply();
   CHECK(request_->IsDone());
-  CHECK(Drain<EmitFinished>().empty());
+  CHECK(Take<EmitFinished>().empty());
 }
 
 // Guards against trying more endpoints in an overloaded fleet instead of
@@ -494,14 +496,14 @@
   Begin();
   AssignEndpoint("e1");
   ReceiveRecordReply();
-  Drain<ChooseEndpoint>();
+  Take<ChooseEndpoint>();
   ReceiveRunEnded(ResultCode::Overloaded, Ran::NotRun, 0, 900);
-  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  CHECK(Take<ChooseEndpoint>().size() == 1);
   AssignEndpoint("e2");
   ReceiveRunEnded(ResultCode::Overloaded, Ran::NotRun, 0, 400);
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
   ReceiveResultReply();
-  const EmitFailed failed = DrainFailed();
+  const EmitFailed failed = TakeFailed();
   CHECK(failed.code_ == ResultCode::Overloaded);
   CHECK(failed.ran_ == Ran::NotRun);
   CHECK(failed.retryAfterMs_ == 400);
@@ -519,12 +521,12 @@
     aRequest.OnNoEndpoint(ResultCode::RetryBudgetSpent, 0, now_);
   });
   AdvanceTime(OnlineRequest::kWithdrawalTimeout);
-  const EmitFailed failed = DrainFailed();
+  const EmitFailed failed = TakeFailed();
   CHECK(failed.code_ == ResultCode::Overloaded);
   CHECK(failed.ran_ == Ran::Unknown);
   CHECK(failed.retryAfterMs_ == 300);
   ReceiveRecordReply();
-  CHECK(DrainSent<wire::RecordResult>().front().result_.ran_ == Ran::NotRun);
+  CHECK(TakeSent<wire::RecordResult>().front().result_.ran_ == Ran::NotRun);
 }
 
 TEST_CASE_METHOD(OnlineFixture,
@@ -532,9 +534,9 @@
 {
   isOwnerUp_ = false;
   Begin();
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
   AdvanceTime(OnlineRequest::kOwnerTimeout);
-  const EmitFailed failed = DrainFailed();
+  const EmitFailed failed = TakeFailed();
   CHECK(failed.code_ == ResultCode::NotRecorded);
   CHECK(failed.ran_ == Ran::NotRun);
   CHECK(failed.retryAfterMs_ > 0);
@@ -547,17 +549,17 @@
   AssignEndpoint("e1");
   ReceiveRecordReply();
   AdvanceTime(10s);
-  CHECK(DrainSent<wire::CancelRun>().size() == 1);
-  const EmitFailed failed = DrainFailed();
+  CHECK(TakeSent<wire::CancelRun>().size() == 1);
+  const EmitFailed failed = TakeFailed();
   CHECK(failed.code_ == ResultCode::DeadlineExceeded);
   CHECK(failed.ran_ == Ran::Unknown);
-  CHECK(DrainSent<wire::RecordResult>().size() == 1);
+  CHECK(TakeSent<wire::RecordResult>().size() == 1);
 }
 
 // Guards against answering a retry with the cancellation of the earlier call
 // that it waited for.
 TEST_CASE_METHOD(OnlineFixture,
-                 "OnlineRequest_FirstCallCancelledBeforeRun_RunsItself")
+                 "OnlineRequest_FirstCallCancelledBeforeRun_DuplicateRuns")
 {
   Begin();
   AssignEndpoint("e1");
@@ -566,15 +568,15 @@
   cancelled.code_ = ResultCode::Cancelled;
   Apply(
     [&](OnlineRequest& aRequest) { aRequest.OnRecordReply(cancelled, now_); });
-  CHECK(Drain<EmitFailed>().empty());
-  Drain<ChooseEndpoint>();
+  CHECK(Take<EmitFailed>().empty());
+  Take<ChooseEndpoint>();
   AdvanceTime(OnlineRequest::kMinResendDelay);
   ReceiveRecordReply(wire::RecordState::New);
-  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  CHECK(Take<ChooseEndpoint>().size() == 1);
 }
 
-// Guards against ending a request that its owner is running because this
-// entry's own run failed.
+// Guards against recording the failure of this entry's run while the owner is
+// running the request itself.
 TEST_CASE_METHOD(OnlineFixture,
                  "OnlineRequest_OwnerRunsRequest_WaitsForItsResult")
 {
@@ -585,11 +587,11 @@
   ReceiveRunEnded(ResultCode::EndpointCrashed, Ran::Ran);
   wire::RecordResultReply refused;
   refused.code_ = ResultCode::StillRunning;
-  DrainSent<wire::RecordRequest>();
+  TakeSent<wire::RecordRequest>();
   Apply([&](OnlineRequest& aRequest) {
     aRequest.OnRecordResultReply(refused, now_);
   });
-  CHECK(DrainSent<wire::RecordRequest>().size() == 1);
+  CHECK(TakeSent<wire::RecordRequest>().size() == 1);
   ReceiveRecordReply(wire::RecordState::Finished,
                      MakeResult(ResultCode::Ok, Ran::Ran, "by the owner"));
   CHECK(DrainFinished().result_.text_ == "by the owner");
@@ -604,7 +606,7 @@
   ReceiveChunk(1, "x");
   ReceiveRecordReply(wire::RecordState::Finished,
                      MakeResult(ResultCode::Cancelled, Ran::Unknown, {}));
-  CHECK(DrainSent<wire::CancelRun>().size() == 1);
+  CHECK(TakeSent<wire::CancelRun>().size() == 1);
   CHECK(DrainFinished().result_.code_ == ResultCode::Cancelled);
 }
 
@@ -612,9 +614,9 @@
                  "OnlineRequest_NonIdempotent_StartsOnlyAfterItsRecord")
 {
   Begin();
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
   ReceiveRecordReply();
-  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  CHECK(Take<ChooseEndpoint>().size() == 1);
 }
 
 // Guards against a rerun of a non-idempotent request whose outcome is unknown.
@@ -624,13 +626,13 @@
   Begin();
   ReceiveRecordReply();
   AssignEndpoint("e1");
-  Drain<ChooseEndpoint>();
+  Take<ChooseEndpoint>();
   SetLinkState(wire::LinkState::Lost);
   AdvanceTime(2s);
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
   SetLinkState(wire::LinkState::Replaced);
   AdvanceTime(1s);
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
   ReceiveResultReply();
   const EmitFinished finished = DrainFinished();
   CHECK(finished.result_.code_ == ResultCode::OutcomeUnknown);
@@ -645,9 +647,9 @@
   Begin();
   Apply([](OnlineRequest& aRequest) { aRequest.OnOwnerChanged(); });
   ReceiveRecordReply(wire::RecordState::Running);
-  CHECK(Drain<ChooseEndpoint>().empty());
+  CHECK(Take<ChooseEndpoint>().empty());
   AdvanceTime(10s);
-  CHECK(DrainFailed().ran_ == Ran::Unknown);
+  CHECK(TakeFailed().ran_ == Ran::Unknown);
 }
 
 TEST_CASE_METHOD(
@@ -657,9 +659,9 @@
   Begin();
   ReceiveRecordReply();
   AssignEndpoint("e1");
-  Drain<ChooseEndpoint>();
+  Take<ChooseEndpoint>();
   ReceiveRunEnded(ResultCode::Draining, Ran::NotRun);
-  CHECK(Drain<ChooseEndpoint>().size() == 1);
+  CHECK(Take<ChooseEndpoint>().size() == 1);
 }
 
 } // namespace pumiceturn::entry
--- a/Tests/LibRouting/EndpointChooserTest.cpp
+++ b/Tests/LibRouting/EndpointChooserTest.cpp
@@ -186,6 +186,7 @@
     candidates.push_back(SubsetCandidate{ names[index], domains[index % 3] });
   }
   std::map<std::size_t, int> links;
+  // Enough hosts that each endpoint is in some host's subset.
   constexpr int kHosts = 410;
   for (int host = 0; host < kHosts; ++host) {
     std::map<std::string_view, int> inDomain;
--- a/Tests/LibRouting/QuarantineTableTest.cpp
+++ b/Tests/LibRouting/QuarantineTableTest.cpp
@@ -26,8 +26,8 @@
 
 } // namespace
 
-// Guards against quarantining content that only ran beside the request that
-// crashes the engine.
+// Guards against quarantining content that only ran at the same time as the
+// request that crashed the endpoint.
 TEST_CASE_METHOD(
   QuarantineFixture,
   "QuarantineTable_SecondCrashBesideOtherRequest_CountsSuspectOnly")
@@ -43,13 +43,14 @@
   CHECK(table_.Check(kOther, now_) == Suspicion::None);
 }
 
-// Guards against entries that never expire because two peers keep echoing them.
+// Guards against entries that never expire because two peers keep sending them
+// to each other.
 TEST_CASE_METHOD(QuarantineFixture,
-                 "QuarantineTable_EchoedBetweenPeers_StillExpires")
+                 "QuarantineTable_ExchangedBetweenPeers_StillExpires")
 {
   QuarantineTable peer;
   Crash({ kCrashing });
-  for (int beat = 0; beat < 700; ++beat) {
+  for (int heartbeat = 0; heartbeat < 700; ++heartbeat) {
     peer.Merge(table_.List(now_), now_);
     table_.Merge(peer.List(now_), now_);
     now_ += 1s;
@@ -72,8 +73,9 @@
 
 // Guards against a lifted quarantine that isn't lifted on peers, or that peers
 // lift again after new crashes.
-TEST_CASE_METHOD(QuarantineFixture,
-                 "QuarantineTable_LiftedAtOnePeer_SpreadsUntilItCrashesAgain")
+TEST_CASE_METHOD(
+  QuarantineFixture,
+  "QuarantineTable_LiftedAtOnePeer_IsLiftedAtOthersUntilContentCrashesAgain")
 {
   QuarantineTable peer;
   Crash({ kCrashing });
--- a/Tests/LibRouting/RunAssemblerTest.cpp
+++ b/Tests/LibRouting/RunAssemblerTest.cpp
@@ -49,12 +49,12 @@
   CHECK(assembler.ReceivedSequence() == 1);
 }
 
-TEST_CASE("RetryBudget_AllAttemptsFail_AllowsShare")
+TEST_CASE("RetryBudget_AllAttemptsFail_LimitsRetriesToShare")
 {
   RetryBudget budget(RetryBudget::Limits{ 0.1, 2.0 });
   int retries = 0;
   for (int attempt = 0; attempt < 1000; ++attempt) {
-    budget.RecordAttempt();
+    budget.RecordFirstAttempt();
     retries += budget.TryConsume() ? 1 : 0;
   }
   CHECK(retries >= 100);
@@ -66,6 +66,7 @@
   const Backoff backoff{ 20ms, 1s };
   CHECK(backoff.Delay(0, 0) == 10ms);
   CHECK(backoff.Delay(2, 0) == 40ms);
+  // A Duration counts microseconds; 20000 is half of the 40 ms.
   CHECK(backoff.Delay(1, 20000) == 40ms);
   CHECK(backoff.Delay(60, ~std::uint64_t{ 0 }) <= 1s);
   CHECK(backoff.Delay(60, 0) == 500ms);
--- a/Tests/Scenarios/EntryStage.cpp
+++ b/Tests/Scenarios/EntryStage.cpp
@@ -77,7 +77,7 @@
   description.record_.payload_ = call.prompt_;
   description.record_.maxTokens_ = call.tokens_;
   description.record_.idempotent_ = aArguments.Flag("idempotent", true);
-  description.streamed_ = description.record_.idempotent_;
+  description.isStreaming_ = description.record_.idempotent_;
   description.deadline_ =
     now_ + aArguments.Time("deadline", std::chrono::seconds{ 10 });
   description.random_ = description.record_.call_ << 33U;
@@ -156,7 +156,7 @@
       next = std::min(next, events_.begin()->first);
     }
     for (const auto& [name, call] : calls_) {
-      const auto wake = call.request_->NextWake();
+      const auto wake = call.request_->NextTimer();
       next = wake ? std::min(next, std::max(*wake, now_)) : next;
     }
     now_ = std::max(now_, next);
@@ -168,7 +168,7 @@
     }
     bool hasWoken = false;
     for (auto& [name, call] : calls_) {
-      const auto wake = call.request_->NextWake();
+      const auto wake = call.request_->NextTimer();
       if (wake && *wake <= now_ && now_ < end) {
         call.request_->OnTimer(now_);
         Collect(name);
@@ -185,8 +185,8 @@
 EntryStage::Collect(const std::string& aName)
 {
   entry::OnlineRequest& request = *calls_.at(aName).request_;
-  for (auto actions = request.DrainActions(); !actions.empty();
-       actions = request.DrainActions()) {
+  for (auto actions = request.TakeActions(); !actions.empty();
+       actions = request.TakeActions()) {
     for (const entry::OnlineAction& action : actions) {
       std::visit([&](const auto& aOne) { Do(aName, aOne); }, action);
     }
@@ -363,7 +363,7 @@
 }
 
 void
-EntryStage::Do(const std::string& /*aName*/, const entry::RunReleased& aAction)
+EntryStage::Do(const std::string& /*aName*/, const entry::ReportRunEnd& aAction)
 {
   router_.OnEnded(kService, aAction.endpoint_, false, aAction.outcome_, now_);
 }
--- a/Tests/Scenarios/EntryStage.h
+++ b/Tests/Scenarios/EntryStage.h
@@ -63,7 +63,7 @@
   void Do(const std::string& aName, const entry::SendToOwner& aAction);
   void Do(const std::string& aName, const entry::SendToEndpoint& aAction);
   void Do(const std::string& aName, const entry::ChooseEndpoint& aAction);
-  void Do(const std::string& aName, const entry::RunReleased& aAction);
+  void Do(const std::string& aName, const entry::ReportRunEnd& aAction);
   void Do(const std::string& aName, const entry::EmitAccepted& aAction);
   void Do(const std::string& aName, const entry::EmitChunk& aAction);
   void Do(const std::string& aName, const entry::EmitFinished& aAction);
