--- a/Libraries/LibGateway/AccessControl.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -11,15 +11,14 @@
 
 namespace {
 
-/// Part of the bound on revocation that is kept back for what the fastest
-/// message between hosts takes, and for clocks.
+/// Share of the revocation bound reserved for message delay and clock error.
 constexpr double kRevocationMargin = 0.1;
 
-/// Longest wait for the owner of an account. It answers within the way there
-/// and back; a lost datagram must not make its request late.
+/// Maximum wait for the owner's response; then this host decides alone, so that
+/// a lost datagram doesn't delay the request.
 constexpr std::chrono::milliseconds kOwnerTimeout{ 60 };
 
-/// For a caller whose key can't be judged now.
+/// Sent while the caller's key can't be checked.
 constexpr std::chrono::milliseconds kRetryAfter{ 400 };
 
 std::string_view
@@ -43,7 +42,7 @@
 {
   peers_.SetOnRateReport(
     [this](const std::string& aHost, const fleet::RateReport& aReport) {
-      OnReport(aHost, aReport);
+      OnRateReport(aHost, aReport);
     });
   peers_.SetOnRateResponse([this](const fleet::RateResponse& aResponse) {
     OnRateResponse(aResponse);
@@ -64,7 +63,7 @@
 }
 
 bool
-AccessControl::IsConfirmed() const
+AccessControl::CanAuthenticate() const
 {
   return !shared_.routes_.Organisations().AreDeclared() || Age().MayAdmit();
 }
@@ -98,13 +97,13 @@
 {
   struct Visitor
   {
-    AccessControl& gate_;
+    AccessControl& accessControl_;
     httpstream::Exchange& exchange_;
 
     std::optional<CallerName> operator()(const fleet::AnonymousCaller&) const
     {
       const bool areDeclared =
-        gate_.shared_.routes_.Organisations().AreDeclared();
+        accessControl_.shared_.routes_.Organisations().AreDeclared();
       return areDeclared ? CallerName{ std::string() } : CallerName{};
     }
     std::optional<CallerName> operator()(
@@ -116,28 +115,31 @@
       const fleet::UnauthorisedCaller& aRefused) const
     {
       Log(aRefused.reason_);
-      exchange_.Respond(gate_.shared_.codec_.MakeUnauthorised());
+      exchange_.Respond(accessControl_.shared_.codec_.MakeUnauthorised());
       return std::nullopt;
     }
     std::optional<CallerName> operator()(const fleet::UnconfirmedCaller&) const
     {
       Log("declarations not confirmed");
-      exchange_.Respond(gate_.shared_.codec_.MakeNotRun(kRetryAfter));
+      exchange_.Respond(
+        accessControl_.shared_.codec_.MakeUnavailable(kRetryAfter));
       return std::nullopt;
     }
     void Log(std::string_view aReason) const
     {
-      const auto age = gate_.Age().age_;
+      const auto age = accessControl_.Age().age_;
       base::Log(
         kCallerRefused,
-        { { "request", RequestIdOf(gate_.shared_, exchange_.GetRequest()) },
+        { { "request",
+            RequestIdOf(accessControl_.shared_, exchange_.GetRequest()) },
           { "reason", aReason },
-          { "version", gate_.shared_.routes_.Version() },
+          { "version", accessControl_.shared_.routes_.Version() },
           { "age_ms", age ? base::ToMs(*age) : -1 } });
-      gate_.shared_.metrics_
-        .GetCounter("pumiceturn_callers_refused_total",
-                    "Requests whose caller was not let through.",
-                    fmt::format("reason=\"{}\"", aReason))
+      accessControl_.shared_.metrics_
+        .GetCounter(
+          "pumiceturn_callers_refused_total",
+          "Requests rejected because their caller was not authenticated.",
+          fmt::format("reason=\"{}\"", aReason))
         .Add();
     }
   };
@@ -145,9 +147,9 @@
 }
 
 void
-AccessControl::RunWithinLimit(const ExchangePtr& aExchange,
-                              const CallerName& aCaller,
-                              std::function<void()> aRun)
+AccessControl::RunIfWithinLimit(const ExchangePtr& aExchange,
+                                const CallerName& aCaller,
+                                std::function<void()> aRun)
 {
   const fleet::Organisation* organisation =
     aCaller ? shared_.routes_.Organisations().FindByName(*aCaller) : nullptr;
@@ -160,17 +162,17 @@
   if (const auto* refusal = std::get_if<fleet::RateRefused>(&decision)) {
     Refuse(*aExchange, *organisation, *refusal);
   } else if (const auto* query = std::get_if<fleet::RateQuery>(&decision)) {
-    Ask(aExchange, organisation->name_, std::move(aRun), *query);
+    QueryOwner(aExchange, organisation->name_, std::move(aRun), *query);
   } else {
     aRun();
   }
 }
 
 void
-AccessControl::Ask(const ExchangePtr& aExchange,
-                   const std::string& aOrganisation,
-                   std::function<void()> aRun,
-                   const fleet::RateQuery& aQuery)
+AccessControl::QueryOwner(const ExchangePtr& aExchange,
+                          const std::string& aOrganisation,
+                          std::function<void()> aRun,
+                          const fleet::RateQuery& aQuery)
 {
   const std::uint64_t id = aQuery.report_.query_;
   auto query = std::make_shared<PendingQuery>(executor_);
@@ -199,7 +201,7 @@
   const fleet::Organisation* organisation =
     shared_.routes_.Organisations().FindByName(query.organisation_);
   if (organisation == nullptr) {
-    query.exchange_->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+    query.exchange_->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
     return;
   }
   const fleet::RateDecision decision =
@@ -225,7 +227,7 @@
   const fleet::Organisation* organisation =
     shared_.routes_.Organisations().FindByName(query.organisation_);
   if (organisation == nullptr) {
-    query.exchange_->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+    query.exchange_->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
     return;
   }
   if (const auto* refusal = std::get_if<fleet::RateRefused>(&*decision)) {
@@ -236,13 +238,13 @@
 }
 
 void
-AccessControl::OnReport(const std::string& aHost,
-                        const fleet::RateReport& aReport)
+AccessControl::OnRateReport(const std::string& aHost,
+                            const fleet::RateReport& aReport)
 {
   const fleet::Organisation* organisation =
     shared_.routes_.Organisations().FindByName(aReport.organisation_);
   if (organisation == nullptr) {
-    // A version that this host doesn't have yet: the reporter decides alone.
+    // The reporter has a newer configuration; it decides alone after a timeout.
     return;
   }
   const auto response = shared_.rateLimiter_.HandleReport(
@@ -267,7 +269,7 @@
               { "come_back_ms", base::ToMs(aRefusal.retryAfter_) } });
   shared_.metrics_
     .GetCounter("pumiceturn_requests_over_rate_total",
-                "Requests beyond their organisation's limit.")
+                "Requests rejected because of their organisation's rate limit.")
     .Add();
   aExchange.Respond(shared_.codec_.MakeRateLimited(aRefusal.retryAfter_));
 }
--- a/Libraries/LibGateway/AccessControl.h
+++ b/Libraries/LibGateway/AccessControl.h
@@ -22,18 +22,18 @@
 
 namespace pumiceturn::gateway {
 
-/// Lets requests through to be run: tells who calls by the declarations in
-/// force, and holds organisations to their limits together with the other
-/// hosts. Answers what isn't let through. Belongs to the event thread.
+/// Authenticates callers against the declarations in force and enforces the
+/// organisations' rate limits together with the other hosts. Responds to
+/// requests that it rejects. Used on the event thread only.
 class AccessControl
 {
 public:
   struct Bounds
   {
-    /// Time after which no request with a key that was taken away may run, at
-    /// whatever host; nothing: no such bound.
+    /// Maximum time for which any host may run requests with a revoked key;
+    /// std::nullopt if revocation is unbounded.
     std::optional<base::Duration> revocation_;
-    /// Within which an accepted configuration must be in force.
+    /// Maximum time until an accepted configuration is in force.
     base::Duration configuration_{ 0 };
   };
 
@@ -45,31 +45,34 @@
                 PeerMessenger& aPeers,
                 Bounds aBounds);
 
-  /// Tells who calls on a route.
-  /// @return nothing where the request is answered: the caller has no valid
-  ///         key, or this host can't tell now.
+  /// Authenticates the caller of a request on a route.
+  /// @return std::nullopt if the request was rejected and already has its
+  ///         response: the caller has no valid key, or this host's
+  ///         declarations are too old to check it.
   [[nodiscard]] std::optional<CallerName> Identify(const ExchangePtr& aExchange,
                                                    const fleet::Route& aRoute);
 
-  /// The same for a call on a job, which may be one that needs no key.
+  /// Authenticates the caller of a call on a job. A call without a key passes
+  /// as anonymous, as the job may be on a route that needs none.
+  /// @return as Identify().
   [[nodiscard]] std::optional<CallerName> IdentifyReader(
     const ExchangePtr& aExchange);
 
-  /// Runs a request if its caller's organisation is within its limit, otherwise
-  /// answers it.
-  void RunWithinLimit(const ExchangePtr& aExchange,
-                      const CallerName& aCaller,
-                      std::function<void()> aRun);
+  /// Checks the rate limit of the caller's organisation.
+  /// @param aRun Called if the request is within the limit, possibly later;
+  ///             otherwise the request gets a rate-limited response.
+  void RunIfWithinLimit(const ExchangePtr& aExchange,
+                        const CallerName& aCaller,
+                        std::function<void()> aRun);
 
-  /// @return whether requests with keys may run now.
-  [[nodiscard]] bool IsConfirmed() const;
+  /// @return whether the declarations are recent enough to accept keys.
+  [[nodiscard]] bool CanAuthenticate() const;
 
-  /// Notes which hosts there are, and sends what is due.
+  /// Updates the hosts that share the rate limits and sends due rate reports.
   void Tick(std::span<const batch::PeerAddress> aPeers, base::Instant aNow);
 
 private:
-  /// A request that waits until the owner of its organisation's account says
-  /// whether it may run.
+  /// A request that waits for a decision of its rate account's owner.
   struct PendingQuery
   {
     explicit PendingQuery(const boost::asio::any_io_executor& aExecutor)
@@ -86,12 +89,12 @@
   [[nodiscard]] fleet::DeclarationsAge Age() const;
   [[nodiscard]] std::optional<CallerName> Respond(const ExchangePtr& aExchange,
                                                   const fleet::Caller& aCaller);
-  void Ask(const ExchangePtr& aExchange,
-           const std::string& aOrganisation,
-           std::function<void()> aRun,
-           const fleet::RateQuery& aQuery);
+  void QueryOwner(const ExchangePtr& aExchange,
+                  const std::string& aOrganisation,
+                  std::function<void()> aRun,
+                  const fleet::RateQuery& aQuery);
   void OnOwnerTimeout(std::uint64_t aQuery);
-  void OnReport(const std::string& aHost, const fleet::RateReport& aReport);
+  void OnRateReport(const std::string& aHost, const fleet::RateReport& aReport);
   void OnRateResponse(const fleet::RateResponse& aResponse);
   void Refuse(httpstream::Exchange& aExchange,
               const fleet::Organisation& aOrganisation,
--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -109,7 +109,7 @@
 void
 BatchJobHandler::AnswerComeBack(httpstream::Exchange& aExchange) const
 {
-  aExchange.Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+  aExchange.Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
 }
 
 void
@@ -197,7 +197,7 @@
                          const std::string& aAddress,
                          const BatchJobCall& aCall)
 {
-  httpstream::HttpClient* caller = clients_.Find(aAddress);
+  httpstream::HttpClient* caller = clients_.FindOrCreate(aAddress);
   if (caller == nullptr) {
     ReadFromStore(aExchange, aJob, aCall);
     return;
@@ -210,7 +210,7 @@
   shared_.codec_.CopyForPeer(original, request);
   const auto* read = std::get_if<ReadResults>(&aCall);
   const base::Duration wait =
-    read != nullptr ? read->longestWait_ : base::Duration::zero();
+    read != nullptr ? read->maxWait_ : base::Duration::zero();
   caller->Call(request,
                wait + kPassOnMargin,
                [this, aExchange, aJob, aCall](httpstream::CallResult aResult) {
@@ -267,7 +267,7 @@
                                const ReadResults& aCall,
                                bool aMayWait)
 {
-  const base::Instant until = aExchange->ReceivedAt() + aCall.longestWait_;
+  const base::Instant until = aExchange->ReceivedAt() + aCall.maxWait_;
   const bool hasResult = aCall.position_ < aJob.results_.size();
   if (hasResult || !aMayWait || !aJob.IsOpen() ||
       base::MonotonicNow() >= until) {
@@ -352,7 +352,7 @@
         End(aExchange, *job, aTriesLeft - 1);
         return;
       }
-      aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+      aExchange->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
     });
 }
 
@@ -389,7 +389,7 @@
       if (isOver && job != nullptr) {
         SendResults(*aReader.exchange_, *job, aReader.position_);
       } else if (isOver) {
-        aReader.exchange_->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+        aReader.exchange_->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
       }
       return isOver;
     });
--- a/Libraries/LibGateway/BatchJobSpool.cpp
+++ b/Libraries/LibGateway/BatchJobSpool.cpp
@@ -61,7 +61,7 @@
 BatchJobSpool::Start()
 {
   auto jobs = std::make_shared<std::vector<batch::SpooledJob>>();
-  disk_.Run(
+  disk_.Post(
     [this, jobs] { *jobs = files_.ReadAll(); },
     [this, jobs] {
       const base::Instant now = base::MonotonicNow();
@@ -197,10 +197,10 @@
     return;
   }
   auto outcome = std::make_shared<batch::WriteOutcome>();
-  disk_.Run([this,
-             outcome,
-             copy = entry->second.job_] { *outcome = files_.Write(copy); },
-            [this, outcome, id] { OnWritten(id, *outcome); });
+  disk_.Post([this,
+              outcome,
+              copy = entry->second.job_] { *outcome = files_.Write(copy); },
+             [this, outcome, id] { OnWritten(id, *outcome); });
 }
 
 void
@@ -317,7 +317,7 @@
       { "reason", aReason },
       { "ms", base::ToMs(base::MonotonicNow() - found->second.since_) } });
   spooled_.erase(found);
-  disk_.Run([this, aJob] { files_.Remove(aJob); });
+  disk_.Post([this, aJob] { files_.Remove(aJob); });
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -391,7 +391,7 @@
   aSubmission.exchange_->Respond(
     aSubmission.mayBeStored_
       ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
-      : shared_.codec_.MakeNotRun(kRetryAfter));
+      : shared_.codec_.MakeUnavailable(kRetryAfter));
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -495,7 +495,7 @@
 {
   const std::string job = aRun.JobId();
   const std::size_t item = aRun.Item();
-  base::Log(kItemRunEnded,
+  base::Log(kItemAttemptEnded,
             { { "lot", job },
               { "item", item },
               { "endpoint", aRun.EndpointId() },
--- a/Libraries/LibGateway/Codec.h
+++ b/Libraries/LibGateway/Codec.h
@@ -16,43 +16,44 @@
 
 namespace pumiceturn::gateway {
 
-/// What an online request says of itself.
+/// Fields that the caller of an online request sets.
 struct OnlineCall
 {
-  std::string requestId_; ///< New for each attempt of the caller.
-  /// How long the caller waits, from now.
+  std::string requestId_; ///< Unique to each attempt of the caller.
+  /// How long the caller still waits, from now on.
   std::optional<base::Duration> clientTimeout_;
-  std::uint64_t lastEvent_ = 0; ///< The caller has events up to this one.
+  std::uint64_t lastEvent_ = 0; ///< Id of the last event received.
 };
 
-/// What an endpoint's answer says beyond its status and body.
+/// Fields of an endpoint's response beyond its status and body.
 struct ResponseInfo
 {
-  bool isCertainlyNotRun_ = false; ///< Another endpoint may run it.
-  bool isMisdirected_ = false;     ///< Another process has the address now.
-  std::string answeredBy_;         ///< Id of the process; empty: not said.
+  /// The request was rejected before it ran; another endpoint may run it.
+  bool isSafeToRetry_ = false;
+  bool isMisdirected_ = false; ///< Another process has the address now.
+  std::string responderId_;    ///< Id of the process; empty if not given.
 };
 
-/// Who calls, as endpoints are told: the name of an organisation, or nobody's
-/// (empty). Nothing: no organisations are declared, and whatever the caller
-/// wrote of itself is passed on as any other field.
+/// The caller's organisation as it is sent to endpoints; empty if the caller is
+/// anonymous. std::nullopt if no organisations are declared: the caller's own
+/// fields are then forwarded unchanged.
 using CallerName = std::optional<std::string>;
 
-/// Where and under which conditions a request is sent.
+/// Options for a request that is forwarded to an endpoint.
 struct ForwardOptions
 {
-  std::string endpoint_;         ///< The process that must run it, by id.
-  base::Duration clientTimeout_; ///< What is left of the caller's time.
-  std::uint64_t lastEvent_ = 0;  ///< The endpoint goes on after this event.
+  std::string endpoint_;         ///< Id of the process that must run it.
+  base::Duration clientTimeout_; ///< Time left until the caller's deadline.
+  std::uint64_t lastEvent_ = 0;  ///< The endpoint resumes after this event.
   CallerName caller_{};
 };
 
-/// Calls on jobs.
+/// Reads a page of a job's results.
 struct ReadResults
 {
   std::string job_;
   std::uint32_t position_ = 0;
-  base::Duration longestWait_{ 0 }; ///< Until a result exists.
+  base::Duration maxWait_{ 0 }; ///< Maximum wait for a result.
 };
 struct ReadItemBody
 {
@@ -64,7 +65,7 @@
   std::string job_;
 };
 
-/// A call that can't be read, with the reason for its caller.
+/// A call that can't be parsed, with the reason that its caller gets.
 struct MalformedCall
 {
   std::string reason_;
@@ -73,8 +74,8 @@
 using BatchJobCall =
   std::variant<ReadResults, ReadItemBody, EndBatchJob, MalformedCall>;
 
-/// The names and formats of callers and endpoints. The adapter implements it;
-/// it decides nothing.
+/// Translates between the gateway's types and the HTTP formats of callers and
+/// endpoints. Implemented by the adapter; holds no policy.
 class Codec
 {
 public:
@@ -83,59 +84,62 @@
   [[nodiscard]] virtual OnlineCall ReadOnline(
     const httpstream::Request& aRequest) const = 0;
 
-  /// @return what the request shows of its caller.
+  /// @return the caller's credential, from the request's fields.
   [[nodiscard]] virtual fleet::Credential ReadCredential(
     const httpstream::Request& aRequest) const = 0;
 
-  /// @return the caller's request as it is sent to an endpoint.
+  /// @return the request to send to an endpoint for a caller's request.
   [[nodiscard]] virtual httpstream::Request MakeEndpointRequest(
     const httpstream::Request& aRequest,
     const ForwardOptions& aOptions) const = 0;
 
-  /// @return a job's item as it is sent to an endpoint.
+  /// @return the request to send to an endpoint for a job's item.
   [[nodiscard]] virtual httpstream::Request MakeItemRequest(
     const batch::BatchItem& aItem,
     std::string_view aHostName,
     const ForwardOptions& aOptions) const = 0;
 
-  [[nodiscard]] virtual ResponseInfo ReadAnswer(
+  [[nodiscard]] virtual ResponseInfo ReadResponseInfo(
     const httpstream::ResponseHead& aHead) const = 0;
 
-  /// Copies the fields of a call on a job for the host that runs the job, which
-  /// needs no key of the caller's.
+  /// Copies the fields of a call on a job to the request for the host that runs
+  /// the job. Leaves out the caller's key.
   virtual void CopyForPeer(const httpstream::Request& aFrom,
                            httpstream::Request& aTo) const = 0;
 
-  /// @return the field by which an answer names its request.
+  /// @return the name of the field that carries the request id, and that a
+  ///         response must repeat.
   [[nodiscard]] virtual std::string_view EchoField() const = 0;
 
-  /// @return nothing where the request is no call on a stored job.
+  /// @return std::nullopt if the request is not a call on a stored job.
   [[nodiscard]] virtual std::optional<BatchJobCall> ReadBatchJobCall(
     const httpstream::Request& aRequest) const = 0;
 
-  /// Reads the content of a submitted job.
-  /// @return the items, or what is wrong.
+  /// Parses the body of a submitted job.
+  /// @return the items, or the error.
   [[nodiscard]] virtual std::variant<std::vector<batch::BatchItem>,
                                      MalformedCall>
   ReadBatchJobContent(std::string_view aBody) const = 0;
 
-  /// Writes a page of results.
-  /// @param aTotal    Items of the job.
-  /// @param aPosition Of the first result.
+  /// Serialises a page of results.
+  /// @param aTotal    Number of items in the job.
+  /// @param aPosition Position of the first result.
   [[nodiscard]] virtual std::string WriteResults(
     std::uint32_t aTotal,
     std::uint32_t aPosition,
     std::span<const batch::ItemResult> aResults) const = 0;
 
-  /// Answers that tell a caller when to come back.
-  [[nodiscard]] virtual httpstream::Response MakeNotRun(
+  /// @return a response to a request that was not run.
+  /// @param aRetryAfter Delay after which the caller may retry.
+  [[nodiscard]] virtual httpstream::Response MakeUnavailable(
     base::Duration aRetryAfter) const = 0;
 
-  /// The same where the caller has used up what it may.
+  /// @return a response to a request over its organisation's rate limit.
+  /// @param aRetryAfter Delay after which the caller may retry.
   [[nodiscard]] virtual httpstream::Response MakeRateLimited(
     base::Duration aRetryAfter) const = 0;
 
-  /// Answers a caller without a valid key.
+  /// @return a response to a caller without a valid key.
   [[nodiscard]] virtual httpstream::Response MakeUnauthorised() const = 0;
 };
 
--- a/Libraries/LibGateway/DiskThread.cpp
+++ b/Libraries/LibGateway/DiskThread.cpp
@@ -16,18 +16,18 @@
 {
   {
     const std::lock_guard lock(mutex_);
-    isEnding_ = true;
+    isStopping_ = true;
   }
   wake_.notify_one();
   thread_.join();
 }
 
 void
-DiskThread::Run(std::function<void()> aWork, std::function<void()> aThen)
+DiskThread::Post(std::function<void()> aWork, std::function<void()> aOnDone)
 {
   {
     const std::lock_guard lock(mutex_);
-    jobs_.push_back({ std::move(aWork), std::move(aThen) });
+    tasks_.push_back({ std::move(aWork), std::move(aOnDone) });
   }
   wake_.notify_one();
 }
@@ -37,16 +37,16 @@
 {
   std::unique_lock lock(mutex_);
   while (true) {
-    wake_.wait(lock, [this] { return isEnding_ || !jobs_.empty(); });
-    if (jobs_.empty()) {
+    wake_.wait(lock, [this] { return isStopping_ || !tasks_.empty(); });
+    if (tasks_.empty()) {
       return;
     }
-    Job job = std::move(jobs_.front());
-    jobs_.pop_front();
+    Task task = std::move(tasks_.front());
+    tasks_.pop_front();
     lock.unlock();
-    job.work_();
-    if (job.then_) {
-      boost::asio::post(context_, std::move(job.then_));
+    task.work_();
+    if (task.onDone_) {
+      boost::asio::post(context_, std::move(task.onDone_));
     }
     lock.lock();
   }
--- a/Libraries/LibGateway/DiskThread.h
+++ b/Libraries/LibGateway/DiskThread.h
@@ -10,8 +10,8 @@
 
 namespace pumiceturn::gateway {
 
-/// Runs work that waits for the disk, one after the other, so that a disk that
-/// is slow or hangs doesn't hold up the event thread.
+/// Runs disk operations in order on a thread of their own, so that a slow or
+/// hanging disk doesn't block the event thread.
 class DiskThread
 {
 public:
@@ -22,15 +22,16 @@
   DiskThread& operator=(DiskThread&&) = delete;
   ~DiskThread();
 
-  /// Runs work on the disk's thread and then, where there is one, its follow-up
-  /// on the event thread.
-  void Run(std::function<void()> aWork, std::function<void()> aThen = {});
+  /// Queues an operation.
+  /// @param aWork   Runs on the disk thread.
+  /// @param aOnDone Runs on the event thread after aWork; may be empty.
+  void Post(std::function<void()> aWork, std::function<void()> aOnDone = {});
 
 private:
-  struct Job
+  struct Task
   {
     std::function<void()> work_;
-    std::function<void()> then_;
+    std::function<void()> onDone_;
   };
 
   void Loop();
@@ -38,8 +39,8 @@
   boost::asio::io_context& context_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<Job> jobs_; ///< Guarded by the mutex, as is isEnding_.
-  bool isEnding_ = false;
+  std::deque<Task> tasks_; ///< Guarded by mutex_, like isStopping_.
+  bool isStopping_ = false;
   std::thread thread_;
 };
 
--- a/Libraries/LibGateway/EndpointAddress.h
+++ b/Libraries/LibGateway/EndpointAddress.h
@@ -7,7 +7,7 @@
 
 namespace pumiceturn::gateway {
 
-/// @return the address of "IP:PORT", or nothing where the text is none.
+/// @return the address in "IP:PORT", or std::nullopt if the text isn't one.
 std::optional<boost::asio::ip::tcp::endpoint>
 ParseAddress(std::string_view aText);
 
--- a/Libraries/LibGateway/EndpointAttempt.cpp
+++ b/Libraries/LibGateway/EndpointAttempt.cpp
@@ -9,25 +9,23 @@
 
 namespace {
 
-/// Longest wait for a connection. Within a region it takes a few ms; a lost
-/// opening packet is sent again after a second, and another endpoint is the
-/// better choice by then.
+/// Shorter than TCP's first SYN retransmission: another endpoint is faster.
 constexpr std::chrono::milliseconds kConnectTimeout{ 250 };
 
 } // namespace
 
 EndpointAttempt::EndpointAttempt(SharedState& aShared,
                                  fleet::EndpointRecord aEndpoint,
-                                 fleet::WorkClass aWork)
+                                 fleet::WorkClass aWorkClass)
   : shared_(aShared)
   , endpoint_(std::move(aEndpoint))
-  , work_(aWork)
+  , workClass_(aWorkClass)
 {
 }
 
 EndpointAttempt::~EndpointAttempt()
 {
-  Leave();
+  ReleaseCount();
 }
 
 void
@@ -35,9 +33,9 @@
                        httpstream::CallObserver& aObserver)
 {
   observer_ = &aObserver;
-  counted_ = true;
+  isCounted_ = true;
   startedAt_ = base::MonotonicNow();
-  shared_.endpoints_.CountStart(endpoint_.Incarnation(), work_);
+  shared_.endpoints_.CountStart(endpoint_.Incarnation(), workClass_);
   const auto address = ParseAddress(endpoint_.address_);
   if (!address) {
     OnEnd(httpstream::CallOutcome::NotConnected);
@@ -72,7 +70,7 @@
   if (const auto connection = std::exchange(connection_, nullptr)) {
     connection->Cancel();
   }
-  Leave();
+  ReleaseCount();
 }
 
 void
@@ -84,10 +82,10 @@
 }
 
 void
-EndpointAttempt::Leave()
+EndpointAttempt::ReleaseCount()
 {
-  if (std::exchange(counted_, false)) {
-    shared_.endpoints_.CountEnd(endpoint_.Incarnation(), work_);
+  if (std::exchange(isCounted_, false)) {
+    shared_.endpoints_.CountEnd(endpoint_.Incarnation(), workClass_);
   }
 }
 
@@ -96,12 +94,12 @@
 {
   shared_.endpoints_.RecordActivity(
     endpoint_.Incarnation(), startedAt_, base::MonotonicNow());
-  const ResponseInfo notes = shared_.codec_.ReadAnswer(aHead);
-  if (!notes.answeredBy_.empty() && notes.answeredBy_ != endpoint_.id_) {
+  const ResponseInfo info = shared_.codec_.ReadResponseInfo(aHead);
+  if (!info.responderId_.empty() && info.responderId_ != endpoint_.id_) {
     base::Log(kEndpointChanged,
               { { "endpoint", endpoint_.id_ },
                 { "state", "replaced" },
-                { "by", notes.answeredBy_ } });
+                { "by", info.responderId_ } });
     shared_.endpoints_.RecordReplaced(endpoint_.Incarnation(),
                                       base::MonotonicNow());
   }
@@ -121,20 +119,20 @@
 }
 
 void
-EndpointAttempt::OnEnd(httpstream::CallOutcome aEnd)
+EndpointAttempt::OnEnd(httpstream::CallOutcome aOutcome)
 {
   const auto self = shared_from_this();
   auto* observer = std::exchange(observer_, nullptr);
   shared_.pool_.Release(endpoint_.id_, std::exchange(connection_, nullptr));
-  Leave();
-  if (aEnd == httpstream::CallOutcome::Complete) {
+  ReleaseCount();
+  if (aOutcome == httpstream::CallOutcome::Complete) {
     shared_.endpoints_.RecordSuccess(endpoint_.Incarnation());
   } else {
     shared_.endpoints_.RecordFailure(endpoint_.Incarnation(),
                                      base::MonotonicNow());
   }
   if (observer != nullptr) {
-    observer->OnEnd(aEnd);
+    observer->OnEnd(aOutcome);
   }
 }
 
--- a/Libraries/LibGateway/EndpointAttempt.h
+++ b/Libraries/LibGateway/EndpointAttempt.h
@@ -10,9 +10,9 @@
 
 namespace pumiceturn::gateway {
 
-/// One request at one endpoint: counts it, takes a connection from the pool,
-/// sends, passes the answer to an observer, and gives the connection back.
-/// Belongs to the event thread.
+/// One attempt of a request at one endpoint. Counts as in flight there while it
+/// lasts, uses a pooled connection and forwards the response to an observer.
+/// Used on the event thread only.
 class EndpointAttempt
   : public httpstream::CallObserver
   , public std::enable_shared_from_this<EndpointAttempt>
@@ -20,18 +20,19 @@
 public:
   EndpointAttempt(SharedState& aShared,
                   fleet::EndpointRecord aEndpoint,
-                  fleet::WorkClass aWork);
+                  fleet::WorkClass aWorkClass);
   ~EndpointAttempt() override;
   EndpointAttempt(const EndpointAttempt&) = delete;
   EndpointAttempt& operator=(const EndpointAttempt&) = delete;
 
-  /// Sends the call. The observer must outlive the run or call Cancel().
+  /// Sends the call. The observer must outlive the attempt or call Cancel().
   void Start(httpstream::Call aCall, httpstream::CallObserver& aObserver);
 
-  /// Stops the work at the endpoint by closing the connection, and calls back
-  /// no more.
+  /// Closes the connection, which stops the work at the endpoint. The observer
+  /// isn't called any more.
   void Cancel();
 
+  /// Pauses or resumes reading the response.
   void SetPaused(bool aIsPaused);
 
   [[nodiscard]] const fleet::EndpointRecord& Endpoint() const
@@ -41,18 +42,18 @@
 
   void OnHead(const httpstream::ResponseHead& aHead) override;
   void OnBody(std::string_view aBytes) override;
-  void OnEnd(httpstream::CallOutcome aEnd) override;
+  void OnEnd(httpstream::CallOutcome aOutcome) override;
 
 private:
-  void Leave();
+  void ReleaseCount();
 
   SharedState& shared_;
   fleet::EndpointRecord endpoint_;
-  fleet::WorkClass work_;
+  fleet::WorkClass workClass_;
   httpstream::CallObserver* observer_ = nullptr;
   std::shared_ptr<httpstream::ClientConnection> connection_;
   base::Instant startedAt_{};
-  bool counted_ = false;
+  bool isCounted_ = false;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -11,23 +11,21 @@
 
 namespace {
 
-/// How often due work is looked for. Online work that takes a batch run's place
-/// waits this long at most.
-constexpr std::chrono::milliseconds kTick{ 100 };
+constexpr std::chrono::milliseconds kTickInterval{ 100 };
 
-/// After the request to stop: the balancer asks for readiness once a second and
-/// takes a host out after two misses, so new connections come until then.
+/// Time after the request to stop until the balancer sends no new connections:
+/// it removes a host after two failed readiness probes, one a second.
 constexpr std::chrono::milliseconds kBalancerNotice{ 2600 };
 
-/// Kept back from the grace, so that the process ends by itself.
+/// Reserved at the end of the grace period, so that the process exits itself.
 constexpr std::chrono::milliseconds kGraceMargin{ 500 };
-constexpr std::chrono::milliseconds kStopPoll{ 100 };
+constexpr std::chrono::milliseconds kStopPollInterval{ 100 };
 
-/// Pause before operators are told again that a host is empty.
-constexpr std::chrono::milliseconds kRetireRetry{ 300 };
+/// Delay before the report of a finished retirement is retried.
+constexpr std::chrono::milliseconds kRetirementReportDelay{ 300 };
 
-/// A peer's call to the store may hold the largest job, in base64 twice.
-constexpr std::uint64_t kMaxPeerBody = 16777216;
+/// Fits the largest job, encoded in base64 twice, in a call to the store.
+constexpr std::uint64_t kMaxPeerBodyBytes = 16777216;
 
 constexpr std::chrono::milliseconds kRetryAfter{ 300 };
 
@@ -139,14 +137,16 @@
       { settings_.revocationBound_, settings_.configurationBound_ })
   , preemptBatch_(
       [this](const fleet::EndpointChoice& aChoice) { Preempt(aChoice); })
-  , callers_(aContext, [this](const auto& aExchange) { OnRequest(aExchange); })
-  , status_(aContext,
-            [this](const auto& aExchange) { OnStatusRequest(*aExchange); })
+  , callerListener_(aContext,
+                    [this](const auto& aExchange) { OnRequest(aExchange); })
+  , statusListener_(
+      aContext,
+      [this](const auto& aExchange) { OnStatusRequest(*aExchange); })
   , metricsListener_(
       aContext,
       [this](const auto& aExchange) { OnStatusRequest(*aExchange); })
-  , forwarded_(aContext,
-               [this](const auto& aExchange) { OnForwarded(aExchange); })
+  , peerListener_(aContext,
+                  [this](const auto& aExchange) { OnForwarded(aExchange); })
   , tickTimer_(aContext)
   , stopTimer_(aContext)
 {
@@ -165,8 +165,8 @@
   }
   AddGauges();
   httpstream::ServerLimits peerLimits;
-  peerLimits.maxBodyBytes_ = kMaxPeerBody;
-  forwarded_.SetLimits(peerLimits);
+  peerLimits.maxBodyBytes_ = kMaxPeerBodyBytes;
+  peerListener_.SetLimits(peerLimits);
   storeTransport_.SetIsReachable(
     [this](const std::string& aHost) { return peers_.IsReachable(aHost); });
   mirrors_.SetOnDelta(
@@ -181,37 +181,37 @@
 {
   shared_.metrics_.AddGauge(
     "pumiceturn_store_prefixes_followed",
-    "Prefixes of the store that this host follows for its peers.",
+    "Store prefixes that this host follows for its peers.",
     {},
     [this] { return mirrors_.FollowedCount(); });
   shared_.metrics_.AddGauge("pumiceturn_endpoint_connections_made_total",
                             "Connections opened to endpoints.",
                             {},
                             [this] { return shared_.pool_.MadeCount(); });
-  shared_.metrics_.AddGauge("pumiceturn_caller_connections",
-                            "Open connections of callers.",
-                            {},
-                            [this] { return callers_.ConnectionCount(); });
+  shared_.metrics_.AddGauge(
+    "pumiceturn_caller_connections",
+    "Open connections from callers.",
+    {},
+    [this] { return callerListener_.ConnectionCount(); });
   shared_.metrics_.AddGauge("pumiceturn_batch_runs",
-                            "Items that this host runs now.",
+                            "Batch items that this host is running.",
                             {},
                             [this] { return worker_.RunCount(); });
   shared_.metrics_.AddGauge(
     "pumiceturn_suspect_runs",
-    "Runs known here that broke off before their first event.",
+    "Attempts known here that broke off before their first event.",
     {},
     [this] { return shared_.suspects_.Runs(base::MonotonicNow()).size(); });
-  shared_.metrics_.AddGauge(
-    "pumiceturn_held_lots",
-    "Lots on this host's disk that the store doesn't have yet.",
-    {},
-    [this] { return spool_ ? spool_->Count() : 0; });
+  shared_.metrics_.AddGauge("pumiceturn_held_lots",
+                            "Batch jobs spooled to this host's disk.",
+                            {},
+                            [this] { return spool_ ? spool_->Count() : 0; });
   shared_.metrics_.AddGauge("pumiceturn_peers_heard",
-                            "Other hosts whose own messages arrive here.",
+                            "Other hosts whose messages arrive here directly.",
                             {},
                             [this] { return peers_.ReachableCount(); });
   shared_.metrics_.AddGauge("pumiceturn_configuration_version",
-                            "Version in force.",
+                            "Version of the configuration in force.",
                             {},
                             [this] { return shared_.routes_.Version(); });
 }
@@ -243,10 +243,10 @@
 bool
 Gateway::Start()
 {
-  if (!Listen(callers_, settings_.callerAddress_) ||
-      !Listen(status_, settings_.statusAddress_) ||
+  if (!Listen(callerListener_, settings_.callerAddress_) ||
+      !Listen(statusListener_, settings_.statusAddress_) ||
       !Listen(metricsListener_, settings_.metricsAddress_) ||
-      !Listen(forwarded_, settings_.forwardAddress_)) {
+      !Listen(peerListener_, settings_.forwardAddress_)) {
     return false;
   }
   if (const auto address = ParseAddress(settings_.peerAddress_)) {
@@ -266,43 +266,42 @@
   }
   mirrors_.Start();
   lease_.Start();
-  TickLater();
+  ScheduleTick();
   return true;
 }
 
 bool
 Gateway::IsReady() const
 {
-  return !stopping_ && shared_.routes_.Version() > 0 &&
+  return !isStopping_ && shared_.routes_.Version() > 0 &&
          mirrors_.IsComplete(StorePrefix::Endpoints) &&
-         !shared_.endpoints_.IsEmpty() && accessControl_.IsConfirmed();
+         !shared_.endpoints_.IsEmpty() && accessControl_.CanAuthenticate();
 }
 
 void
-Gateway::NoteReadiness()
+Gateway::UpdateReadiness()
 {
   const bool isReady = IsReady();
-  if (isReady && !ready_) {
+  if (isReady && !isReady_) {
     base::Log(kGatewayReady, { { "version", shared_.routes_.Version() } });
   }
-  ready_ = isReady;
+  isReady_ = isReady;
 }
 
 void
 Gateway::OnRequest(const std::shared_ptr<httpstream::Exchange>& aExchange)
 {
   const httpstream::Request& request = aExchange->GetRequest();
-  // A host that is leaving can't promise to finish what it takes late. The
-  // balancer still sends requests where most of a failure domain's hosts are
-  // leaving at once. Readers of jobs too: one of them always waits for a
-  // result, and kept the host from ending until the end of its grace, 5 to 7 s
-  // in which each request here was refused instead of 3 to 4.
-  if (IsPastNotice()) {
-    aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+  // A stopping host can't guarantee to finish late requests, which the balancer
+  // still sends if most hosts of a failure domain stop at once. This holds for
+  // reads of jobs too: their long polls would keep the host busy until the end
+  // of its grace period.
+  if (IsPastBalancerNotice()) {
+    aExchange->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
     return;
   }
   if (shared_.routes_.Version() == 0) {
-    aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+    aExchange->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
     return;
   }
   if (const auto call = shared_.codec_.ReadBatchJobCall(request)) {
@@ -329,7 +328,7 @@
       *caller);
     return;
   }
-  accessControl_.RunWithinLimit(
+  accessControl_.RunIfWithinLimit(
     aExchange, *caller, [this, aExchange, route = *route, caller = *caller] {
       std::make_shared<OnlineProxy>(shared_,
                                     context_.get_executor(),
@@ -402,23 +401,24 @@
 void
 Gateway::Retire()
 {
-  if (retiring_ || stopping_) {
+  if (isRetiring_ || isStopping_) {
     return;
   }
-  retiring_ = true;
+  isRetiring_ = true;
   if (spool_) {
     spool_->SetDraining();
   }
   base::Log(kGatewayRetiring, { { "runs", worker_.RunCount() } });
-  worker_.HandOver([this] { lease_.End([this] { ReportRetired(); }); });
+  worker_.HandOver([this] { lease_.End([this] { ReportRetirement(); }); });
 }
 
 void
-Gateway::ReportRetired()
+Gateway::ReportRetirement()
 {
-  // Operators take the host away with its disk once they are told.
+  // Operators remove the host and its disk after this report, so the spool must
+  // be empty.
   if (spool_ && !spool_->IsEmpty()) {
-    ReportRetiredLater();
+    ScheduleRetirementReport();
     return;
   }
   store_.Commit(storeCodec_.MakeRetirementDone(settings_.host_),
@@ -426,32 +426,32 @@
                   if (aResponse.status_ == metadata::StoreStatus::Ok) {
                     return;
                   }
-                  ReportRetiredLater();
+                  ScheduleRetirementReport();
                 });
 }
 
 void
-Gateway::ReportRetiredLater()
+Gateway::ScheduleRetirementReport()
 {
-  stopTimer_.expires_after(kRetireRetry);
+  stopTimer_.expires_after(kRetirementReportDelay);
   stopTimer_.async_wait(
     lifetime_.Guard([this](const boost::system::error_code& aError) {
       if (!aError) {
-        ReportRetired();
+        ReportRetirement();
       }
     }));
 }
 
 void
-Gateway::TickLater()
+Gateway::ScheduleTick()
 {
-  tickTimer_.expires_after(kTick);
-  // A timer that has run out already can't be cancelled any more.
+  tickTimer_.expires_after(kTickInterval);
+  // The guard is needed: an expired timer can't be cancelled any more.
   tickTimer_.async_wait(
     lifetime_.Guard([this](const boost::system::error_code& aError) {
       if (!aError) {
         Tick();
-        TickLater();
+        ScheduleTick();
       }
     }));
 }
@@ -461,9 +461,9 @@
 {
   const base::Instant now = base::MonotonicNow();
   accessControl_.Tick(hosts_.PeersBut(OwnName()), now);
-  NoteReadiness();
-  mirrors_.Tick(!stopping_ && !retiring_ && !storeTransport_.IsDirectPathLost(),
-                now);
+  UpdateReadiness();
+  mirrors_.Tick(
+    !isStopping_ && !isRetiring_ && !storeTransport_.IsDirectPathLost(), now);
   for (const std::string& id : shared_.endpoints_.Expire(now)) {
     shared_.pool_.Forget(id);
     base::Log(kEndpointChanged, { { "endpoint", id }, { "state", "expired" } });
@@ -471,7 +471,7 @@
   const base::WallTime wallNow = base::WallNow();
   worker_.Tick(now);
   ledgerWriter_.Tick(worker_.CollectWaitingJobs(), now);
-  if (!stopping_) {
+  if (!isStopping_) {
     retention_.Tick(now, wallNow);
   }
   batchJobHandler_.Tick(now);
@@ -485,49 +485,50 @@
 void
 Gateway::Stop(std::function<void()> aStopped)
 {
-  if (stopping_) {
+  if (isStopping_) {
     return;
   }
-  stopping_ = true;
+  isStopping_ = true;
   stopTimer_.cancel();
-  stopped_ = std::move(aStopped);
-  stopBegan_ = base::MonotonicNow();
-  NoteReadiness();
-  callers_.SetDraining();
-  base::Log(kGatewayStopping, { { "busy", callers_.BusyCount() } });
-  if (retiring_) {
-    handedOver_ = true;
+  onStopped_ = std::move(aStopped);
+  stopStartedAt_ = base::MonotonicNow();
+  UpdateReadiness();
+  callerListener_.SetDraining();
+  base::Log(kGatewayStopping, { { "busy", callerListener_.BusyCount() } });
+  if (isRetiring_) {
+    isHandedOver_ = true;
   } else {
-    worker_.HandOver([this] { lease_.End([this] { handedOver_ = true; }); });
+    worker_.HandOver([this] { lease_.End([this] { isHandedOver_ = true; }); });
   }
-  EndWhenIdle();
+  StopWhenIdle();
 }
 
 bool
-Gateway::IsPastNotice() const
+Gateway::IsPastBalancerNotice() const
 {
-  return stopping_ && base::MonotonicNow() - stopBegan_ >= kBalancerNotice;
+  return isStopping_ &&
+         base::MonotonicNow() - stopStartedAt_ >= kBalancerNotice;
 }
 
 void
-Gateway::EndWhenIdle()
+Gateway::StopWhenIdle()
 {
-  const base::Duration passed = base::MonotonicNow() - stopBegan_;
+  const base::Duration passed = base::MonotonicNow() - stopStartedAt_;
   const bool hasCallers = !settings_.callerAddress_.empty();
-  if (IsPastNotice() || (!hasCallers && handedOver_)) {
-    callers_.CloseIdle();
-    const bool isIdle = callers_.BusyCount() == 0 && handedOver_;
-    if (isIdle || passed >= settings_.grace_ - kGraceMargin) {
-      base::Log(kGatewayStopped, { { "busy", callers_.BusyCount() } });
-      stopped_();
+  if (IsPastBalancerNotice() || (!hasCallers && isHandedOver_)) {
+    callerListener_.CloseIdle();
+    const bool isIdle = callerListener_.BusyCount() == 0 && isHandedOver_;
+    if (isIdle || passed >= settings_.gracePeriod_ - kGraceMargin) {
+      base::Log(kGatewayStopped, { { "busy", callerListener_.BusyCount() } });
+      onStopped_();
       return;
     }
   }
-  stopTimer_.expires_after(kStopPoll);
+  stopTimer_.expires_after(kStopPollInterval);
   stopTimer_.async_wait(
     lifetime_.Guard([this](const boost::system::error_code& aError) {
       if (!aError) {
-        EndWhenIdle();
+        StopWhenIdle();
       }
     }));
 }
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -27,42 +27,44 @@
 
 namespace pumiceturn::gateway {
 
-/// Addresses, names and bounds of one gateway process.
+/// Configuration of one gateway process.
 struct GatewaySettings
 {
   std::string host_;
-  std::string incarnation_; ///< New at each start.
+  std::string incarnation_; ///< Unique to each start of the process.
   std::string failureDomain_;
   batch::BatchPreference batchPreference_ = batch::BatchPreference::Worker;
-  std::string callerAddress_;  ///< IP:PORT for callers; empty: takes none.
+  std::string callerAddress_;  ///< IP:PORT for callers; empty: none.
   std::string statusAddress_;  ///< IP:PORT for readiness; empty: none.
   std::string metricsAddress_; ///< IP:PORT; empty: none.
   std::string peerAddress_;    ///< IP:PORT for datagrams of peers.
-  std::string forwardAddress_; ///< IP:PORT for calls that peers pass on.
-  /// From the request to stop until the process is killed.
-  base::Duration grace_{ std::chrono::seconds{ 8 } };
-  /// Part of a route's cap on waiting tokens by which it may be exceeded.
+  std::string forwardAddress_; ///< IP:PORT for calls that peers forward.
+  /// Time between the request to stop and the kill.
+  base::Duration gracePeriod_{ std::chrono::seconds{ 8 } };
+  /// Share by which a route's cap on queued tokens may be exceeded.
   double capOverage_ = 0.0;
-  /// By how much organisations' limits on requests may be exceeded.
+  /// How far organisations' rate limits may be exceeded.
   fleet::RateTolerance rateTolerance_;
-  /// Time after which no request with a key that was taken away may run;
-  /// nothing: no such bound.
+  /// Maximum time for which requests with a revoked key may run; std::nullopt
+  /// if revocation is unbounded.
   std::optional<base::Duration> revocationBound_;
-  /// Within which an accepted configuration must be in force.
+  /// Maximum time until an accepted configuration is in force.
   base::Duration configurationBound_{ std::chrono::seconds{ 2 } };
-  /// Within which a draining endpoint must get nothing new.
+  /// Maximum time until a draining endpoint gets no new requests.
   base::Duration drainBound_{ std::chrono::seconds{ 2 } };
-  /// How long a closed job can be read, from its acceptance.
+  /// How long a closed job can be read, counted from its acceptance.
   base::Duration jobRetention_{ std::chrono::seconds{ 150 } };
-  /// Where this host may keep jobs until the store takes them; empty: nowhere.
+  /// Folder for jobs that the store doesn't have yet; empty: no spool.
   std::string dataFolder_;
-  /// Hosts that must keep a job: one more than may be lost at once.
+  /// Number of hosts that must hold a spooled job; one more than the number of
+  /// hosts that may be lost at once.
   std::size_t jobCopies_ = 2;
-  /// Within which what one host has shown of a job is to be seen at all.
-  base::Duration settleBound_{ std::chrono::seconds{ 1 } };
+  /// Maximum time until a job's state that one host has returned is visible at
+  /// all hosts.
+  base::Duration jobStateBound_{ std::chrono::seconds{ 1 } };
 };
 
-/// Where the store keeps what a gateway follows.
+/// Key prefixes of the store that a gateway follows.
 struct StoreLayout
 {
   std::string operatorPrefix_;
@@ -71,39 +73,40 @@
   std::string hostPrefix_;
 };
 
-/// Reads what others wrote into the store. The adapter implements it.
+/// Parses the entries of operators and endpoints in the store. Implemented by
+/// the adapter.
 class StoreCodec
 {
 public:
   virtual ~StoreCodec() = default;
 
-  /// @return the configuration, if the key holds one that can be read.
+  /// @return the configuration, or std::nullopt if it can't be parsed.
   [[nodiscard]] virtual std::optional<fleet::Declarations> ReadDeclarations(
     const metadata::StoreItem& aItem) const = 0;
 
   /// @return whether the key holds the operators' configuration.
   [[nodiscard]] virtual bool IsDeclarations(std::string_view aKey) const = 0;
 
-  /// @return an endpoint's registration.
+  /// @return an endpoint's registration, or std::nullopt if it can't be parsed.
   [[nodiscard]] virtual std::optional<fleet::EndpointRecord> ReadEndpoint(
     const metadata::StoreItem& aItem) const = 0;
 
-  /// @return the host that operators want emptied, or nothing where the key is
-  /// no such request.
+  /// @return the host that operators retire, or std::nullopt if the item is
+  ///         something else.
   [[nodiscard]] virtual std::optional<std::string> ReadRetirement(
     const metadata::StoreItem& aItem) const = 0;
 
-  /// @return what tells operators that a host holds nothing any more.
+  /// @return the transaction that reports the end of a host's retirement.
   [[nodiscard]] virtual metadata::Transaction MakeRetirementDone(
     const std::string& aHost) const = 0;
 
-  /// @return whether a request asks for readiness.
+  /// @return whether a request is a readiness probe.
   [[nodiscard]] virtual bool IsReadinessProbe(
     const httpstream::Request& aRequest) const = 0;
 };
 
-/// The process between callers and endpoints: takes requests over HTTP, follows
-/// the store, and runs jobs. One event thread; see docs/design/platform.md.
+/// Forwards requests from callers to endpoints over HTTP, follows the store and
+/// runs batch jobs. Single-threaded; see docs/design/platform.md.
 class Gateway
 {
 public:
@@ -115,12 +118,13 @@
           metadata::StoreClient& aStore,
           StoreTransport& aStoreTransport);
 
-  /// Opens the addresses and begins to follow the store.
-  /// @return false if an address can't be used.
+  /// Opens the listeners and starts to follow the store.
+  /// @return false if an address can't be opened.
   [[nodiscard]] bool Start();
 
-  /// Stops gracefully: withdraws readiness, hands jobs over, lets open requests
-  /// end, then calls aStopped.
+  /// Stops gracefully: withdraws readiness, hands jobs over and lets open
+  /// requests finish.
+  /// @param aStopped Called once all is done or the grace period is over.
   void Stop(std::function<void()> aStopped);
 
 private:
@@ -132,7 +136,7 @@
   [[nodiscard]] std::vector<StoreMirrors::Followed> FollowedPrefixes();
   void OnOperatorKey(const metadata::StoreItem& aItem);
 
-  /// @return whether the registration says anything that wasn't known.
+  /// @return whether the registration differs from the known one.
   bool OnEndpointKey(const metadata::StoreItem& aItem);
   void OnBatchJobKey(const metadata::StoreItem& aItem);
   void OnHostKey(const metadata::StoreItem& aItem);
@@ -141,14 +145,14 @@
   void AddGauges();
   void Preempt(const fleet::EndpointChoice& aChoice);
   void Retire();
-  void ReportRetired();
-  void ReportRetiredLater();
-  void TickLater();
+  void ReportRetirement();
+  void ScheduleRetirementReport();
+  void ScheduleTick();
   void Tick();
-  void NoteReadiness();
-  void EndWhenIdle();
+  void UpdateReadiness();
+  void StopWhenIdle();
   [[nodiscard]] bool IsReady() const;
-  [[nodiscard]] bool IsPastNotice() const;
+  [[nodiscard]] bool IsPastBalancerNotice() const;
   [[nodiscard]] bool Listen(httpstream::Listener& aListener,
                             const std::string& aAddress);
   [[nodiscard]] std::string OwnName() const;
@@ -166,28 +170,28 @@
   StoreMirrors mirrors_;
   metadata::HostLease lease_;
   BatchJobLoader loader_;
-  PeerClients peerClients_; ///< For calls on jobs.
+  PeerClients peerClients_; ///< Clients for calls on jobs.
   BatchJobHandler batchJobHandler_;
   BatchSubmissionHandler batchSubmissionHandler_;
-  std::optional<BatchJobSpool> spool_; ///< Where this host has a data folder.
+  std::optional<BatchJobSpool> spool_; ///< Set if there is a data folder.
   BatchWorker worker_;
   LedgerWriter ledgerWriter_;
   BatchJobRetention retention_;
   PeerMessenger peers_;
   AccessControl accessControl_;
   OnlineProxy::PreemptBatch preemptBatch_;
-  httpstream::Listener callers_;
-  httpstream::Listener status_;
+  httpstream::Listener callerListener_;
+  httpstream::Listener statusListener_;
   httpstream::Listener metricsListener_;
-  httpstream::Listener forwarded_;
+  httpstream::Listener peerListener_;
   boost::asio::steady_timer tickTimer_;
   boost::asio::steady_timer stopTimer_;
-  std::function<void()> stopped_;
-  base::Instant stopBegan_;
-  bool stopping_ = false;
-  bool retiring_ = false;
-  bool handedOver_ = false;
-  bool ready_ = false;
+  std::function<void()> onStopped_;
+  base::Instant stopStartedAt_;
+  bool isStopping_ = false;
+  bool isRetiring_ = false;
+  bool isHandedOver_ = false;
+  bool isReady_ = false;
   base::Lifetime lifetime_;
 };
 
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -5,36 +5,34 @@
 
 #include <utility>
 
-// What the gateway does with what it follows in the store.
+// Handles changes of the store prefixes that the gateway follows.
 
 namespace pumiceturn::gateway {
 
 namespace {
 
-/// Shares of a bound: how long a follower's watch waits for a change, how long
-/// it pauses after one, and how long the other hosts rely on a copy that was
-/// confirmed. A watch that waits shows only at its end that the connection
-/// lives. The rest of the bound is for a call on a slow day (0.25 s) and one
-/// repetition.
+/// Shares of a bound: a follower's maximum watch, and the time for which other
+/// hosts trust a confirmed mirror. A waiting watch shows only at its end that
+/// its connection works. The rest of the bound covers a slow call to the store
+/// and one retry.
 constexpr double kConfigurationWatchShare = 0.2;
 constexpr double kEndpointWatchShare = 0.2;
 constexpr double kJobWatchShare = 0.25;
-constexpr double kConfigurationTrustShare = 0.5;
-constexpr double kEndpointTrustShare = 0.5;
-constexpr double kJobTrustShare = 0.6;
+constexpr double kConfigurationFreshnessShare = 0.5;
+constexpr double kEndpointFreshnessShare = 0.5;
+constexpr double kJobFreshnessShare = 0.6;
 
-/// The operators' keys change rarely, and each change is wanted at once.
+/// Pause between watches; short, as operators' changes are rare and urgent.
 constexpr std::chrono::milliseconds kOperatorPause{ 50 };
 
-/// Nothing that hangs on hosts' registrations is bounded.
-constexpr std::chrono::milliseconds kHostWatch{ 3000 };
+/// No bound depends on hosts' registrations.
+constexpr std::chrono::milliseconds kMaxHostWatch{ 3000 };
 constexpr std::chrono::milliseconds kHostPause{ 200 };
-constexpr std::chrono::milliseconds kHostTrust{ 8000 };
+constexpr std::chrono::milliseconds kHostFreshness{ 8000 };
 
-/// Of hosts that run no jobs as long as there are workers. They need a job's
-/// state only to pass calls on: one that is missing is read then, and where an
-/// old one leads to the wrong host, the store answers the call.
-constexpr std::chrono::milliseconds kJobTrustOfOthers{ 4000 };
+/// For hosts that run no jobs while there are workers. They need a job's state
+/// only to forward calls; a missing or outdated one costs a read of the store.
+constexpr std::chrono::milliseconds kNonWorkerJobFreshness{ 4000 };
 
 base::Duration
 ShareOf(base::Duration aBound, double aShare)
@@ -43,28 +41,30 @@
 }
 
 metadata::PrefixMirror::Options
-Follow(const std::string& aPrefix,
-       base::Duration aLongestWatch,
-       base::Duration aPause,
-       base::Duration aFreshFor)
+MakeFollowOptions(const std::string& aPrefix,
+                  base::Duration aMaxWatch,
+                  base::Duration aPause,
+                  base::Duration aFreshFor)
 {
   metadata::PrefixMirror::Options options;
   options.prefix_ = aPrefix;
-  options.maxWatch_ = aLongestWatch;
+  options.maxWatch_ = aMaxWatch;
   options.pause_ = aPause;
   options.freshFor_ = aFreshFor;
   return options;
 }
 
-/// @param aWatchShare Of the bound; a follower pauses as long as it waits.
+/// @param aWatchShare     Share of aBound for the maximum watch and the pause.
+/// @param aFreshnessShare Share of aBound for which a mirror is trusted.
 metadata::PrefixMirror::Options
-FollowWithin(const std::string& aPrefix,
-             base::Duration aBound,
-             double aWatchShare,
-             double aTrustShare)
+MakeBoundedFollowOptions(const std::string& aPrefix,
+                         base::Duration aBound,
+                         double aWatchShare,
+                         double aFreshnessShare)
 {
   const base::Duration watch = ShareOf(aBound, aWatchShare);
-  return Follow(aPrefix, watch, watch, ShareOf(aBound, aTrustShare));
+  return MakeFollowOptions(
+    aPrefix, watch, watch, ShareOf(aBound, aFreshnessShare));
 }
 
 } // namespace
@@ -73,10 +73,10 @@
 Gateway::FollowedPrefixes()
 {
   metadata::PrefixMirror::Options operators =
-    FollowWithin(layout_.operatorPrefix_,
-                 settings_.configurationBound_,
-                 kConfigurationWatchShare,
-                 kConfigurationTrustShare);
+    MakeBoundedFollowOptions(layout_.operatorPrefix_,
+                             settings_.configurationBound_,
+                             kConfigurationWatchShare,
+                             kConfigurationFreshnessShare);
   operators.pause_ = kOperatorPause;
   return { { StorePrefix::Operators,
              operators,
@@ -85,24 +85,25 @@
                return true;
              } },
            { StorePrefix::Endpoints,
-             FollowWithin(layout_.endpointPrefix_,
-                          settings_.drainBound_,
-                          kEndpointWatchShare,
-                          kEndpointTrustShare),
+             MakeBoundedFollowOptions(layout_.endpointPrefix_,
+                                      settings_.drainBound_,
+                                      kEndpointWatchShare,
+                                      kEndpointFreshnessShare),
              [this](const metadata::StoreItem& aItem) {
                return OnEndpointKey(aItem);
              } },
            { StorePrefix::BatchJobs,
-             FollowWithin(layout_.jobs_.statePrefix_,
-                          settings_.settleBound_,
-                          kJobWatchShare,
-                          kJobTrustShare),
+             MakeBoundedFollowOptions(layout_.jobs_.statePrefix_,
+                                      settings_.jobStateBound_,
+                                      kJobWatchShare,
+                                      kJobFreshnessShare),
              [this](const metadata::StoreItem& aItem) {
                OnBatchJobKey(aItem);
                return true;
              } },
            { StorePrefix::Hosts,
-             Follow(layout_.hostPrefix_, kHostWatch, kHostPause, kHostTrust),
+             MakeFollowOptions(
+               layout_.hostPrefix_, kMaxHostWatch, kHostPause, kHostFreshness),
              [this](const metadata::StoreItem& aItem) {
                OnHostKey(aItem);
                return true;
@@ -136,12 +137,12 @@
     return;
   }
   shared_.admission_.ForgetRoutes();
-  callers_.SetLimits(limits);
+  callerListener_.SetLimits(limits);
   base::Log(kDeclarationsInForce,
             { { "version", shared_.routes_.Version() },
               { "routes", routes },
               { "revision", aItem.revision_ } });
-  NoteReadiness();
+  UpdateReadiness();
 }
 
 bool
@@ -160,17 +161,17 @@
   }
   const auto record = storeCodec_.ReadEndpoint(aItem);
   if (!record) {
-    // Not a word of the endpoint's own: neither that it drains nor that it is
-    // gone. It may have been overwritten, so nothing new is sent there.
+    // The entry may have been overwritten: send no new requests, but don't
+    // treat the endpoint as draining or removed.
     shared_.endpoints_.Withhold(id);
     base::Log(kEndpointUnreadable,
               { { "endpoint", id },
                 { "bytes", aItem.value_.size() },
                 { "revision", aItem.revision_ } });
-    NoteReadiness();
+    UpdateReadiness();
     return true;
   }
-  const bool isNews = !shared_.endpoints_.IsKnownAs(*record);
+  const bool isUpdate = !shared_.endpoints_.IsKnownAs(*record);
   const bool wasUsable = shared_.endpoints_.IsUsable(id);
   const fleet::RegistrationOutcome outcome =
     shared_.endpoints_.Put(*record, now);
@@ -187,8 +188,8 @@
                 { "state", record->isDraining_ ? "draining" : "ready" },
                 { "revision", aItem.revision_ } });
   }
-  NoteReadiness();
-  return isNews;
+  UpdateReadiness();
+  return isUpdate;
 }
 
 void
@@ -226,7 +227,7 @@
   }
   const auto record = DecodeHostRecord(aItem.value_);
   if (!record) {
-    // The host lives as long as its key does: what was known of it holds.
+    // The host is alive while its key exists: keep the previous registration.
     base::Log(kHostUnreadable,
               { { "host", host }, { "revision", aItem.revision_ } });
     return;
@@ -241,13 +242,13 @@
 Gateway::OnHostsChanged()
 {
   std::vector<batch::PeerAddress> others = hosts_.PeersBut(OwnName());
-  peerClients_.Keep(others);
+  peerClients_.RetainOnly(others);
   storeTransport_.SetPeers(std::move(others));
   const bool mayRunJobs = hosts_.IsPreferred(settings_.batchPreference_);
-  mirrors_.SetFreshness(StorePrefix::BatchJobs,
-                        mayRunJobs
-                          ? ShareOf(settings_.settleBound_, kJobTrustShare)
-                          : base::Duration(kJobTrustOfOthers));
+  mirrors_.SetFreshness(
+    StorePrefix::BatchJobs,
+    mayRunJobs ? ShareOf(settings_.jobStateBound_, kJobFreshnessShare)
+               : base::Duration(kNonWorkerJobFreshness));
 }
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/HostRecord.h
+++ b/Libraries/LibGateway/HostRecord.h
@@ -8,12 +8,12 @@
 
 namespace pumiceturn::gateway {
 
-/// What a host registers of itself in the store.
+/// A host's registration in the store.
 struct HostRecord
 {
-  std::string owner_;       ///< Host and incarnation.
+  std::string owner_;       ///< "HOST/INCARNATION".
   std::string peerAddress_; ///< IP:PORT for datagrams.
-  std::string callAddress_; ///< IP:PORT for calls of other hosts.
+  std::string callAddress_; ///< IP:PORT for HTTP calls of peers.
   batch::BatchPreference preference_ = batch::BatchPreference::IfNoOther;
 
   bool operator==(const HostRecord&) const = default;
@@ -22,7 +22,7 @@
 std::string
 EncodeHostRecord(const HostRecord& aRecord);
 
-/// @return nothing where the text is no such record.
+/// @return std::nullopt if the text can't be parsed.
 std::optional<HostRecord>
 DecodeHostRecord(std::string_view aText);
 
--- a/Libraries/LibGateway/ItemAttempt.cpp
+++ b/Libraries/LibGateway/ItemAttempt.cpp
@@ -73,7 +73,7 @@
 void
 ItemAttempt::OnHead(const httpstream::ResponseHead& aHead)
 {
-  responseInfo_ = shared_.codec_.ReadAnswer(aHead);
+  responseInfo_ = shared_.codec_.ReadResponseInfo(aHead);
   status_ = aHead.result_int();
 }
 
@@ -106,7 +106,7 @@
   if (aEnd != httpstream::CallOutcome::Complete) {
     return batch::ItemAttemptOutcome::Broken;
   }
-  if (responseInfo_.isCertainlyNotRun_) {
+  if (responseInfo_.isSafeToRetry_) {
     return batch::ItemAttemptOutcome::NotRun;
   }
   if (status_ == httpstream::kStatusUnprocessable) {
--- a/Libraries/LibGateway/OnlineProxy.cpp
+++ b/Libraries/LibGateway/OnlineProxy.cpp
@@ -11,42 +11,41 @@
 
 namespace {
 
-/// Wait for the first byte from an endpoint before a request that may run again
-/// goes to another: three times the latency objective, so that a full engine's
-/// queue isn't taken for a silent one.
+/// Maximum wait for an endpoint's first byte before a retryable request goes to
+/// another. Well above the latency objective, so that a queue isn't mistaken
+/// for a hang.
 constexpr std::chrono::milliseconds kFirstByteTimeout{ 1000 };
 
-/// Longest pause within a stream before it goes on elsewhere. Callers count a
-/// pause of over 400 ms as late and leave after about 3 s.
+/// Maximum gap within a stream before it is resumed at another endpoint.
 constexpr std::chrono::milliseconds kGapTimeout{ 900 };
 
-/// Longest wait for the first byte of a request that was queued knowingly:
-/// callers leave a stream after somewhat over 3 s without an event.
-constexpr std::chrono::milliseconds kLongestFirstByteTimeout{ 2500 };
+/// Upper bound of the first-byte timeout including the expected wait for a
+/// slot; callers disconnect after about 3 s without an event.
+constexpr std::chrono::milliseconds kMaxFirstByteTimeout{ 2500 };
 
-/// Endpoints that may fail to accept a connection before a request is refused.
+/// Failed connections after which a request is rejected.
 constexpr std::uint32_t kMaxFailedConnects = 3;
 
-/// The rest of a caller's time that can't hold a run any more.
-constexpr std::chrono::milliseconds kLeastUsefulTime{ 30 };
+/// No attempt starts with less time than this left.
+constexpr std::chrono::milliseconds kMinAttemptTime{ 30 };
 
-/// Unsent bytes at which reading from the endpoint pauses, so that a slow
-/// caller can't fill the memory.
+/// Reading from the endpoint pauses above this, which bounds the memory that a
+/// slow caller takes.
 constexpr std::size_t kMaxUnsentBytes = 262144;
 
 constexpr unsigned kFirstServerError = 500;
 
 std::string_view
-NameOf(ProxyOutcome aEnd)
+NameOf(ProxyOutcome aOutcome)
 {
-  switch (aEnd) {
+  switch (aOutcome) {
     case ProxyOutcome::Answered:
       return "answered";
     case ProxyOutcome::NotRun:
       return "not_run";
     case ProxyOutcome::Failed:
       return "failed";
-    case ProxyOutcome::BrokenOff:
+    case ProxyOutcome::StreamAborted:
       return "broken_off";
     case ProxyOutcome::TimedOut:
       return "timed_out";
@@ -59,9 +58,9 @@
 }
 
 std::string_view
-NameOf(httpstream::CallOutcome aEnd)
+NameOf(httpstream::CallOutcome aOutcome)
 {
-  switch (aEnd) {
+  switch (aOutcome) {
     case httpstream::CallOutcome::Complete:
       return "complete";
     case httpstream::CallOutcome::NotConnected:
@@ -76,7 +75,7 @@
   return "unintelligible";
 }
 
-/// Names what is asked: such a request comes again with the same path and body.
+/// @return a hash that identifies repetitions of a request by target and body.
 std::uint64_t
 HashContent(const httpstream::Request& aRequest)
 {
@@ -106,7 +105,7 @@
   , caller_(std::move(aCaller))
   , preemptBatch_(aPreemptBatch)
   , call_(aShared.codec_.ReadOnline(exchange_->GetRequest()))
-  , content_(HashContent(exchange_->GetRequest()))
+  , contentHash_(HashContent(exchange_->GetRequest()))
   , lastEvent_(call_.lastEvent_)
 {
   const base::Duration allowed =
@@ -125,18 +124,18 @@
     }
   });
   exchange_->OnDrained([weak = weak_from_this()] {
-    if (const auto proxy = weak.lock(); proxy && proxy->run_) {
-      proxy->run_->SetPaused(false);
+    if (const auto proxy = weak.lock(); proxy && proxy->attempt_) {
+      proxy->attempt_->SetPaused(false);
     }
   });
   deadlineTimer_.expires_after(TimeLeft());
-  // The timer holds the proxy until it has ended.
+  // The timer's handler keeps the proxy alive until it has finished.
   deadlineTimer_.async_wait([self](const boost::system::error_code& aError) {
     if (!aError) {
-      self->OnTimeUp();
+      self->OnDeadline();
     }
   });
-  TryNext();
+  TryNextEndpoint();
 }
 
 base::Duration
@@ -146,22 +145,22 @@
 }
 
 bool
-OnlineProxy::MayRunAgain() const
+OnlineProxy::IsRetryable() const
 {
   return route_.kind_ == fleet::RequestKind::Idempotent ||
          (route_.kind_ == fleet::RequestKind::Stream && route_.isResumable_);
 }
 
 void
-OnlineProxy::TryNext()
+OnlineProxy::TryNextEndpoint()
 {
-  if (ended_) {
+  if (isFinished_) {
     return;
   }
   const bool isStreaming = exchange_->IsStreaming();
   if (IsSuspect()) {
     base::Log(kRequestSuspect,
-              { { "request", call_.requestId_ }, { "content", content_ } });
+              { { "request", call_.requestId_ }, { "content", contentHash_ } });
     if (isStreaming) {
       exchange_->Abort();
     } else {
@@ -171,30 +170,30 @@
     Finish(ProxyOutcome::Suspect);
     return;
   }
-  if (tried_.size() >= route_.maxAttempts_ ||
-      failedConnects_ >= kMaxFailedConnects || TimeLeft() < kLeastUsefulTime) {
+  if (triedEndpoints_.size() >= route_.maxAttempts_ ||
+      failedConnects_ >= kMaxFailedConnects || TimeLeft() < kMinAttemptTime) {
     if (isStreaming) {
       exchange_->Abort();
-      Finish(ProxyOutcome::BrokenOff);
+      Finish(ProxyOutcome::StreamAborted);
     } else if (mayHaveRun_) {
       exchange_->Respond(
         httpstream::MakeResponse(httpstream::kStatusBadGateway, {}));
       Finish(ProxyOutcome::Failed);
     } else {
-      AnswerNotRun();
+      RespondUnavailable();
     }
     return;
   }
   const std::string& service =
     fleet::RouteTable::ChooseService(route_, NextRandom(shared_.random_));
-  const auto choice =
-    shared_.endpoints_.Choose({ service, fleet::WorkClass::Online, tried_ },
-                              base::MonotonicNow(),
-                              shared_.random_);
+  const auto choice = shared_.endpoints_.Choose(
+    { service, fleet::WorkClass::Online, triedEndpoints_ },
+    base::MonotonicNow(),
+    shared_.random_);
   if (!choice) {
-    // Counts as the last try: no other endpoint is left.
-    tried_.resize(route_.maxAttempts_);
-    TryNext();
+    // No other endpoint is left: uses up the attempts.
+    triedEndpoints_.resize(route_.maxAttempts_);
+    TryNextEndpoint();
     return;
   }
   if (!Admit(*choice)) {
@@ -220,8 +219,8 @@
   const fleet::Admission admission =
     shared_.admission_.Check(request, NextRandom(shared_.random_));
   expectedWait_ = admission.expectedWait_;
-  // Who was sent once is never sent away: a refusal would come late.
-  if (!admission.retryAfter_ || !tried_.empty() || mayHaveRun_) {
+  // A request that was sent once isn't rejected: the rejection would be late.
+  if (!admission.retryAfter_ || !triedEndpoints_.empty() || mayHaveRun_) {
     return true;
   }
   base::Log(kRequestNotAdmitted,
@@ -233,7 +232,7 @@
               { "wait_ms", base::ToMs(admission.expectedWait_) },
               { "objective_ms", base::ToMs(route_.objective_) },
               { "come_back_ms", base::ToMs(*admission.retryAfter_) } });
-  exchange_->Respond(shared_.codec_.MakeNotRun(*admission.retryAfter_));
+  exchange_->Respond(shared_.codec_.MakeUnavailable(*admission.retryAfter_));
   Finish(ProxyOutcome::NotRun);
   return false;
 }
@@ -251,7 +250,7 @@
               { "running", aChoice.running_ },
               { "candidates", aChoice.candidates_ },
               { "preempts", aChoice.preemptsBatch_ },
-              { "attempt", tried_.size() + 1 },
+              { "attempt", triedEndpoints_.size() + 1 },
               { "version", shared_.routes_.Version() },
               { "left_ms", base::ToMs(TimeLeft()) } });
   ForwardOptions options;
@@ -266,23 +265,23 @@
   call.echoField_ = shared_.codec_.EchoField();
   call.echoValue_ = call_.requestId_;
   call.isHead_ = request.method() == boost::beast::http::verb::head;
-  if (MayRunAgain()) {
+  if (IsRetryable()) {
     call.firstByteTimeout_ = std::min<base::Duration>(
-      kFirstByteTimeout + expectedWait_, kLongestFirstByteTimeout);
+      kFirstByteTimeout + expectedWait_, kMaxFirstByteTimeout);
     call.gapTimeout_ = kGapTimeout;
   }
-  tried_.push_back(aChoice.endpoint_.id_);
-  runIsRetry_ = shared_.suspects_.IsKnown(content_);
-  runFirstEvent_ = lastEvent_;
-  run_ = std::make_shared<EndpointAttempt>(
+  triedEndpoints_.push_back(aChoice.endpoint_.id_);
+  isSuspectRetry_ = shared_.suspects_.IsKnown(contentHash_);
+  attemptFirstEvent_ = lastEvent_;
+  attempt_ = std::make_shared<EndpointAttempt>(
     shared_, aChoice.endpoint_, fleet::WorkClass::Online);
-  run_->Start(std::move(call), *this);
+  attempt_->Start(std::move(call), *this);
 }
 
 void
 OnlineProxy::OnHead(const httpstream::ResponseHead& aHead)
 {
-  responseInfo_ = shared_.codec_.ReadAnswer(aHead);
+  responseInfo_ = shared_.codec_.ReadResponseInfo(aHead);
   isEventStream_ = aHead.result_int() == 200 && IsEventStream(aHead);
   head_ = aHead;
 }
@@ -295,139 +294,140 @@
     return;
   }
   splitter_.Append(aBytes);
-  PassEvents();
-  if (exchange_->UnsentBytes() > kMaxUnsentBytes && run_) {
-    run_->SetPaused(true);
+  ForwardEvents();
+  if (exchange_->UnsentBytes() > kMaxUnsentBytes && attempt_) {
+    attempt_->SetPaused(true);
   }
 }
 
 void
-OnlineProxy::PassEvents()
+OnlineProxy::ForwardEvents()
 {
-  std::string whole;
+  std::string events;
   while (const auto event = splitter_.Next()) {
-    // A resumed run that repeats an event must not double it for the caller.
+    // A resumed stream may repeat events, which the caller must not get twice.
     if (event->id_ != 0 && event->id_ <= lastEvent_) {
       continue;
     }
     lastEvent_ = event->id_;
-    whole.append(event->raw_);
+    events.append(event->raw_);
   }
-  if (whole.empty()) {
+  if (events.empty()) {
     return;
   }
   if (!exchange_->IsStreaming()) {
-    firstPieceAt_ = base::MonotonicNow();
+    firstEventAt_ = base::MonotonicNow();
     exchange_->BeginStream(*head_);
   }
-  exchange_->SendChunk(whole);
+  exchange_->SendChunk(events);
 }
 
 void
-OnlineProxy::OnEnd(httpstream::CallOutcome aEnd)
+OnlineProxy::OnEnd(httpstream::CallOutcome aOutcome)
 {
   const auto self = shared_from_this();
-  if (ended_) {
+  if (isFinished_) {
     return;
   }
-  if (aEnd == httpstream::CallOutcome::NotConnected) {
-    // Nothing was sent: this endpoint doesn't count as one that got it.
+  if (aOutcome == httpstream::CallOutcome::NotConnected) {
+    // Nothing was sent, so this doesn't count as an attempt.
     ++failedConnects_;
     base::Log(kAttemptFailed,
               { { "request", call_.requestId_ },
-                { "endpoint", run_->Endpoint().id_ },
-                { "cause", NameOf(aEnd) } });
-    tried_.pop_back();
-    TryNext();
+                { "endpoint", attempt_->Endpoint().id_ },
+                { "cause", NameOf(aOutcome) } });
+    triedEndpoints_.pop_back();
+    TryNextEndpoint();
     return;
   }
-  if (aEnd == httpstream::CallOutcome::Complete) {
-    OnWholeAnswer();
+  if (aOutcome == httpstream::CallOutcome::Complete) {
+    OnCompleteResponse();
     return;
   }
-  OnBroken(aEnd);
+  OnAttemptBroken(aOutcome);
 }
 
 void
-OnlineProxy::OnWholeAnswer()
+OnlineProxy::OnCompleteResponse()
 {
   if (isEventStream_) {
     if (splitter_.Remainder() > 0) {
-      // The framing ended well, but within an event.
-      OnBroken(httpstream::CallOutcome::Broken);
+      // The body is complete by its framing but ends within an event.
+      OnAttemptBroken(httpstream::CallOutcome::Broken);
       return;
     }
     if (!exchange_->IsStreaming()) {
       exchange_->BeginStream(*head_);
     }
     const base::Instant now = base::MonotonicNow();
-    shared_.suspects_.RecordAnswered(content_, now);
-    if (firstPieceAt_ && tried_.size() == 1) {
-      shared_.admission_.RecordRun(run_->Endpoint().service_,
-                                   now - *firstPieceAt_);
+    shared_.suspects_.RecordAnswered(contentHash_, now);
+    if (firstEventAt_ && triedEndpoints_.size() == 1) {
+      shared_.admission_.RecordRun(attempt_->Endpoint().service_,
+                                   now - *firstEventAt_);
     }
     exchange_->EndStream();
     Finish(ProxyOutcome::Answered);
     return;
   }
-  if (responseInfo_.isCertainlyNotRun_) {
-    OnRefused();
+  if (responseInfo_.isSafeToRetry_) {
+    OnAttemptRefused();
     return;
   }
-  shared_.suspects_.RecordAnswered(content_, base::MonotonicNow());
+  shared_.suspects_.RecordAnswered(contentHash_, base::MonotonicNow());
   const bool isServerError = head_->result_int() >= kFirstServerError;
   mayHaveRun_ = true;
   if (exchange_->IsStreaming() ||
-      (isServerError && MayRunAgain() && tried_.size() < route_.maxAttempts_)) {
+      (isServerError && IsRetryable() &&
+       triedEndpoints_.size() < route_.maxAttempts_)) {
     base::Log(kAttemptFailed,
               { { "request", call_.requestId_ },
-                { "endpoint", tried_.back() },
+                { "endpoint", triedEndpoints_.back() },
                 { "cause", "status" },
                 { "status", head_->result_int() } });
-    TryNext();
+    TryNextEndpoint();
     return;
   }
-  httpstream::Response answer;
-  answer.result(head_->result_int());
-  httpstream::CopyEndToEndFields(*head_, answer);
-  answer.body() = std::move(body_);
-  exchange_->Respond(std::move(answer));
+  httpstream::Response response;
+  response.result(head_->result_int());
+  httpstream::CopyEndToEndFields(*head_, response);
+  response.body() = std::move(body_);
+  exchange_->Respond(std::move(response));
   Finish(ProxyOutcome::Answered);
 }
 
 void
-OnlineProxy::OnRefused()
+OnlineProxy::OnAttemptRefused()
 {
   base::Log(kAttemptFailed,
             { { "request", call_.requestId_ },
-              { "endpoint", tried_.back() },
+              { "endpoint", triedEndpoints_.back() },
               { "cause", "refused" },
               { "status", head_->result_int() } });
   if (responseInfo_.isMisdirected_) {
-    // Like a failed connection: the endpoint itself didn't get the request.
+    // As with a failed connection, the endpoint didn't get the request.
     ++failedConnects_;
-    tried_.pop_back();
+    triedEndpoints_.pop_back();
   }
-  TryNext();
+  TryNextEndpoint();
 }
 
 void
-OnlineProxy::OnBroken(httpstream::CallOutcome aEnd)
+OnlineProxy::OnAttemptBroken(httpstream::CallOutcome aOutcome)
 {
   mayHaveRun_ = true;
   base::Log(kAttemptFailed,
             { { "request", call_.requestId_ },
-              { "endpoint", tried_.back() },
-              { "cause", NameOf(aEnd) },
+              { "endpoint", triedEndpoints_.back() },
+              { "cause", NameOf(aOutcome) },
               { "last_event", lastEvent_ } });
-  NoteSuspect(aEnd);
-  if (MayRunAgain()) {
-    TryNext();
+  RecordSuspect(aOutcome);
+  if (IsRetryable()) {
+    TryNextEndpoint();
     return;
   }
   if (exchange_->IsStreaming()) {
     exchange_->Abort();
-    Finish(ProxyOutcome::BrokenOff);
+    Finish(ProxyOutcome::StreamAborted);
     return;
   }
   exchange_->Respond(
@@ -436,14 +436,17 @@
 }
 
 void
-OnlineProxy::NoteSuspect(httpstream::CallOutcome aEnd)
+OnlineProxy::RecordSuspect(httpstream::CallOutcome aOutcome)
 {
-  // A run that made events was not crashed by its own beginning.
-  if (aEnd != httpstream::CallOutcome::Broken || lastEvent_ > runFirstEvent_) {
+  // Only attempts that break off before their first event are suspect.
+  if (aOutcome != httpstream::CallOutcome::Broken ||
+      lastEvent_ > attemptFirstEvent_) {
     return;
   }
-  shared_.suspects_.RecordBroken(
-    { content_, tried_.back(), runIsRetry_, base::MonotonicNow() });
+  shared_.suspects_.RecordBroken({ contentHash_,
+                                   triedEndpoints_.back(),
+                                   isSuspectRetry_,
+                                   base::MonotonicNow() });
 }
 
 bool
@@ -454,17 +457,17 @@
   }
   const base::Instant now = base::MonotonicNow();
   return shared_.suspects_.IsRefused(
-    content_,
+    contentHash_,
     now,
-    [this, now](const std::string& aEndpoint, base::Instant aMoment) {
-      return shared_.endpoints_.HasSurvived(aEndpoint, aMoment, now);
+    [this, now](const std::string& aEndpoint, base::Instant aInstant) {
+      return shared_.endpoints_.HasSurvived(aEndpoint, aInstant, now);
     });
 }
 
 void
-OnlineProxy::OnTimeUp()
+OnlineProxy::OnDeadline()
 {
-  if (ended_) {
+  if (isFinished_) {
     return;
   }
   const auto self = shared_from_this();
@@ -478,46 +481,47 @@
 }
 
 void
-OnlineProxy::AnswerNotRun()
+OnlineProxy::RespondUnavailable()
 {
   exchange_->Respond(
-    shared_.codec_.MakeNotRun(fleet::AdmissionControl::RetryAfter(
+    shared_.codec_.MakeUnavailable(fleet::AdmissionControl::RetryAfter(
       TimeLeft(), NextRandom(shared_.random_))));
   Finish(ProxyOutcome::NotRun);
 }
 
 void
-OnlineProxy::Finish(ProxyOutcome aEnd)
+OnlineProxy::Finish(ProxyOutcome aOutcome)
 {
-  if (std::exchange(ended_, true)) {
+  if (std::exchange(isFinished_, true)) {
     return;
   }
-  if (const auto run = std::exchange(run_, nullptr)) {
-    run->Cancel();
+  if (const auto attempt = std::exchange(attempt_, nullptr)) {
+    attempt->Cancel();
   }
-  if (aEnd == ProxyOutcome::NotRun && caller_) {
+  if (aOutcome == ProxyOutcome::NotRun && caller_) {
     shared_.rateLimiter_.Refund(*caller_);
   }
   const base::Instant now = base::MonotonicNow();
   const base::Duration first =
-    firstPieceAt_.value_or(now) - exchange_->ReceivedAt();
+    firstEventAt_.value_or(now) - exchange_->ReceivedAt();
   base::Log(kRequestEnded,
             { { "request", call_.requestId_ },
               { "route", route_.name_ },
               { "organisation", caller_.value_or(std::string()) },
-              { "end", NameOf(aEnd) },
-              { "attempts", tried_.size() },
+              { "end", NameOf(aOutcome) },
+              { "attempts", triedEndpoints_.size() },
               { "first_ms", base::ToMs(first) },
               { "total_ms", base::ToMs(now - exchange_->ReceivedAt()) },
               { "last_event", lastEvent_ } });
   const std::string label =
-    fmt::format("route=\"{}\",end=\"{}\"", route_.name_, NameOf(aEnd));
+    fmt::format("route=\"{}\",end=\"{}\"", route_.name_, NameOf(aOutcome));
   shared_.metrics_
-    .GetCounter("pumiceturn_online_requests_total", "Ended requests.", label)
+    .GetCounter(
+      "pumiceturn_online_requests_total", "Online requests that ended.", label)
     .Add();
   shared_.metrics_
     .GetHistogram("pumiceturn_online_first_piece_seconds",
-                  "Arrival to first piece or final answer.")
+                  "Time from arrival to the first event or the final response.")
     .Record(std::chrono::duration<double>(first).count());
   deadlineTimer_.cancel();
 }
--- a/Libraries/LibGateway/OnlineProxy.h
+++ b/Libraries/LibGateway/OnlineProxy.h
@@ -14,27 +14,27 @@
 
 namespace pumiceturn::gateway {
 
-/// Why an online request ended, for the log.
+/// Outcome of an online request, for the log and the metrics.
 enum class ProxyOutcome : std::uint8_t
 {
-  Answered,           ///< An endpoint's whole answer was passed on.
-  NotRun,             ///< Refused, and certainly not run.
-  Failed,             ///< Ended without an answer; may have run.
-  BrokenOff,          ///< A stream was broken off midway.
-  TimedOut,           ///< Its time was up.
-  CallerDisconnected, ///< The caller closed.
-  Suspect, ///< Refused: it seems to crash each endpoint that runs it.
+  Answered,           ///< A complete response was forwarded.
+  NotRun,             ///< Rejected; no endpoint ran it.
+  Failed,             ///< No complete response; it may have run.
+  StreamAborted,      ///< A stream was aborted midway.
+  TimedOut,           ///< Its deadline passed.
+  CallerDisconnected, ///< The caller closed the connection.
+  Suspect,            ///< Rejected: it seems to crash endpoints.
 };
 
-/// Carries one online request to an endpoint and its answer back. Tries another
-/// endpoint where the request has certainly not run or may run again, and goes
-/// on with a resumable stream at another endpoint. Belongs to the event thread.
+/// Forwards one online request to an endpoint and the response to the caller.
+/// Retries at another endpoint if the request has not run or is idempotent, and
+/// resumes resumable streams there. Used on the event thread only.
 class OnlineProxy
   : public httpstream::CallObserver
   , public std::enable_shared_from_this<OnlineProxy>
 {
 public:
-  /// Makes room at the chosen endpoint by cancelling a batch run there.
+  /// Frees a slot at the chosen endpoint by cancelling a batch attempt.
   using PreemptBatch = std::function<void(const fleet::EndpointChoice&)>;
 
   OnlineProxy(SharedState& aShared,
@@ -48,25 +48,25 @@
 
   void OnHead(const httpstream::ResponseHead& aHead) override;
   void OnBody(std::string_view aBytes) override;
-  void OnEnd(httpstream::CallOutcome aEnd) override;
+  void OnEnd(httpstream::CallOutcome aOutcome) override;
 
 private:
-  [[nodiscard]] bool MayRunAgain() const;
+  [[nodiscard]] bool IsRetryable() const;
   [[nodiscard]] base::Duration TimeLeft() const;
-  void TryNext();
-  /// Refuses the request where it would wait too long for a place.
-  /// @return whether it may be sent.
+  void TryNextEndpoint();
+  /// Rejects the request if it would wait too long for a slot.
+  /// @return whether the request may be sent.
   [[nodiscard]] bool Admit(const fleet::EndpointChoice& aChoice);
   void Send(const fleet::EndpointChoice& aChoice);
-  void PassEvents();
-  void OnWholeAnswer();
-  void OnRefused();
-  void OnBroken(httpstream::CallOutcome aEnd);
-  void OnTimeUp();
-  void NoteSuspect(httpstream::CallOutcome aEnd);
+  void ForwardEvents();
+  void OnCompleteResponse();
+  void OnAttemptRefused();
+  void OnAttemptBroken(httpstream::CallOutcome aOutcome);
+  void OnDeadline();
+  void RecordSuspect(httpstream::CallOutcome aOutcome);
   [[nodiscard]] bool IsSuspect() const;
-  void AnswerNotRun();
-  void Finish(ProxyOutcome aEnd);
+  void RespondUnavailable();
+  void Finish(ProxyOutcome aOutcome);
 
   SharedState& shared_;
   boost::asio::steady_timer deadlineTimer_;
@@ -76,24 +76,24 @@
   const PreemptBatch& preemptBatch_;
   OnlineCall call_;
   base::Instant deadline_;
-  std::shared_ptr<EndpointAttempt> run_;
-  std::vector<std::string> tried_; ///< Endpoints that got the request.
+  std::shared_ptr<EndpointAttempt> attempt_;
+  std::vector<std::string> triedEndpoints_; ///< Ids of endpoints that got it.
   std::uint32_t failedConnects_ = 0;
-  base::Duration expectedWait_{ 0 }; ///< For a place, when it was last sent.
+  base::Duration expectedWait_{ 0 }; ///< For a slot, at the last attempt.
   bool mayHaveRun_ = false;
-  std::uint64_t content_;           ///< Hash of what is asked.
-  bool runIsRetry_ = false;         ///< After a crash of such a run.
-  std::uint64_t runFirstEvent_ = 0; ///< The last event before the run.
+  std::uint64_t contentHash_;   ///< Hash of the request's target and body.
+  bool isSuspectRetry_ = false; ///< The content is already a suspect.
+  std::uint64_t attemptFirstEvent_ = 0; ///< Last event before the attempt.
 
-  // Of the answer that is being read.
+  // State of the response that is being read.
   std::optional<httpstream::ResponseHead> head_;
   ResponseInfo responseInfo_;
   bool isEventStream_ = false;
-  std::string body_; ///< Of an answer that is passed on whole.
+  std::string body_; ///< Buffered unless it is an event stream.
   fleet::EventSplitter splitter_;
   std::uint64_t lastEvent_ = 0;
-  std::optional<base::Instant> firstPieceAt_;
-  bool ended_ = false;
+  std::optional<base::Instant> firstEventAt_;
+  bool isFinished_ = false;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/PeerClients.cpp
+++ b/Libraries/LibGateway/PeerClients.cpp
@@ -7,7 +7,7 @@
 namespace pumiceturn::gateway {
 
 httpstream::HttpClient*
-PeerClients::Find(const std::string& aAddress)
+PeerClients::FindOrCreate(const std::string& aAddress)
 {
   const auto found = clients_.find(aAddress);
   if (found != clients_.end()) {
@@ -17,13 +17,13 @@
   if (!address) {
     return nullptr;
   }
-  auto& caller = clients_[aAddress];
-  caller = std::make_unique<httpstream::HttpClient>(executor_, *address);
-  return caller.get();
+  auto& client = clients_[aAddress];
+  client = std::make_unique<httpstream::HttpClient>(executor_, *address);
+  return client.get();
 }
 
 void
-PeerClients::Keep(const std::vector<batch::PeerAddress>& aPeers)
+PeerClients::RetainOnly(const std::vector<batch::PeerAddress>& aPeers)
 {
   std::erase_if(clients_, [&aPeers](const auto& aEntry) {
     return std::none_of(
--- a/Libraries/LibGateway/PeerClients.h
+++ b/Libraries/LibGateway/PeerClients.h
@@ -12,7 +12,7 @@
 
 namespace pumiceturn::gateway {
 
-/// Calls to peers, by their address. Belongs to the event thread.
+/// HTTP clients for peers, by address. Used on the event thread only.
 class PeerClients
 {
 public:
@@ -22,12 +22,14 @@
   }
 
   /// @param aAddress IP:PORT.
-  /// @return what calls that peer, or nullptr where the address can't be read.
-  ///   Valid until Keep().
-  [[nodiscard]] httpstream::HttpClient* Find(const std::string& aAddress);
-
-  /// Drops the connections to all peers but these.
-  void Keep(const std::vector<batch::PeerAddress>& aPeers);
+  /// Creates the client if there is none yet.
+  /// @return the peer's client, valid until RetainOnly(), or nullptr if the
+  ///         address can't be parsed.
+  [[nodiscard]] httpstream::HttpClient* FindOrCreate(
+    const std::string& aAddress);
+
+  /// Drops the clients of all other peers.
+  void RetainOnly(const std::vector<batch::PeerAddress>& aPeers);
 
   [[nodiscard]] std::size_t Count() const { return clients_.size(); }
 
--- a/Libraries/LibGateway/PeerMessenger.cpp
+++ b/Libraries/LibGateway/PeerMessenger.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-/// How long a run that may have crashed its endpoint is told to the others,
-/// which remember it longer; and how many at most, to keep datagrams small.
-constexpr std::chrono::seconds kSuspectNews{ 3 };
+/// Suspect attempts older than this aren't sent to peers any more.
+constexpr std::chrono::seconds kMaxSuspectAge{ 3 };
+/// Keeps datagrams small.
 constexpr std::size_t kMaxSuspects = 32;
 
 } // namespace
@@ -49,7 +49,7 @@
   }
   socket_.non_blocking(true, error);
   Receive();
-  SendLater();
+  ScheduleSend();
   return {};
 }
 
@@ -85,20 +85,20 @@
 }
 
 void
-PeerMessenger::SendLater()
+PeerMessenger::ScheduleSend()
 {
   timer_.expires_after(fleet::CountPublisher::Interval(peers_.size()));
   timer_.async_wait(
     lifetime_.Guard([this](const boost::system::error_code& aError) {
       if (!aError) {
-        Send();
-        SendLater();
+        SendCounts();
+        ScheduleSend();
       }
     }));
 }
 
 void
-PeerMessenger::Send()
+PeerMessenger::SendCounts()
 {
   if (peers_.empty()) {
     return;
@@ -121,7 +121,7 @@
   if (update->isWhole_) {
     content["runs"] = std::move(rows);
     content["suspects"] = SuspectRows();
-    content["store"] = EncodeStoreReport(mirrors_.Report());
+    content["store"] = EncodeStoreReport(mirrors_.MakeReport());
   } else {
     content["changed"] = std::move(rows);
   }
@@ -131,7 +131,7 @@
   }
   if (update->isWhole_) {
     DropSilentPeers(now);
-    AskForSilentPeers(now);
+    RequestRelays(now);
   }
 }
 
@@ -140,7 +140,7 @@
                       std::span<const std::uint8_t> aMessage)
 {
   boost::system::error_code ignored;
-  // A datagram that can't be sent now is replaced by the next.
+  // A datagram that can't be sent is made up for by the next one.
   socket_.send_to(
     asio::buffer(aMessage.data(), aMessage.size()), aAddress, 0, ignored);
 }
@@ -154,7 +154,7 @@
 }
 
 void
-PeerMessenger::AskForSilentPeers(base::Instant aNow)
+PeerMessenger::RequestRelays(base::Instant aNow)
 {
   for (const fleet::RelayRequest& request :
        reachability_.RelayRequests(aNow, shared_.random_)) {
@@ -219,7 +219,7 @@
                                  const json& aMessage,
                                  base::Instant aNow)
 {
-  // A host with an earlier version sends none.
+  // Hosts of earlier versions don't send it.
   const auto report = aMessage.find("store");
   if (report != aMessage.end() && IsFromPeer(aHost)) {
     mirrors_.HandleReport(aHost, DecodeStoreReport(*report), aNow);
@@ -239,15 +239,16 @@
 {
   json rows = json::array();
   const base::Instant now = base::MonotonicNow();
-  for (const fleet::SuspectAttempt& run : shared_.suspects_.Runs(now)) {
-    if (now - run.brokeAt_ > kSuspectNews || rows.size() == kMaxSuspects) {
+  for (const fleet::SuspectAttempt& attempt : shared_.suspects_.Runs(now)) {
+    if (now - attempt.brokeAt_ > kMaxSuspectAge ||
+        rows.size() == kMaxSuspects) {
       continue;
     }
-    // Ages, as hosts' clocks differ.
-    rows.push_back({ run.content_,
-                     run.endpoint_,
-                     run.isRetry_,
-                     base::ToMs(now - run.brokeAt_) });
+    // Sends ages, as hosts' clocks differ.
+    rows.push_back({ attempt.content_,
+                     attempt.endpoint_,
+                     attempt.isRetry_,
+                     base::ToMs(now - attempt.brokeAt_) });
   }
   return rows;
 }
@@ -269,7 +270,7 @@
 PeerMessenger::RequestPreemption(const std::string& aPeer,
                                  const std::string& aEndpoint)
 {
-  // Lost, it costs no more than the peer's next look.
+  // If this datagram is lost, the peer preempts at its next tick.
   json content = { { "host", ownName_ }, { "yield", aEndpoint } };
   const auto relay = reachability_.RelayTo(aPeer, base::MonotonicNow());
   if (relay) {
@@ -290,7 +291,7 @@
           return;
         }
         if (!aError) {
-          Take(std::string_view(buffer_.data(), aBytes));
+          HandleDatagram(std::string_view(buffer_.data(), aBytes));
         }
         Receive();
       }));
@@ -311,7 +312,7 @@
 }
 
 void
-PeerMessenger::Take(std::string_view aMessage)
+PeerMessenger::HandleDatagram(std::string_view aMessage)
 {
   try {
     const json message = json::from_cbor(aMessage.begin(), aMessage.end());
@@ -336,13 +337,13 @@
     } else {
       HandleCounts(host, message, now);
       HandleStoreReport(host, message, now);
-      Forward(host, message, now);
+      Relay(host, message, now);
     }
   } catch (const json::exception&) {
-    // Not one of ours: anyone can send to a port.
+    // Anyone can send to this port.
     shared_.metrics_
       .GetCounter("pumiceturn_peer_datagrams_unreadable_total",
-                  "Datagrams that are no message of a peer.")
+                  "Datagrams that could not be parsed.")
       .Add();
   }
 }
@@ -358,7 +359,7 @@
   }
   shared_.endpoints_.SetPeerCounts(
     aHost, ReadCounts(aMessage.at("runs")), aNow);
-  // A host with an earlier version sends none.
+  // Hosts of earlier versions don't send it.
   if (const auto rows = aMessage.find("suspects"); rows != aMessage.end()) {
     HandleSuspects(*rows);
   }
@@ -376,12 +377,13 @@
 }
 
 void
-PeerMessenger::Forward(const std::string& aHost,
-                       const json& aMessage,
-                       base::Instant aNow)
+PeerMessenger::Relay(const std::string& aHost,
+                     const json& aMessage,
+                     base::Instant aNow)
 {
-  for (const std::string& asker : reachability_.RelayRequesters(aHost, aNow)) {
-    SendTo(asker, { { "host", ownName_ }, { "passed_on", aMessage } });
+  for (const std::string& requester :
+       reachability_.RelayRequesters(aHost, aNow)) {
+    SendTo(requester, { { "host", ownName_ }, { "passed_on", aMessage } });
   }
 }
 
--- a/Libraries/LibGateway/PeerMessenger.h
+++ b/Libraries/LibGateway/PeerMessenger.h
@@ -23,16 +23,16 @@
 
 namespace pumiceturn::gateway {
 
-/// Tells the other hosts how many runs this host has at each endpoint, changes
-/// at once and all of them several times a second, and hears the same from
-/// them, by datagrams: a lost one is made good by the next with all counts.
-/// What hosts tell each other of the store travels with them.
-/// What a peer says that isn't heard itself is passed on by another. Belongs to
-/// the event thread.
+/// Exchanges UDP datagrams with the other hosts: the number of requests that
+/// each host has in flight at each endpoint, reports about the store, rate
+/// reports and preemption requests. Changed counts are sent at once and all
+/// counts several times a second, which makes up for lost datagrams. Peers
+/// relay the counts of hosts that aren't reachable directly. Used on the event
+/// thread only.
 class PeerMessenger
 {
 public:
-  /// Called when a peer's online request takes the place of a batch run here.
+  /// Called when a peer's online request preempts a batch attempt of this host.
   using PreemptionHandler = std::function<void(const std::string& aEndpoint)>;
 
   using RateReportHandler =
@@ -51,11 +51,11 @@
   /// @param aAddress IP:PORT.
   void SetPeer(const std::string& aName, const std::string& aAddress);
 
-  /// A peer's registration is gone. It goes on being told of runs as long as it
-  /// is heard: its lease may have lapsed while the store turned it away.
+  /// Marks a peer as unregistered. It still gets messages while it is
+  /// reachable: its lease may have expired because the store refused its calls.
   void RemovePeer(const std::string& aName);
 
-  /// @return whether a peer's own messages arrive here.
+  /// @return whether a peer's messages arrive here directly.
   [[nodiscard]] bool IsReachable(const std::string& aPeer) const
   {
     return reachability_.IsReachable(aPeer, base::MonotonicNow());
@@ -66,11 +66,11 @@
     return reachability_.ReachableCount(base::MonotonicNow());
   }
 
-  /// Tells all peers what this host read from the store for them.
+  /// Sends changes that this host read from the store to all peers.
   void SendStoreDelta(const StoreDelta& aDelta);
 
-  /// Asks a peer to let one of its batch runs at an endpoint give way, at once:
-  /// waiting for its next look would cost the online request up to 200 ms.
+  /// Asks a peer to cancel one of its batch attempts at an endpoint now,
+  /// without waiting for the peer's next tick.
   void RequestPreemption(const std::string& aPeer,
                          const std::string& aEndpoint);
 
@@ -83,23 +83,23 @@
     onRateResponse_ = std::move(aHandler);
   }
 
-  /// Both may get lost: totals make up for a report, and who asked decides
-  /// alone after a while.
+  /// Rate messages may get lost: reports carry totals, and a host without a
+  /// response decides alone after a timeout.
   void SendRateReport(const std::string& aPeer,
                       const fleet::RateReport& aReport);
   void SendRateResponse(const std::string& aPeer,
                         const fleet::RateResponse& aResponse);
 
 private:
-  void SendLater();
-  void Send();
+  void ScheduleSend();
+  void SendCounts();
   void SendTo(const boost::asio::ip::udp::endpoint& aAddress,
               std::span<const std::uint8_t> aMessage);
   void SendTo(const std::string& aPeer, const nlohmann::json& aContent);
   void DropSilentPeers(base::Instant aNow);
-  void AskForSilentPeers(base::Instant aNow);
+  void RequestRelays(base::Instant aNow);
   void Receive();
-  void Take(std::string_view aMessage);
+  void HandleDatagram(std::string_view aMessage);
   void HandleCounts(const std::string& aHost,
                     const nlohmann::json& aMessage,
                     base::Instant aNow);
@@ -111,14 +111,14 @@
   void HandleRateMessage(const std::string& aHost,
                          const nlohmann::json& aMessage);
 
-  /// @return whether a datagram came from where that host is registered. What
-  ///         is taken for the store's word must not be a stranger's.
+  /// @return whether the current datagram came from the host's registered
+  ///         address. Protects the store's mirrors from other senders.
   [[nodiscard]] bool IsFromPeer(const std::string& aHost) const;
 
-  /// Passes a peer's message on to the hosts that don't hear it themselves.
-  void Forward(const std::string& aHost,
-               const nlohmann::json& aMessage,
-               base::Instant aNow);
+  /// Relays a peer's message to the hosts that asked for it.
+  void Relay(const std::string& aHost,
+             const nlohmann::json& aMessage,
+             base::Instant aNow);
   [[nodiscard]] static std::vector<fleet::PeerCount> ReadCounts(
     const nlohmann::json& aRows);
   void HandleSuspects(const nlohmann::json& aRows);
@@ -140,8 +140,8 @@
     bool isRegistered_ = true;
   };
   std::unordered_map<std::string, Peer> peers_;
-  static constexpr std::size_t kMaxDatagram = 65536;
-  std::array<char, kMaxDatagram> buffer_{};
+  static constexpr std::size_t kMaxDatagramBytes = 65536;
+  std::array<char, kMaxDatagramBytes> buffer_{};
   boost::asio::ip::udp::endpoint sender_;
   base::Lifetime lifetime_;
 };
--- a/Libraries/LibGateway/RateCodec.cpp
+++ b/Libraries/LibGateway/RateCodec.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/// Longer than any time that an owner tells; what a stranger sends must not
-/// shut an organisation out.
-constexpr std::int64_t kLongestMs = 10000;
+/// Bounds the times in a response, so that a forged datagram can't block an
+/// organisation for long.
+constexpr std::int64_t kMaxTimeMs = 10000;
 
 base::Duration
 DecodeTime(const json& aMilliseconds)
 {
   const auto milliseconds = aMilliseconds.get<std::int64_t>();
-  if (milliseconds < 0 || milliseconds > kLongestMs) {
-    throw json::other_error::create(0, "no time", &aMilliseconds);
+  if (milliseconds < 0 || milliseconds > kMaxTimeMs) {
+    throw json::other_error::create(0, "time is out of range", &aMilliseconds);
   }
   return std::chrono::milliseconds(milliseconds);
 }
--- a/Libraries/LibGateway/RateCodec.h
+++ b/Libraries/LibGateway/RateCodec.h
@@ -9,14 +9,14 @@
 [[nodiscard]] nlohmann::json
 EncodeRateReport(const fleet::RateReport& aReport);
 
-/// @throws nlohmann::json::exception where it is no report.
+/// @throws nlohmann::json::exception if aRow isn't a report.
 [[nodiscard]] fleet::RateReport
 DecodeRateReport(const nlohmann::json& aRow);
 
 [[nodiscard]] nlohmann::json
 EncodeRateResponse(const fleet::RateResponse& aResponse);
 
-/// @throws nlohmann::json::exception where it is no answer.
+/// @throws nlohmann::json::exception if aRow isn't a response.
 [[nodiscard]] fleet::RateResponse
 DecodeRateResponse(const nlohmann::json& aRow);
 
--- a/Libraries/LibGateway/SharedState.h
+++ b/Libraries/LibGateway/SharedState.h
@@ -14,7 +14,7 @@
 
 namespace pumiceturn::gateway {
 
-/// What the parts of a gateway share. All of it belongs to the event thread.
+/// State that the parts of a gateway share. Used on the event thread only.
 struct SharedState
 {
   const Codec& codec_;
@@ -29,7 +29,7 @@
   fleet::RateLimiter rateLimiter_;
 };
 
-/// @return a number that is uniform in [0, 1).
+/// @return a uniformly distributed random number in [0, 1).
 inline double
 NextRandom(std::mt19937_64& aRandom)
 {
--- a/Libraries/LibGateway/SpoolClient.cpp
+++ b/Libraries/LibGateway/SpoolClient.cpp
@@ -42,7 +42,7 @@
   std::vector<httpstream::HttpClient*> workers;
   for (const batch::PeerAddress& peer : aPeers) {
     if (auto* caller =
-          peer.isWorker_ ? clients_.Find(peer.address_) : nullptr) {
+          peer.isWorker_ ? clients_.FindOrCreate(peer.address_) : nullptr) {
       workers.push_back(caller);
     }
   }
--- a/Libraries/LibGateway/StoreMirrors.cpp
+++ b/Libraries/LibGateway/StoreMirrors.cpp
@@ -10,26 +10,26 @@
 
 namespace {
 
-/// How long a host that has read the store waits before it follows for others:
-/// reports of the one that does so far arrive meanwhile, and a host that starts
-/// anew doesn't take over with changes that the others can't join up.
-constexpr std::chrono::seconds kSettling{ 1 };
+/// Wait between the first complete read and following for others, so that a
+/// restarted host learns of the current follower first.
+constexpr std::chrono::seconds kSettleTime{ 1 };
 
-/// Time without a turn of the event loop after which what peers said may have
-/// waited here for as long. Shorter than any trust in a copy.
-constexpr std::chrono::milliseconds kLongestGap{ 500 };
+/// A longer pause of the event loop counts as a suspension, after which queued
+/// messages may be old. Must be shorter than any freshness time.
+constexpr std::chrono::milliseconds kMaxLoopGap{ 500 };
 
-/// All hosts that lack a change learn of it at once; their calls are spread.
+/// Spreads the reads of hosts that learn of a missed change at the same time.
 constexpr std::chrono::milliseconds kCatchUpSpread{ 200 };
 
-/// Hosts stop trusting a copy between this share of the time and all of it, so
-/// that they don't ask together once a follower is lost.
-constexpr double kLeastTrustShare = 0.8;
+/// Each host uses a random share of the freshness time, so that they don't read
+/// the store at the same time once a follower is lost.
+constexpr double kMinFreshnessShare = 0.8;
 
 double
-DrawTrustShare(std::mt19937_64& aRandom)
+DrawFreshnessShare(std::mt19937_64& aRandom)
 {
-  return std::uniform_real_distribution<double>(kLeastTrustShare, 1.0)(aRandom);
+  return std::uniform_real_distribution<double>(kMinFreshnessShare,
+                                                1.0)(aRandom);
 }
 
 } // namespace
@@ -43,52 +43,53 @@
                            std::mt19937_64& aRandom)
   : health_(aHealth)
   , random_(aRandom)
-  , choice_(aOwnName)
-  , own_{ false, aIsPreferred }
+  , followerSelector_(aOwnName)
+  , ownState_{ false, aIsPreferred }
   , incarnation_(aRandom())
-  , trustShare_(DrawTrustShare(aRandom))
+  , freshnessShare_(DrawFreshnessShare(aRandom))
 {
   for (Followed& followed : aFollowed) {
-    followed.options_.freshFor_ = OwnShareOf(followed.options_.freshFor_);
-    Copy copy{ followed.prefix_,
-               followed.options_.prefix_,
-               std::make_unique<metadata::PrefixMirror>(
-                 aContext,
-                 aClient,
-                 aHealth,
-                 followed.options_,
-                 std::move(followed.onChange_)) };
-    copies_.push_back(std::move(copy));
+    followed.options_.freshFor_ = ScaleFreshness(followed.options_.freshFor_);
+    MirroredPrefix mirrored{ followed.prefix_,
+                             followed.options_.prefix_,
+                             std::make_unique<metadata::PrefixMirror>(
+                               aContext,
+                               aClient,
+                               aHealth,
+                               followed.options_,
+                               std::move(followed.onChange_)) };
+    mirroredPrefixes_.push_back(std::move(mirrored));
   }
 }
 
 void
 StoreMirrors::SetOnDelta(const DeltaHandler& aHandler)
 {
-  for (Copy& copy : copies_) {
-    copy.mirror_->SetOnDelta(
-      [aHandler, prefix = copy.prefix_](const metadata::MirrorDelta& aDelta) {
-        aHandler({ prefix, aDelta });
-      });
+  for (MirroredPrefix& mirrored : mirroredPrefixes_) {
+    mirrored.mirror_->SetOnDelta([aHandler, prefix = mirrored.prefix_](
+                                   const metadata::MirrorDelta& aDelta) {
+      aHandler({ prefix, aDelta });
+    });
   }
 }
 
 void
 StoreMirrors::Start()
 {
-  for (Copy& copy : copies_) {
-    copy.mirror_->Start();
+  for (MirroredPrefix& mirrored : mirroredPrefixes_) {
+    mirrored.mirror_->Start();
   }
 }
 
 base::Duration
-StoreMirrors::OwnShareOf(base::Duration aFreshFor) const
+StoreMirrors::ScaleFreshness(base::Duration aFreshFor) const
 {
-  return std::chrono::duration_cast<base::Duration>(aFreshFor * trustShare_);
+  return std::chrono::duration_cast<base::Duration>(aFreshFor *
+                                                    freshnessShare_);
 }
 
 base::Duration
-StoreMirrors::DrawCatchUp()
+StoreMirrors::DrawCatchUpDelay()
 {
   std::uniform_int_distribution<base::Duration::rep> draw(
     0, base::Duration(kCatchUpSpread).count());
@@ -98,57 +99,60 @@
 bool
 StoreMirrors::HasSettled(base::Instant aNow)
 {
-  const bool isComplete =
-    std::all_of(copies_.begin(), copies_.end(), [](const Copy& aCopy) {
-      return aCopy.mirror_->IsComplete();
-    });
+  const bool isComplete = std::all_of(mirroredPrefixes_.begin(),
+                                      mirroredPrefixes_.end(),
+                                      [](const MirroredPrefix& aMirrored) {
+                                        return aMirrored.mirror_->IsComplete();
+                                      });
   if (isComplete && !completeSince_) {
     completeSince_ = aNow;
   }
-  return completeSince_ &&
-         (aNow - *completeSince_ >= kSettling || choice_.IsAlone(aNow));
+  return completeSince_ && (aNow - *completeSince_ >= kSettleTime ||
+                            followerSelector_.IsAlone(aNow));
 }
 
 void
 StoreMirrors::Tick(bool aReachesStore, base::Instant aNow)
 {
-  NoteRunning();
-  own_.mayFollow_ = aReachesStore && !health_.IsLost() && HasSettled(aNow);
-  for (Copy& copy : copies_) {
-    const bool follows = choice_.IsFollower(copy.key_, own_, aNow);
-    if (follows != copy.mirror_->Follows()) {
+  DetectSuspension();
+  ownState_.mayFollow_ = aReachesStore && !health_.IsLost() && HasSettled(aNow);
+  for (MirroredPrefix& mirrored : mirroredPrefixes_) {
+    const bool follows =
+      followerSelector_.IsFollower(mirrored.key_, ownState_, aNow);
+    if (follows != mirrored.mirror_->Follows()) {
       base::Log(kFollowerChanged,
-                { { "prefix", copy.key_ },
+                { { "prefix", mirrored.key_ },
                   { "follows", follows },
-                  { "may_follow", own_.mayFollow_ },
-                  { "age_ms", base::ToMs(copy.mirror_->View().age_) },
-                  { "revision", copy.mirror_->View().followed_ } });
-      copy.mirror_->SetFollows(follows);
+                  { "may_follow", ownState_.mayFollow_ },
+                  { "age_ms", base::ToMs(mirrored.mirror_->View().age_) },
+                  { "revision", mirrored.mirror_->View().followed_ } });
+      mirrored.mirror_->SetFollows(follows);
     }
   }
 }
 
 void
-StoreMirrors::NoteRunning()
+StoreMirrors::DetectSuspension()
 {
   const base::BootInstant now = base::BootNow();
-  const auto ranAt = std::exchange(ranAt_, now);
-  if (!ranAt || now - *ranAt < kLongestGap) {
+  const auto ranAt = std::exchange(lastRunAt_, now);
+  if (!ranAt || now - *ranAt < kMaxLoopGap) {
     return;
   }
-  base::Log(kDidNotRun, { { "ms", base::ToMs(now - *ranAt) } });
-  for (Copy& copy : copies_) {
-    copy.mirror_->MarkStale();
+  base::Log(kProcessSuspended, { { "ms", base::ToMs(now - *ranAt) } });
+  for (MirroredPrefix& mirrored : mirroredPrefixes_) {
+    mirrored.mirror_->MarkStale();
   }
 }
 
 metadata::PrefixMirror&
 StoreMirrors::Find(StorePrefix aPrefix) const
 {
-  return *std::find_if(
-            copies_.begin(),
-            copies_.end(),
-            [aPrefix](const Copy& aCopy) { return aCopy.prefix_ == aPrefix; })
+  return *std::find_if(mirroredPrefixes_.begin(),
+                       mirroredPrefixes_.end(),
+                       [aPrefix](const MirroredPrefix& aMirrored) {
+                         return aMirrored.prefix_ == aPrefix;
+                       })
             ->mirror_;
 }
 
@@ -161,19 +165,19 @@
 void
 StoreMirrors::SetFreshness(StorePrefix aPrefix, base::Duration aFreshFor)
 {
-  Find(aPrefix).SetFreshness(OwnShareOf(aFreshFor));
+  Find(aPrefix).SetFreshness(ScaleFreshness(aFreshFor));
 }
 
 StoreReport
-StoreMirrors::Report() const
+StoreMirrors::MakeReport() const
 {
   StoreReport report;
-  report.state_ = own_;
+  report.state_ = ownState_;
   report.incarnation_ = incarnation_;
   report.sentAt_ = base::BootNow();
-  for (const Copy& copy : copies_) {
-    if (copy.mirror_->Follows()) {
-      report.views_.push_back({ copy.prefix_, copy.mirror_->View() });
+  for (const MirroredPrefix& mirrored : mirroredPrefixes_) {
+    if (mirrored.mirror_->Follows()) {
+      report.views_.push_back({ mirrored.prefix_, mirrored.mirror_->View() });
     }
   }
   return report;
@@ -183,9 +187,11 @@
 StoreMirrors::FollowedCount() const
 {
   return static_cast<std::size_t>(
-    std::count_if(copies_.begin(), copies_.end(), [](const Copy& aCopy) {
-      return aCopy.mirror_->Follows();
-    }));
+    std::count_if(mirroredPrefixes_.begin(),
+                  mirroredPrefixes_.end(),
+                  [](const MirroredPrefix& aMirrored) {
+                    return aMirrored.mirror_->Follows();
+                  }));
 }
 
 void
@@ -193,22 +199,23 @@
                            const StoreReport& aReport,
                            base::Instant aNow)
 {
-  NoteRunning();
-  choice_.RecordPeer(aPeer, aReport.state_, aNow);
+  DetectSuspension();
+  followerSelector_.RecordPeer(aPeer, aReport.state_, aNow);
   clocks_.RecordMessage(
     aPeer, aReport.incarnation_, aReport.sentAt_, base::BootNow());
   for (const StoreReport::View& view : aReport.views_) {
-    Find(view.prefix_).ApplyView(ToLocal(aPeer, view.view_), DrawCatchUp());
+    Find(view.prefix_)
+      .ApplyView(ToLocal(aPeer, view.view_), DrawCatchUpDelay());
   }
 }
 
 void
 StoreMirrors::ApplyDelta(const std::string& aPeer, const StoreDelta& aDelta)
 {
-  NoteRunning();
+  DetectSuspension();
   metadata::MirrorDelta delta = aDelta.delta_;
   delta.view_ = ToLocal(aPeer, delta.view_);
-  Find(aDelta.prefix_).ApplyDelta(delta, DrawCatchUp());
+  Find(aDelta.prefix_).ApplyDelta(delta, DrawCatchUpDelay());
 }
 
 metadata::MirrorView
--- a/Libraries/LibGateway/StoreMirrors.h
+++ b/Libraries/LibGateway/StoreMirrors.h
@@ -17,11 +17,11 @@
 
 namespace pumiceturn::gateway {
 
-/// Keeps this host's copies of the store's prefixes up to date. One host
-/// follows a prefix for all and tells the others what changed, so that calls to
-/// the store grow with what happens instead of with the number of hosts; the
-/// others ask the store when nobody has confirmed their copy for a while.
-/// Belongs to the event thread.
+/// Keeps this host's mirrors of the store's prefixes up to date. One host
+/// follows each prefix and sends the changes to the others, so that the load of
+/// the store doesn't grow with the number of hosts. The others read the store
+/// once their mirror hasn't been confirmed for a while. Used on the event
+/// thread only.
 class StoreMirrors
 {
 public:
@@ -32,11 +32,10 @@
     metadata::PrefixMirror::ChangeHandler onChange_;
   };
 
-  /// Called with what this host is to pass on to its peers.
+  /// Called with changes to send to the peers.
   using DeltaHandler = std::function<void(const StoreDelta&)>;
 
-  /// @param aIsPreferred This host has more processor time to spare than
-  ///                     others.
+  /// @param aIsPreferred Whether this host is preferred as a follower.
   StoreMirrors(boost::asio::io_context& aContext,
                metadata::StoreClient& aClient,
                metadata::StoreHealth& aHealth,
@@ -49,23 +48,24 @@
 
   void Start();
 
-  /// Decides which prefixes this host follows now.
-  /// @param aReachesStore This host stays, and the store answers it.
+  /// Decides which prefixes this host follows.
+  /// @param aReachesStore Whether this host may follow: it isn't stopping and
+  ///                      reaches the store directly.
   void Tick(bool aReachesStore, base::Instant aNow);
 
-  /// The event loop runs: called at each tick and each message of a peer, so
-  /// that a time in which this process did not run shows before what waited
-  /// meanwhile is taken for new.
-  void NoteRunning();
+  /// Marks all mirrors stale if the event loop hasn't run for a while. Called
+  /// at each tick and before each message of a peer, as messages that queued up
+  /// during a suspension would otherwise count as recent.
+  void DetectSuspension();
 
   [[nodiscard]] bool IsComplete(StorePrefix aPrefix) const;
   void SetFreshness(StorePrefix aPrefix, base::Duration aFreshFor);
 
-  /// @return time since this host's copy is known to have been complete;
-  ///         nothing before its first reading.
+  /// @return the time since the mirror was last known to be complete, or
+  ///         std::nullopt before its first read.
   [[nodiscard]] std::optional<base::Duration> AgeOf(StorePrefix aPrefix) const;
 
-  [[nodiscard]] StoreReport Report() const;
+  [[nodiscard]] StoreReport MakeReport() const;
   [[nodiscard]] std::size_t FollowedCount() const;
 
   void HandleReport(const std::string& aPeer,
@@ -74,35 +74,35 @@
   void ApplyDelta(const std::string& aPeer, const StoreDelta& aDelta);
 
 private:
-  struct Copy
+  struct MirroredPrefix
   {
     StorePrefix prefix_;
-    std::string key_; ///< The prefix itself, by which followers are drawn.
+    std::string key_; ///< The prefix; followers are selected by it.
     std::unique_ptr<metadata::PrefixMirror> mirror_;
   };
 
   [[nodiscard]] metadata::PrefixMirror& Find(StorePrefix aPrefix) const;
   [[nodiscard]] bool HasSettled(base::Instant aNow);
 
-  /// @return when to ask the store for what this host lacks.
-  [[nodiscard]] base::Duration DrawCatchUp();
+  /// @return a random delay before this host reads missed changes.
+  [[nodiscard]] base::Duration DrawCatchUpDelay();
 
-  /// @return a peer's view with its moments on this host's clock.
+  /// @return a peer's view with its times converted to this host's clock.
   [[nodiscard]] metadata::MirrorView ToLocal(
     const std::string& aPeer,
     const metadata::MirrorView& aView) const;
-  [[nodiscard]] base::Duration OwnShareOf(base::Duration aFreshFor) const;
+  [[nodiscard]] base::Duration ScaleFreshness(base::Duration aFreshFor) const;
 
   metadata::StoreHealth& health_;
   std::mt19937_64& random_;
-  metadata::FollowerSelector choice_;
-  metadata::FollowerState own_;
+  metadata::FollowerSelector followerSelector_;
+  metadata::FollowerState ownState_;
   metadata::PeerClocks clocks_;
   std::uint64_t incarnation_;
-  std::vector<Copy> copies_;
-  double trustShare_; ///< Of the longest trust, drawn for this host.
+  std::vector<MirroredPrefix> mirroredPrefixes_;
+  double freshnessShare_; ///< Random share of each mirror's freshness time.
   std::optional<base::Instant> completeSince_;
-  std::optional<base::BootInstant> ranAt_;
+  std::optional<base::BootInstant> lastRunAt_;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/StoreReport.cpp
+++ b/Libraries/LibGateway/StoreReport.cpp
@@ -12,23 +12,23 @@
 
 namespace {
 
-/// Content of one datagram: more would be split on the way, and each host's
-/// link carries a copy for every peer.
+/// Limits the fragmentation of datagrams and the load of the link, as each peer
+/// gets a copy.
 constexpr std::size_t kMaxDeltaBytes = 8192;
 
-/// A stranger's number that is no age would make an old copy look fresh.
-constexpr std::int64_t kLongestAgeMs = 3600000;
+/// A forged age out of range could make an old mirror look fresh.
+constexpr std::int64_t kMaxAgeMs = 3600000;
 
 std::int64_t
-ToMicroseconds(base::BootInstant aMoment)
+ToMicroseconds(base::BootInstant aInstant)
 {
-  return aMoment.time_since_epoch().count();
+  return aInstant.time_since_epoch().count();
 }
 
 base::BootInstant
-DecodeMoment(const json& aRow, const char* aName)
+DecodeBootInstant(const json& aRow, const char* aName)
 {
-  // A host with an earlier version names none.
+  // Hosts of earlier versions don't send it.
   return base::BootInstant(
     base::Duration(aRow.value(aName, std::int64_t{ 0 })));
 }
@@ -46,8 +46,8 @@
 DecodeAge(const json& aAge)
 {
   const auto milliseconds = aAge.get<std::int64_t>();
-  if (milliseconds < 0 || milliseconds > kLongestAgeMs) {
-    throw json::other_error::create(0, "no age", &aAge);
+  if (milliseconds < 0 || milliseconds > kMaxAgeMs) {
+    throw json::other_error::create(0, "age is out of range", &aAge);
   }
   return std::chrono::milliseconds(milliseconds);
 }
@@ -58,7 +58,7 @@
   return { aRow.at("change").get<std::uint64_t>(),
            aRow.at("followed").get<std::uint64_t>(),
            DecodeAge(aRow.at("age")),
-           DecodeMoment(aRow, "complete") };
+           DecodeBootInstant(aRow, "complete") };
 }
 
 StorePrefix
@@ -66,7 +66,7 @@
 {
   const auto number = aNumber.get<std::uint64_t>();
   if (number >= kStorePrefixes.size()) {
-    throw json::other_error::create(0, "no prefix", &aNumber);
+    throw json::other_error::create(0, "unknown store prefix", &aNumber);
   }
   return static_cast<StorePrefix>(number);
 }
@@ -74,7 +74,7 @@
 json
 EncodeItem(const metadata::StoreItem& aItem)
 {
-  // Anyone may have written the value: it need not be text.
+  // Anyone may have written the value, so it may not be valid UTF-8.
   return { { "key", aItem.key_ },
            { "value",
              json::binary({ aItem.value_.begin(), aItem.value_.end() }) },
@@ -119,7 +119,7 @@
   report.state_.mayFollow_ = aRow.at("may_follow").get<bool>();
   report.state_.isPreferred_ = aRow.at("preferred").get<bool>();
   report.incarnation_ = aRow.value("start", std::uint64_t{ 0 });
-  report.sentAt_ = DecodeMoment(aRow, "sent");
+  report.sentAt_ = DecodeBootInstant(aRow, "sent");
   for (const json& row : aRow.at("views")) {
     report.views_.push_back(
       { DecodePrefix(row.at("prefix")), DecodeView(row) });
--- a/Libraries/LibGateway/StoreReport.h
+++ b/Libraries/LibGateway/StoreReport.h
@@ -13,8 +13,7 @@
 
 namespace pumiceturn::gateway {
 
-/// The prefixes of the store that hosts keep a copy of. Their numbers travel
-/// between hosts.
+/// Prefixes of the store that hosts mirror. Their numbers are sent to peers.
 enum class StorePrefix : std::uint8_t
 {
   Operators = 0,
@@ -28,7 +27,7 @@
                                                StorePrefix::BatchJobs,
                                                StorePrefix::Hosts };
 
-/// What a host tells its peers of the store, several times a second.
+/// A host's report on its mirrors, sent to its peers several times a second.
 struct StoreReport
 {
   struct View
@@ -38,12 +37,12 @@
   };
 
   metadata::FollowerState state_;
-  std::uint64_t incarnation_ = 0; ///< New at each start of its process.
-  base::BootInstant sentAt_{};    ///< On its clock, as moments in the views.
-  std::vector<View> views_;       ///< Of the prefixes that it follows.
+  std::uint64_t incarnation_ = 0; ///< Unique to each start of the process.
+  base::BootInstant sentAt_{}; ///< On the sender's clock, like times in views.
+  std::vector<View> views_;    ///< Views of the followed prefixes.
 };
 
-/// Changes that a follower passes on; moments are on its clock.
+/// Changes that a follower sends to its peers; times are on its clock.
 struct StoreDelta
 {
   StorePrefix prefix_ = StorePrefix::Operators;
@@ -53,16 +52,16 @@
 [[nodiscard]] nlohmann::json
 EncodeStoreReport(const StoreReport& aReport);
 
-/// @throws nlohmann::json::exception where it is no report.
+/// @throws nlohmann::json::exception if aRow isn't a report.
 [[nodiscard]] StoreReport
 DecodeStoreReport(const nlohmann::json& aRow);
 
-/// @return nothing where the changes are too many for a datagram: peers then
-///         see that they lack something, and ask the store.
+/// @return std::nullopt if the changes don't fit into a datagram; peers then
+///         detect that they miss changes, and read the store.
 [[nodiscard]] std::optional<nlohmann::json>
 EncodeStoreDelta(const StoreDelta& aDelta);
 
-/// @throws nlohmann::json::exception where it is no delta.
+/// @throws nlohmann::json::exception if aRow isn't a delta.
 [[nodiscard]] StoreDelta
 DecodeStoreDelta(const nlohmann::json& aRow);
 
--- a/Libraries/LibGateway/StoreTransport.cpp
+++ b/Libraries/LibGateway/StoreTransport.cpp
@@ -15,17 +15,14 @@
 
 namespace {
 
-/// Longest wait for a probe: more than the store takes on a slow day.
 constexpr std::chrono::milliseconds kProbeTimeout{ 700 };
 
-/// Pause after a probe that failed; what is lost of a bound of two seconds.
-constexpr std::chrono::milliseconds kProbePause{ 400 };
+constexpr std::chrono::milliseconds kProbeRetryDelay{ 400 };
 
-/// On top of a call's own timeout: for the way to the peer and back.
+/// Added to a call's timeout for the round trip to the peer.
 constexpr std::chrono::milliseconds kPeerMargin{ 200 };
 
-/// Longest call that is made for a peer.
-constexpr std::chrono::milliseconds kLongestForPeer{ 30000 };
+constexpr std::chrono::milliseconds kMaxPeerCallTimeout{ 30000 };
 
 const std::string kTimeoutField = "Call-Timeout-Ms";
 
@@ -35,7 +32,7 @@
   const std::string_view text = httpstream::ValueOf(aRequest, kTimeoutField);
   const auto milliseconds = base::ParseNumber<std::uint32_t>(text).value_or(0);
   return std::min<base::Duration>(std::chrono::milliseconds(milliseconds),
-                                  kLongestForPeer);
+                                  kMaxPeerCallTimeout);
 }
 
 httpstream::Request
@@ -52,9 +49,9 @@
                                const boost::asio::ip::tcp::endpoint& aStore,
                                Protocol aProtocol)
   : context_(aContext)
-  , own_(aContext.get_executor(), aStore)
+  , directClient_(aContext.get_executor(), aStore)
   , protocol_(std::move(aProtocol))
-  , clients_(aContext.get_executor())
+  , peerClients_(aContext.get_executor())
   , nextPeer_(std::random_device{}())
   , probeTimer_(aContext)
 {
@@ -63,12 +60,12 @@
 void
 StoreTransport::Call(const httpstream::Request& aRequest,
                      base::Duration aTimeout,
-                     Done aDone)
+                     DoneHandler aDone)
 {
   auto pending = std::make_shared<Pending>(
     Pending{ aRequest, aTimeout, std::move(aDone), 0 });
   if (path_.IsDirectPathLost()) {
-    AskPeer(pending);
+    CallViaPeer(pending);
   } else {
     CallDirectly(pending);
   }
@@ -77,11 +74,11 @@
 void
 StoreTransport::CallDirectly(const PendingPtr& aPending)
 {
-  own_.Call(
+  directClient_.Call(
     aPending->request_, aPending->timeout_, [this, aPending](Result aResult) {
       RecordDirect(aResult);
       if (protocol_.classify_(aResult) == PathOutcome::Refused) {
-        AskPeer(aPending);
+        CallViaPeer(aPending);
         return;
       }
       aPending->done_(std::move(aResult));
@@ -99,17 +96,18 @@
 void
 StoreTransport::Probe()
 {
-  own_.Call(protocol_.probe_, kProbeTimeout, [this](const Result& aResult) {
-    if (path_.RecordProbe(protocol_.classify_(aResult))) {
-      ProbeLater();
-    }
-  });
+  directClient_.Call(
+    protocol_.probe_, kProbeTimeout, [this](const Result& aResult) {
+      if (path_.RecordProbe(protocol_.classify_(aResult))) {
+        ScheduleProbe();
+      }
+    });
 }
 
 void
-StoreTransport::ProbeLater()
+StoreTransport::ScheduleProbe()
 {
-  probeTimer_.expires_after(kProbePause);
+  probeTimer_.expires_after(kProbeRetryDelay);
   probeTimer_.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
       Probe();
@@ -120,7 +118,7 @@
 void
 StoreTransport::SetPeers(std::vector<batch::PeerAddress> aPeers)
 {
-  clients_.Keep(aPeers);
+  peerClients_.RetainOnly(aPeers);
   peers_ = std::move(aPeers);
 }
 
@@ -134,24 +132,24 @@
     const auto& peer = peers_[(nextPeer_ + step) % peers_.size()];
     if (isReachable_(peer.host_)) {
       nextPeer_ += step;
-      return clients_.Find(peer.address_);
+      return peerClients_.FindOrCreate(peer.address_);
     }
   }
-  return clients_.Find(peers_[nextPeer_ % peers_.size()].address_);
+  return peerClients_.FindOrCreate(peers_[nextPeer_ % peers_.size()].address_);
 }
 
 void
-StoreTransport::AskPeer(const PendingPtr& aPending)
+StoreTransport::CallViaPeer(const PendingPtr& aPending)
 {
   const bool mayAsk =
-    aPending->peersAsked_ < metadata::StorePath::kPeersAsked &&
+    aPending->peerAttempts_ < metadata::StorePath::kPeersAsked &&
     path_.MayAskPeer(base::MonotonicNow());
   httpstream::HttpClient* peer = mayAsk ? NextPeer() : nullptr;
   if (peer == nullptr) {
-    EndLater(aPending);
+    PostNotConnected(aPending);
     return;
   }
-  ++aPending->peersAsked_;
+  ++aPending->peerAttempts_;
   httpstream::Request request =
     WithTarget(aPending->request_,
                std::string(kTargetPrefix)
@@ -160,12 +158,12 @@
   peer->Call(request,
              aPending->timeout_ + kPeerMargin,
              [this, aPending](Result aResult) {
-               OnPeerAnswered(aPending, std::move(aResult));
+               OnPeerResponse(aPending, std::move(aResult));
              });
 }
 
 void
-StoreTransport::OnPeerAnswered(const PendingPtr& aPending, Result aResult)
+StoreTransport::OnPeerResponse(const PendingPtr& aPending, Result aResult)
 {
   const PathOutcome outcome = protocol_.classify_(aResult);
   path_.RecordPeer(outcome, base::MonotonicNow());
@@ -175,14 +173,14 @@
   }
   ++nextPeer_;
   if (outcome == PathOutcome::Refused) {
-    AskPeer(aPending);
+    CallViaPeer(aPending);
     return;
   }
   aPending->done_(std::move(aResult));
 }
 
 void
-StoreTransport::EndLater(const PendingPtr& aPending)
+StoreTransport::PostNotConnected(const PendingPtr& aPending)
 {
   boost::asio::post(context_, [aPending] { aPending->done_(Result{}); });
 }
@@ -202,13 +200,13 @@
   httpstream::Request call =
     WithTarget(request, target.substr(kTargetPrefix.size()));
   call.erase(kTimeoutField);
-  own_.Call(call, timeout, [this, aExchange](Result aResult) {
+  directClient_.Call(call, timeout, [this, aExchange](Result aResult) {
     RecordDirect(aResult);
     if (aResult.end_ == httpstream::CallOutcome::NotConnected) {
       aExchange->Respond(
         httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
     } else if (aResult.end_ != httpstream::CallOutcome::Complete) {
-      // Whether the store carried it out is unknown, and so the peer learns.
+      // The abort shows the peer that the call's outcome is unknown.
       aExchange->Abort();
     } else {
       aExchange->Respond(
--- a/Libraries/LibGateway/StoreTransport.h
+++ b/Libraries/LibGateway/StoreTransport.h
@@ -17,54 +17,54 @@
 
 namespace pumiceturn::gateway {
 
-/// Carries calls to the store: on this host's own way or, while that is lost,
-/// through a peer, which makes the call on its own way only. Belongs to the
-/// event thread and lives as long as its event loop runs.
+/// Sends calls to the store: directly or, while the direct path is lost,
+/// through a peer, which uses its direct path only. Used on the event thread
+/// only; must outlive the event loop.
 class StoreTransport
 {
 public:
   using Result = httpstream::CallResult;
-  using Done = std::function<void(Result)>;
+  using DoneHandler = std::function<void(Result)>;
 
-  /// What the store's protocol says; the adapter fills it.
+  /// The parts that depend on the store's protocol, set by the adapter.
   struct Protocol
   {
-    /// A read that costs little and any store in touch answers.
+    /// A cheap read that any available store answers.
     httpstream::Request probe_;
     std::function<metadata::PathOutcome(const Result&)> classify_;
   };
 
-  /// Begins the target of a call that a peer passes on.
+  /// Prefix of the target of calls that a peer forwards.
   static constexpr std::string_view kTargetPrefix = "/store";
 
   StoreTransport(boost::asio::io_context& aContext,
                  const boost::asio::ip::tcp::endpoint& aStore,
                  Protocol aProtocol);
 
-  /// Makes a call. Where no way is open it ends at once as not connected.
-  /// @param aTimeout For connecting, the first byte, and each further one.
+  /// Sends a call. Its result is NotConnected if no path is available.
+  /// @param aTimeout For connecting, for the first byte and for each gap.
   void Call(const httpstream::Request& aRequest,
             base::Duration aTimeout,
-            Done aDone);
+            DoneHandler aDone);
 
-  /// Tells whether this host hears a peer itself.
+  /// Returns whether a peer's messages arrive at this host directly.
   using IsReachable = std::function<bool(const std::string& aHost)>;
 
-  /// Names the hosts that may be asked. Those that are heard are asked first: a
-  /// call to a host that is cut off from this one hangs until its timeout.
+  /// Sets the hosts that calls may go through. Reachable hosts are preferred,
+  /// as a call to a host that is cut off hangs until its timeout.
   void SetPeers(std::vector<batch::PeerAddress> aPeers);
-  void SetIsReachable(IsReachable aIsHeard)
+  void SetIsReachable(IsReachable aIsReachable)
   {
-    isReachable_ = std::move(aIsHeard);
+    isReachable_ = std::move(aIsReachable);
   }
 
-  /// @return whether calls go through peers now.
+  /// @return whether calls go through peers.
   [[nodiscard]] bool IsDirectPathLost() const
   {
     return path_.IsDirectPathLost();
   }
 
-  /// Makes a peer's call on this host's own way and answers it.
+  /// Sends a peer's call on the direct path and responds with its result.
   void CallForPeer(const std::shared_ptr<httpstream::Exchange>& aExchange);
 
 private:
@@ -72,27 +72,27 @@
   {
     httpstream::Request request_;
     base::Duration timeout_;
-    Done done_;
-    int peersAsked_ = 0;
+    DoneHandler done_;
+    int peerAttempts_ = 0;
   };
   using PendingPtr = std::shared_ptr<Pending>;
 
   void CallDirectly(const PendingPtr& aPending);
-  void AskPeer(const PendingPtr& aPending);
+  void CallViaPeer(const PendingPtr& aPending);
 
-  /// @return the peer to ask next, or nullptr where none is known.
+  /// @return the next peer to try, or nullptr if there is none.
   [[nodiscard]] httpstream::HttpClient* NextPeer();
-  void OnPeerAnswered(const PendingPtr& aPending, Result aResult);
+  void OnPeerResponse(const PendingPtr& aPending, Result aResult);
   void RecordDirect(const Result& aResult);
   void Probe();
-  void ProbeLater();
-  void EndLater(const PendingPtr& aPending);
+  void ScheduleProbe();
+  void PostNotConnected(const PendingPtr& aPending);
 
   boost::asio::io_context& context_;
-  httpstream::HttpClient own_;
+  httpstream::HttpClient directClient_;
   Protocol protocol_;
   metadata::StorePath path_;
-  PeerClients clients_;
+  PeerClients peerClients_;
   std::vector<batch::PeerAddress> peers_;
   IsReachable isReachable_ = [](const std::string&) { return true; };
   std::size_t nextPeer_ = 0;
--- a/Tests/Platform/PlatformSettingsTest.cpp
+++ b/Tests/Platform/PlatformSettingsTest.cpp
@@ -43,7 +43,7 @@
   CHECK(settings->gateway_.callerAddress_ == "10.1.0.10:8161");
   CHECK(settings->gateway_.peerAddress_ == "10.1.0.10:7720");
   CHECK(settings->gateway_.jobRetention_ == std::chrono::seconds(180));
-  CHECK(settings->gateway_.grace_ == std::chrono::seconds(8));
+  CHECK(settings->gateway_.gracePeriod_ == std::chrono::seconds(8));
   CHECK(settings->gateway_.batchPreference_ ==
         batch::BatchPreference::IfNoOther);
 }
