--- a/Tests/Platform/BatchJobSpoolTest.cpp
+++ b/Tests/Platform/BatchJobSpoolTest.cpp
@@ -128,8 +128,9 @@
                 batch::EncodeSpooledJob(job));
   };
   job.content_ = JobBody(3);
-  RunUntil(
-    [this] { return Ask(*entry_, "GET", "/api/lots/lot1")->status_ != 404; });
+  RunUntil([this] {
+    return SendAndWait(*entry_, "GET", "/api/lots/lot1")->status_ != 404;
+  });
   const auto same = statusOf();
   RunUntil([&same] { return same->IsOver(); });
   job.state_.organisation_ = "portal";
@@ -177,13 +178,14 @@
   };
   store_.Put("op/config", configuration.dump());
   for (const auto& host : hosts_) {
-    RunUntil([&] { return Ask(*host, "GET", "/capped/1")->status_ != 404; });
+    RunUntil(
+      [&] { return SendAndWait(*host, "GET", "/capped/1")->status_ != 404; });
   }
   store_.SetBehaviour(StoreBehaviour::Refusing);
   // 99 of 100 tokens beyond the cap, on both disks.
   CHECK(Submit(*entry_, 11) == 202);
   CHECK(
-    Ask(
+    SendAndWait(
       *entry_, "POST", "/lots/1", "Attempt-Id: lot2\r\n", JobBody(1, "second-"))
       ->status_ == 503);
   // Sent again, the first is still accepted.
--- a/Tests/Platform/BatchJobsFixture.h
+++ b/Tests/Platform/BatchJobsFixture.h
@@ -27,7 +27,7 @@
 
   unsigned Submit(TestHost& aHost, int aItems)
   {
-    return Ask(
+    return SendAndWait(
              aHost, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(aItems))
       ->status_;
   }
@@ -36,8 +36,8 @@
 
   json Results(TestHost& aHost, std::size_t aPosition = 0)
   {
-    const auto call =
-      Ask(aHost, "GET", "/api/lots/lot1?after=" + std::to_string(aPosition));
+    const auto call = SendAndWait(
+      aHost, "GET", "/api/lots/lot1?after=" + std::to_string(aPosition));
     return call->status_ == 200 ? json::parse(call->body_) : json();
   }
 
--- a/Tests/Platform/BatchJobsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -94,13 +94,14 @@
 {
   store_.SetBehaviour(StoreBehaviour::Refusing);
   const auto call =
-    Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
+    SendAndWait(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
   CHECK(call->status_ == 503);
   CHECK_FALSE(call->retryAfter_.empty());
-  CHECK(Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 503);
+  CHECK(SendAndWait(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 503);
   store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([this] {
-    return Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 404;
+    return SendAndWait(*entry_, "GET", "/api/lots/lot1?after=0")->status_ ==
+           404;
   });
   CHECK(RequestCount() == 0);
 }
@@ -110,12 +111,12 @@
 {
   TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   CHECK(Submit(*entry_, 1) == 202);
-  CHECK(Ask(other, "GET", "/api/lots/lot1?after=0")->status_ == 200);
-  const auto body = Ask(other, "GET", "/api/items/lot1?id=item-0");
+  CHECK(SendAndWait(other, "GET", "/api/lots/lot1?after=0")->status_ == 200);
+  const auto body = SendAndWait(other, "GET", "/api/items/lot1?id=item-0");
   CHECK(body->status_ == 200);
   CHECK(body->body_ == "prompt");
-  CHECK(Ask(other, "GET", "/api/items/lot1?id=none")->status_ == 404);
-  CHECK(Ask(other, "GET", "/api/lots/none?after=0")->status_ == 404);
+  CHECK(SendAndWait(other, "GET", "/api/items/lot1?id=none")->status_ == 404);
+  CHECK(SendAndWait(other, "GET", "/api/lots/none?after=0")->status_ == 404);
 }
 
 // Reports come back as given up although they had minutes left: the clock of
@@ -164,7 +165,8 @@
   // The host is gone, while its registration stands for a while.
   hosts_.back()->gateway_.reset();
   CHECK(Results(*entry_) == page);
-  CHECK(Ask(*entry_, "GET", "/api/items/lot1?id=item-1")->body_ == "prompt");
+  CHECK(SendAndWait(*entry_, "GET", "/api/items/lot1?id=item-1")->body_ ==
+        "prompt");
 }
 
 // The last line of a script never comes, at any host. The store's watch tells
@@ -213,8 +215,8 @@
   CHECK(Submit(*entry_, 3) == 202);
   json page;
   RunUntil([&] {
-    const auto call =
-      Ask(*entry_, "GET", "/api/lots/lot1?after=0", "Wait-Ms: 1000\r\n");
+    const auto call = SendAndWait(
+      *entry_, "GET", "/api/lots/lot1?after=0", "Wait-Ms: 1000\r\n");
     page = json::parse(call->body_);
     return !page["results"].empty();
   });
@@ -258,8 +260,8 @@
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   CHECK(Submit(*entry_, 2) == 202);
   RunUntil([this] { return RequestCount() == 2; });
-  CHECK(Ask(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
-  CHECK(Ask(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
+  CHECK(SendAndWait(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
+  CHECK(SendAndWait(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
   RunUntil([this] {
     return servers_[0]->AbandonedCount() + servers_[1]->AbandonedCount() == 2;
   });
@@ -360,7 +362,7 @@
   store_.Put("pumiceturn/data/lot2/content/000000", JobBody(1));
   store_.Put("pumiceturn/lot/lot2", state);
   const auto read = [this] {
-    return Ask(*entry_, "GET", "/api/lots/lot2?after=0");
+    return SendAndWait(*entry_, "GET", "/api/lots/lot2?after=0");
   };
   // Well past the looks in which such a job was given up.
   const std::size_t before = store_.CallCount();
@@ -384,7 +386,8 @@
            store_.Keys("pumiceturn/data/").empty();
   });
   RunUntil([this] {
-    return Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 404;
+    return SendAndWait(*entry_, "GET", "/api/lots/lot1?after=0")->status_ ==
+           404;
   });
 }
 
@@ -392,7 +395,8 @@
                  "BatchJobs_MalformedJobs_Are400AndNothingIsStored")
 {
   const auto submit = [this](const std::string& aBody) {
-    return Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", aBody)
+    return SendAndWait(
+             *entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", aBody)
       ->status_;
   };
   CHECK(submit("{") == 400);
--- a/Tests/Platform/CallerCall.h
+++ b/Tests/Platform/CallerCall.h
@@ -8,7 +8,7 @@
 
 namespace pumiceturn::adapter {
 
-/// One call of a caller and what came back.
+/// One call of a caller and its response.
 class CallerCall : public httpstream::CallObserver
 {
 public:
--- a/Tests/Platform/CallersTest.cpp
+++ b/Tests/Platform/CallersTest.cpp
@@ -31,8 +31,8 @@
     double burst_ = 0;
   };
 
-  /// Writes a configuration with a route for callers with keys, an open one,
-  /// and one of jobs.
+  /// Writes a configuration with a stream route that requires a key, one that
+  /// doesn't, and a batch route.
   void Declare(const std::vector<Declared>& aOrganisations)
   {
     json open = MakeTestRoute("open", "stream");
@@ -60,17 +60,17 @@
 
   [[nodiscard]] bool IsReady()
   {
-    return AskAt(Loopback(host_->statusPort_), "GET", "/api/ready")->status_ ==
-           200;
+    return SendToAndWait(Loopback(host_->statusPort_), "GET", "/api/ready")
+             ->status_ == 200;
   }
 
   std::unique_ptr<CallerCall> Call(const std::string& aPath,
                                    const std::string& aFields)
   {
-    return Ask(*host_,
-               "POST",
-               aPath,
-               "Attempt-Id: r1\r\nDeadline-Ms: 9000\r\n" + aFields);
+    return SendAndWait(*host_,
+                       "POST",
+                       aPath,
+                       "Attempt-Id: r1\r\nDeadline-Ms: 9000\r\n" + aFields);
   }
 
   static std::string Bearer(const std::string& aKey)
@@ -83,8 +83,8 @@
     return Call("/stream/1", aFields)->status_;
   }
 
-  /// @return a field of the last request that reached the server.
-  [[nodiscard]] std::string Seen(std::string_view aName) const
+  /// @return the value of a field in the last request that reached the server.
+  [[nodiscard]] std::string LastServerField(std::string_view aName) const
   {
     return std::string(
       httpstream::ValueOf(servers_[0]->Requests().back(), aName));
@@ -92,35 +92,36 @@
 
   unsigned SubmitJob(const std::string& aKey, const std::string& aBody)
   {
-    return Ask(*host_,
-               "POST",
-               "/lots/1",
-               "Attempt-Id: lot1\r\n" + Bearer(aKey),
-               aBody)
+    return SendAndWait(*host_,
+                       "POST",
+                       "/lots/1",
+                       "Attempt-Id: lot1\r\n" + Bearer(aKey),
+                       aBody)
       ->status_;
   }
 
-  std::unique_ptr<CallerCall> AskJob(const std::string& aMethod,
-                                     const std::string& aFields)
+  std::unique_ptr<CallerCall> SendJobCall(const std::string& aMethod,
+                                          const std::string& aFields)
   {
-    return Ask(*host_, aMethod, "/api/lots/lot1", aFields);
+    return SendAndWait(*host_, aMethod, "/api/lots/lot1", aFields);
   }
 
   TestHost* host_ = nullptr;
   std::uint64_t version_ = 0;
-  std::uint64_t jobCap_ = 0; ///< Tokens that may wait; 0: no bound.
+  std::uint64_t jobCap_ = 0; ///< Maximum queued tokens; 0: no limit.
 };
 
-// Servers were told a key, and nobody's name.
-TEST_CASE_METHOD(CallersFixture, "Callers_ValidKey_ServerIsToldTheNameAlone")
+// Guards against servers getting a caller's key, or no organisation name.
+TEST_CASE_METHOD(CallersFixture,
+                 "Callers_ValidKey_ServerGetsOrganisationWithoutKey")
 {
   CHECK(StatusFor(Bearer("key-a2") + "Tenant: portal\r\n") == 200);
-  CHECK(Seen("Tenant") == "archive");
-  CHECK(Seen("Authorization").empty());
+  CHECK(LastServerField("Tenant") == "archive");
+  CHECK(LastServerField("Authorization").empty());
 }
 
-// A request ran whose key no configuration had ever held.
-TEST_CASE_METHOD(CallersFixture, "Callers_NoValidKey_AreTurnedAwayAtOnce")
+// Guards against running requests whose key was never configured.
+TEST_CASE_METHOD(CallersFixture, "Callers_NoValidKey_AreRejected")
 {
   CHECK(StatusFor("") == 401);
   CHECK(StatusFor(Bearer("other")) == 401);
@@ -132,26 +133,27 @@
   CHECK(StatusFor("authorization: bearer key-a1\r\n") == 200);
 }
 
-// What a caller wrote of itself reached servers on routes that need no key.
-TEST_CASE_METHOD(CallersFixture, "Callers_OpenRoute_NothingOfThemGetsThrough")
+// Guards against a caller's own identity fields reaching servers.
+TEST_CASE_METHOD(CallersFixture, "Callers_OpenRoute_IdentityFieldsAreRemoved")
 {
   const auto call = Call("/open/1", Bearer("key-a1") + "Tenant: portal\r\n");
   CHECK(call->status_ == 200);
-  CHECK(Seen("Tenant").empty());
-  CHECK(Seen("Authorization").empty());
+  CHECK(LastServerField("Tenant").empty());
+  CHECK(LastServerField("Authorization").empty());
 }
 
-TEST_CASE_METHOD(CallersFixture, "Callers_NoOrganisationsDeclared_FieldsPass")
+TEST_CASE_METHOD(CallersFixture,
+                 "Callers_NoOrganisationsDeclared_FieldsAreForwarded")
 {
   WriteConfiguration(++version_);
   RunUntil([this] { return StatusFor("") == 200; });
   CHECK(StatusFor("Authorization: Bearer x\r\nTenant: y\r\n") == 200);
-  CHECK(Seen("Authorization") == "Bearer x");
-  CHECK(Seen("Tenant") == "y");
+  CHECK(LastServerField("Authorization") == "Bearer x");
+  CHECK(LastServerField("Tenant") == "y");
 }
 
-// A key that had been taken away still ran requests.
-TEST_CASE_METHOD(CallersFixture, "Callers_KeyIsTakenAway_RunsNothingMore")
+// Guards against running requests with a revoked key.
+TEST_CASE_METHOD(CallersFixture, "Callers_RevokedKey_IsRejected")
 {
   CHECK(StatusFor(Bearer("key-a1")) == 200);
   Declare({ { "archive", { "key-a2" } } });
@@ -160,8 +162,10 @@
   CHECK(StatusFor(Bearer("key-a2")) == 200);
 }
 
-// A host that nobody told of it let a key run after it had been taken away.
-TEST_CASE_METHOD(CallersFixture, "Callers_StoreIsAway_RunOnlyWithinTheBound")
+// Guards against accepting a revoked key beyond the bound while the store is
+// unavailable.
+TEST_CASE_METHOD(CallersFixture,
+                 "Callers_StoreUnavailable_KeysWorkWithinTheBound")
 {
   store_.SetBehaviour(StoreBehaviour::Refusing);
   const auto lostAt = std::chrono::steady_clock::now();
@@ -171,7 +175,7 @@
   const auto refused = Call("/stream/1", Bearer("key-a1"));
   CHECK(refused->status_ == 503);
   CHECK_FALSE(refused->retryAfter_.empty());
-  // Nor is a key that isn't known refused for good.
+  // An unknown key may be newer than the declarations: it is retryable too.
   CHECK(StatusFor(Bearer("key-new")) == 503);
   CHECK_FALSE(IsReady());
   CHECK(Call("/open/1", "")->status_ == 200);
@@ -181,9 +185,10 @@
   CHECK(StatusFor(Bearer("key-a2")) == 200);
 }
 
-// A host that the store turned away knows of what its peers follow, and must
-// not refuse anyone.
-TEST_CASE_METHOD(CallersFixture, "Callers_OneHostTurnedAway_PeersConfirm")
+// Guards against rejecting callers at a host that the store refuses while peers
+// still confirm its mirrors.
+TEST_CASE_METHOD(CallersFixture,
+                 "Callers_StoreRefusesOneHost_PeersConfirmItsMirror")
 {
   StartHost("worker", batch::BatchPreference::Worker);
   RunUntil([this] {
@@ -196,9 +201,9 @@
     REQUIRE(StatusFor(Bearer("key-a1")) == 200);
   }
   Declare({ { "archive", { "key-a2" } } });
-  const auto takenAway = std::chrono::steady_clock::now();
+  const auto revokedAt = std::chrono::steady_clock::now();
   RunUntil([this] { return StatusFor(Bearer("key-a1")) == 401; });
-  CHECK(std::chrono::steady_clock::now() - takenAway < 5s);
+  CHECK(std::chrono::steady_clock::now() - revokedAt < 5s);
 }
 
 TEST_CASE_METHOD(CallersFixture, "Callers_Job_BelongsToItsOrganisation")
@@ -206,28 +211,29 @@
   StartHost("worker", batch::BatchPreference::Worker);
   CHECK(SubmitJob("", JobBody(1)) == 401);
   CHECK(SubmitJob("key-a1", JobBody(2)) == 202);
-  // Any of its keys, sent again.
+  // A repeated submission with another key of the organisation.
   CHECK(SubmitJob("key-a2", JobBody(2)) == 202);
-  CHECK(AskJob("GET", Bearer("key-a2"))->status_ == 200);
-  // Another organisation learns nothing of it, and can't take its id.
-  CHECK(AskJob("GET", Bearer("key-p"))->status_ == 404);
-  CHECK(AskJob("DELETE", Bearer("key-p"))->status_ == 404);
+  CHECK(SendJobCall("GET", Bearer("key-a2"))->status_ == 200);
+  // Another organisation can't see the job or reuse its id.
+  CHECK(SendJobCall("GET", Bearer("key-p"))->status_ == 404);
+  CHECK(SendJobCall("DELETE", Bearer("key-p"))->status_ == 404);
   CHECK(SubmitJob("key-p", JobBody(2)) == 409);
-  CHECK(AskJob("GET", "")->status_ == 401);
-  CHECK(AskJob("GET", Bearer("other"))->status_ == 401);
-  // A key that is taken away ends no job.
+  CHECK(SendJobCall("GET", "")->status_ == 401);
+  CHECK(SendJobCall("GET", Bearer("other"))->status_ == 401);
+  // Revoking a key doesn't cancel the job.
   Declare({ { "archive", { "key-a2" } } });
-  RunUntil([this] { return AskJob("GET", Bearer("key-a1"))->status_ == 401; });
+  RunUntil(
+    [this] { return SendJobCall("GET", Bearer("key-a1"))->status_ == 401; });
   RunUntil([this] {
-    const auto call = AskJob("GET", Bearer("key-a2"));
+    const auto call = SendJobCall("GET", Bearer("key-a2"));
     return call->status_ == 200 &&
            json::parse(call->body_)["results"].size() == 2;
   });
-  CHECK(AskJob("DELETE", Bearer("key-a2"))->status_ == 200);
+  CHECK(SendJobCall("DELETE", Bearer("key-a2"))->status_ == 200);
 }
 
-// Items carried keys and names that their sender had written into them.
-TEST_CASE_METHOD(CallersFixture, "Callers_ItemsFields_DontNameTheCaller")
+// Guards against forwarding identity fields that a caller set on items.
+TEST_CASE_METHOD(CallersFixture, "Callers_ItemFields_DontOverrideTheCaller")
 {
   StartHost("worker", batch::BatchPreference::Worker);
   json body = json::parse(JobBody(1));
@@ -235,23 +241,23 @@
   body["items"][0]["headers"]["tenant"] = "portal";
   CHECK(SubmitJob("key-a1", body.dump()) == 202);
   RunUntil([this] { return !servers_[0]->Requests().empty(); });
-  CHECK(Seen("Tenant") == "archive");
-  CHECK(Seen("Authorization").empty());
+  CHECK(LastServerField("Tenant") == "archive");
+  CHECK(LastServerField("Authorization").empty());
 }
 
-// One organisation filled a route, and no other's job was accepted.
-TEST_CASE_METHOD(CallersFixture, "Callers_CapOfTheRoute_IsForEachOrganisation")
+// Guards against one organisation using up the cap of all others.
+TEST_CASE_METHOD(CallersFixture, "Callers_RouteCap_AppliesToEachOrganisation")
 {
   jobCap_ = 20;
   Declare({ { "archive", { "key-a1" } }, { "portal", { "key-p" } } });
   RunUntil([this] { return StatusFor(Bearer("key-a2")) == 401; });
   CHECK(SubmitJob("key-a1", JobBody(2)) == 202);
   const auto submit = [this](const std::string& aKey, const std::string& aJob) {
-    return Ask(*host_,
-               "POST",
-               "/lots/1",
-               "Attempt-Id: " + aJob + "\r\n" + Bearer(aKey),
-               JobBody(2, aJob))
+    return SendAndWait(*host_,
+                       "POST",
+                       "/lots/1",
+                       "Attempt-Id: " + aJob + "\r\n" + Bearer(aKey),
+                       JobBody(2, aJob))
       ->status_;
   };
   CHECK(submit("key-a1", "second") == 429);
@@ -260,12 +266,12 @@
   CHECK_FALSE(store_.Get("pumiceturn/tokens/lots/archive").empty());
 }
 
-// One organisation's flood took the places of all others.
-TEST_CASE_METHOD(CallersFixture, "Callers_BeyondTheLimit_AreToldWhenToComeBack")
+// Guards against one organisation's load taking the slots of all others.
+TEST_CASE_METHOD(CallersFixture, "Callers_OverRateLimit_GetRetryAfter")
 {
   Declare({ { "archive", { "key-a1" }, 1, 2 }, { "portal", { "key-p" } } });
   RunUntil([this] { return StatusFor(Bearer("key-a2")) == 401; });
-  // Credit builds up from the start.
+  // The rate account starts without credit.
   bool isServed = false;
   RunUntil([this, &isServed] {
     isServed = isServed || StatusFor(Bearer("key-a1")) == 200;
@@ -285,25 +291,27 @@
   CHECK(StatusFor(Bearer("key-p")) == 200);
 }
 
-// Two hosts let twice the limit run.
-TEST_CASE_METHOD(CallersFixture, "Callers_BeyondTheLimit_AtTwoHosts_CountOnce")
+// Guards against the limit applying to each host separately.
+TEST_CASE_METHOD(CallersFixture,
+                 "Callers_OverRateLimitAtTwoHosts_LimitIsShared")
 {
   TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   StartHost("worker", batch::BatchPreference::Worker);
   Declare({ { "archive", { "key-a1" }, 0.1, 10 } });
   RunUntil([this] { return StatusFor(Bearer("key-p")) == 401; });
   RunUntil([this, &other] {
-    return Ask(other, "POST", "/stream/1", Bearer("key-p"))->status_ == 401;
+    return SendAndWait(other, "POST", "/stream/1", Bearer("key-p"))->status_ ==
+           401;
   });
-  // Hosts that have just met begin with nothing that another may have spent.
+  // Hosts that have just discovered each other start without credit.
   unsigned served = 0;
   for (int request = 0; request < 40; ++request) {
     TestHost& host = request % 2 == 0 ? *host_ : other;
-    const auto call =
-      Ask(host,
-          "POST",
-          "/stream/1",
-          fmt::format("Attempt-Id: r{}\r\n", request) + Bearer("key-a1"));
+    const auto call = SendAndWait(host,
+                                  "POST",
+                                  "/stream/1",
+                                  fmt::format("Attempt-Id: r{}\r\n", request) +
+                                    Bearer("key-a1"));
     served += call->status_ == 200 ? 1 : 0;
   }
   CHECK(served <= 11);
--- a/Tests/Platform/CallingFixture.h
+++ b/Tests/Platform/CallingFixture.h
@@ -18,16 +18,16 @@
 
 namespace pumiceturn::adapter {
 
-/// Calls over loopback as callers make them, in an event loop.
+/// Sends HTTP calls over loopback in an event loop.
 class CallingFixture
 {
 protected:
   template<typename Predicate>
   void RunUntil(Predicate&& aPredicate)
   {
-    // A bound for a hanging test; no verdict depends on how fast it runs.
-    constexpr std::chrono::seconds kBound{ 90 };
-    const auto end = std::chrono::steady_clock::now() + kBound;
+    // Limits a hanging test; no result depends on timing.
+    constexpr std::chrono::seconds kTimeout{ 90 };
+    const auto end = std::chrono::steady_clock::now() + kTimeout;
     while (!aPredicate() && std::chrono::steady_clock::now() < end) {
       context_.run_one_for(std::chrono::milliseconds(20));
       context_.restart();
@@ -35,7 +35,7 @@
     REQUIRE(aPredicate());
   }
 
-  /// Sends a call; RunUntil its IsOver().
+  /// Sends a call without waiting; use RunUntil() with IsOver().
   std::unique_ptr<CallerCall> SendTo(
     const boost::asio::ip::tcp::endpoint& aAddress,
     const std::string& aMethod,
@@ -69,8 +69,8 @@
     return call;
   }
 
-  /// Sends a call and waits for its end.
-  std::unique_ptr<CallerCall> AskAt(
+  /// Sends a call and waits until it ends.
+  std::unique_ptr<CallerCall> SendToAndWait(
     const boost::asio::ip::tcp::endpoint& aAddress,
     const std::string& aMethod,
     const std::string& aTarget,
--- a/Tests/Platform/CredentialTest.cpp
+++ b/Tests/Platform/CredentialTest.cpp
@@ -8,7 +8,7 @@
 
 namespace pumiceturn::adapter {
 
-/// Reads what requests carry as a key.
+/// Reads credentials from the Authorization field.
 class CredentialFixture
 {
 protected:
@@ -43,7 +43,7 @@
     codec_.ReadCredential(httpstream::Request())));
 }
 
-// A key with something behind it was taken for the key.
+// Guards against accepting a key with trailing text.
 TEST_CASE_METHOD(CredentialFixture, "Credential_Malformed_IsNoKey")
 {
   for (const char* value : { "",
@@ -60,8 +60,8 @@
   }
 }
 
-// A request's field ended the process.
-TEST_CASE_METHOD(CredentialFixture, "Credential_RandomText_IsJudged")
+// Guards against crashes on arbitrary field values.
+TEST_CASE_METHOD(CredentialFixture, "Credential_RandomText_DoesNotCrash")
 {
   std::mt19937 random{ 3 };
   const std::string letters = "Bearer bearer \t,;=k1\x7f";
--- a/Tests/Platform/FollowingTest.cpp
+++ b/Tests/Platform/FollowingTest.cpp
@@ -9,7 +9,7 @@
 
 namespace pumiceturn::adapter {
 
-/// Three hosts that hear each other.
+/// Three hosts that reach each other.
 class FollowingFixture : protected GatewayFixture
 {
 protected:
@@ -20,19 +20,19 @@
     for (const char* name : { "a", "b", "c" }) {
       StartHost(name, batch::BatchPreference::IfNoOther);
     }
-    // Followers change while the hosts begin to hear each other.
-    constexpr int kLooks = 20;
-    int steadyLooks = 0;
-    RunUntil([this, &steadyLooks] {
-      if (steadyLooks < kLooks) {
-        steadyLooks = HasOneFollowerEach() ? steadyLooks + 1 : 0;
+    // Followers change until all hosts have discovered each other.
+    constexpr int kSteadyChecks = 20;
+    int steadyChecks = 0;
+    RunUntil([this, &steadyChecks] {
+      if (steadyChecks < kSteadyChecks) {
+        steadyChecks = HasOneFollowerEach() ? steadyChecks + 1 : 0;
       }
-      return steadyLooks == kLooks;
+      return steadyChecks == kSteadyChecks;
     });
   }
 
-  /// @return how many prefixes a host follows.
-  [[nodiscard]] int FollowedBy(const TestHost& aHost)
+  /// @return the number of prefixes that a host follows.
+  [[nodiscard]] int FollowedPrefixCount(const TestHost& aHost)
   {
     const std::string name = "\npumiceturn_store_prefixes_followed ";
     const std::string page = Metrics(aHost);
@@ -42,13 +42,13 @@
              : std::stoi(page.substr(found + name.size()));
   }
 
-  /// @return whether each of the four prefixes is followed once, and all hosts
-  ///         hear each other.
+  /// @return whether each of the four prefixes has one follower and all hosts
+  ///         reach each other.
   [[nodiscard]] bool HasOneFollowerEach()
   {
     int followed = 0;
     for (const auto& host : hosts_) {
-      followed += FollowedBy(*host);
+      followed += FollowedPrefixCount(*host);
       if (Metrics(*host).find("pumiceturn_peers_heard 2") ==
           std::string::npos) {
         return false;
@@ -57,13 +57,13 @@
     return followed == 4;
   }
 
-  [[nodiscard]] bool IsInForceEverywhere(std::uint64_t aVersion)
+  [[nodiscard]] bool IsInForceAtAllHosts(std::uint64_t aVersion)
   {
     for (const auto& host : hosts_) {
-      const auto call = Ask(*host,
-                            "POST",
-                            fmt::format("/v{}/1", aVersion),
-                            "Attempt-Id: r1\r\nDeadline-Ms: 9000\r\n");
+      const auto call = SendAndWait(*host,
+                                    "POST",
+                                    fmt::format("/v{}/1", aVersion),
+                                    "Attempt-Id: r1\r\nDeadline-Ms: 9000\r\n");
       if (call->status_ != 200) {
         return false;
       }
@@ -71,15 +71,15 @@
     return true;
   }
 
-  /// Its calls to the store are still under way.
-  std::unique_ptr<TestHost> gone_;
+  /// Kept alive, as its calls to the store are still in flight.
+  std::unique_ptr<TestHost> stoppedHost_;
 };
 
 TEST_CASE_METHOD(FollowingFixture,
                  "Following_ConfigurationChanges_IsInForceAtAllHosts")
 {
   WriteConfiguration(8);
-  RunUntil([this] { return IsInForceEverywhere(8); });
+  RunUntil([this] { return IsInForceAtAllHosts(8); });
 }
 
 TEST_CASE_METHOD(FollowingFixture, "Following_ServerIsAdded_AllHostsUseIt")
@@ -88,43 +88,41 @@
   for (const auto& host : hosts_) {
     const std::size_t before = added.Requests().size();
     RunUntil([&] {
-      (void)Ask(
+      (void)SendAndWait(
         *host, "POST", "/once/1", "Attempt-Id: r1\r\nDeadline-Ms: 9000\r\n");
       return added.Requests().size() > before;
     });
   }
 }
 
-// A configuration reaches nobody: the host that followed the store for the
-// others was killed, and they went on waiting for its word.
-TEST_CASE_METHOD(FollowingFixture,
-                 "Following_FollowerVanishes_OthersLearnOfChanges")
+// Guards against hosts waiting for updates of a follower that has died.
+TEST_CASE_METHOD(FollowingFixture, "Following_FollowerDies_OthersGetChanges")
 {
   for (auto host = hosts_.begin(); host != hosts_.end(); ++host) {
-    if (FollowedBy(**host) > 0) {
+    if (FollowedPrefixCount(**host) > 0) {
       (*host)->gateway_.reset();
-      gone_ = std::move(*host);
+      stoppedHost_ = std::move(*host);
       hosts_.erase(host);
       break;
     }
   }
   WriteConfiguration(8);
-  RunUntil([this] { return IsInForceEverywhere(8); });
+  RunUntil([this] { return IsInForceAtAllHosts(8); });
 }
 
-// A host that the store turns away has nobody follow for it: it must step back
-// as a follower, or all others keep its old copy.
+// Guards against a follower that the store refuses keeping its role, which
+// would leave all hosts with outdated mirrors.
 TEST_CASE_METHOD(FollowingFixture,
-                 "Following_FollowersAreTurnedAway_ChangesStillArrive")
+                 "Following_StoreRefusesFollower_ChangesStillArrive")
 {
   for (const auto& host : hosts_) {
-    if (FollowedBy(*host) > 0) {
+    if (FollowedPrefixCount(*host) > 0) {
       store_.SetPortBehaviour(host->storePort_, StoreBehaviour::Refusing);
       break;
     }
   }
   WriteConfiguration(8);
-  RunUntil([this] { return IsInForceEverywhere(8); });
+  RunUntil([this] { return IsInForceAtAllHosts(8); });
 }
 
 } // namespace pumiceturn::adapter
--- a/Tests/Platform/GatewayFixture.cpp
+++ b/Tests/Platform/GatewayFixture.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Any wait for a place is too long for it.
-constexpr double kShortestObjectiveMs = 1;
+/// Any wait for a slot exceeds it.
+constexpr double kMinObjectiveMs = 1;
 
 } // namespace
 
@@ -26,15 +26,15 @@
 }
 
 std::uint16_t
-GatewayFixture::FreePort()
+GatewayFixture::ReservePort()
 {
-  // Stays bound, without listening, so that neither the store's next port nor a
-  // connection of another process is given the port before the host opens it.
+  // Stays bound without listening, so that nobody else gets the port before the
+  // host opens it.
   boost::asio::ip::tcp::socket holder(context_, boost::asio::ip::tcp::v4());
   holder.set_option(boost::asio::socket_base::reuse_address(true));
   holder.bind(Loopback(0));
   const std::uint16_t port = holder.local_endpoint().port();
-  heldPorts_.push_back(std::move(holder));
+  reservedPorts_.push_back(std::move(holder));
   return port;
 }
 
@@ -44,7 +44,7 @@
   json resumable = MakeTestRoute("resumable", "stream");
   resumable["resumable"] = true;
   json urgent = MakeTestRoute("urgent", "stream");
-  urgent["sloMs"] = kShortestObjectiveMs;
+  urgent["sloMs"] = kMinObjectiveMs;
   const json configuration = {
     { "version", aVersion },
     { "routes",
@@ -74,8 +74,8 @@
 {
   hosts_.push_back(std::make_unique<TestHost>());
   TestHost& host = *hosts_.back();
-  host.callerPort_ = FreePort();
-  host.statusPort_ = FreePort();
+  host.callerPort_ = ReservePort();
+  host.statusPort_ = ReservePort();
   gateway::GatewaySettings settings;
   settings.host_ = aName;
   settings.incarnation_ = "1";
@@ -83,13 +83,13 @@
   settings.batchPreference_ = aPreference;
   settings.callerAddress_ = fmt::format("127.0.0.1:{}", host.callerPort_);
   settings.statusAddress_ = fmt::format("127.0.0.1:{}", host.statusPort_);
-  settings.peerAddress_ = fmt::format("127.0.0.1:{}", FreePort());
+  settings.peerAddress_ = fmt::format("127.0.0.1:{}", ReservePort());
   settings.jobRetention_ = jobRetention_;
   settings.dataFolder_ = dataFolder_;
   settings.capOverage_ = capOverage_;
   settings.revocationBound_ = revocationBound_;
   settings.rateTolerance_.overage_ = capOverage_;
-  host.forwardPort_ = FreePort();
+  host.forwardPort_ = ReservePort();
   settings.forwardAddress_ = fmt::format("127.0.0.1:{}", host.forwardPort_);
   host.storePort_ = store_.OpenPort();
   const auto storeAddress = Loopback(host.storePort_);
@@ -101,7 +101,7 @@
                                                      settings,
                                                      MakeStoreLayout(),
                                                      requestCodec_,
-                                                     storeEntries_,
+                                                     storeCodec_,
                                                      *host.store_,
                                                      *host.storeTransport_);
   REQUIRE(host.gateway_->Start());
@@ -114,7 +114,7 @@
 std::string
 GatewayFixture::Metrics(const TestHost& aHost)
 {
-  return AskAt(Loopback(aHost.statusPort_), "GET", "/metrics")->body_;
+  return SendToAndWait(Loopback(aHost.statusPort_), "GET", "/metrics")->body_;
 }
 
 std::unique_ptr<CallerCall>
@@ -128,13 +128,14 @@
 }
 
 std::unique_ptr<CallerCall>
-GatewayFixture::Ask(TestHost& aHost,
-                    const std::string& aMethod,
-                    const std::string& aTarget,
-                    const std::string& aFields,
-                    const std::string& aBody)
+GatewayFixture::SendAndWait(TestHost& aHost,
+                            const std::string& aMethod,
+                            const std::string& aTarget,
+                            const std::string& aFields,
+                            const std::string& aBody)
 {
-  return AskAt(Loopback(aHost.callerPort_), aMethod, aTarget, aFields, aBody);
+  return SendToAndWait(
+    Loopback(aHost.callerPort_), aMethod, aTarget, aFields, aBody);
 }
 
 std::string
--- a/Tests/Platform/GatewayFixture.h
+++ b/Tests/Platform/GatewayFixture.h
@@ -18,7 +18,7 @@
 
 namespace pumiceturn::adapter {
 
-/// A host of the system with its own address.
+/// A gateway with its own addresses.
 struct TestHost
 {
   std::unique_ptr<gateway::StoreTransport> storeTransport_;
@@ -27,7 +27,7 @@
   std::uint16_t callerPort_ = 0;
   std::uint16_t statusPort_ = 0;
   std::uint16_t forwardPort_ = 0;
-  std::uint16_t storePort_ = 0; ///< Where the store takes this host's calls.
+  std::uint16_t storePort_ = 0; ///< Port of the store for this host's calls.
 };
 
 /// Gateways, a store and servers in one event loop on loopback.
@@ -36,16 +36,16 @@
 protected:
   GatewayFixture();
 
-  /// @return a port that nobody else is given while the fixture lives.
-  std::uint16_t FreePort();
+  /// @return a port that is reserved for the lifetime of the fixture.
+  std::uint16_t ReservePort();
 
-  /// Starts a host and waits until it is ready.
+  /// Starts a host and waits until it is registered in the store.
   TestHost& StartHost(const std::string& aName,
                       batch::BatchPreference aPreference);
 
-  /// Writes a configuration with a resumable stream, a stream that may run
-  /// once, one that may not wait for a place, a service call that may run once,
-  /// and jobs.
+  /// Writes a configuration with routes for a resumable stream, a stream that
+  /// can't be resumed, a stream that may not queue, an unsafe call, a safe call
+  /// named after the version, and batch jobs.
   void WriteConfiguration(std::uint64_t aVersion);
 
   ServerStandin& AddServer(const std::string& aInstance);
@@ -58,23 +58,23 @@
                                    const std::string& aTarget,
                                    const std::string& aFields = {},
                                    const std::string& aBody = {});
-  std::unique_ptr<CallerCall> Ask(TestHost& aHost,
-                                  const std::string& aMethod,
-                                  const std::string& aTarget,
-                                  const std::string& aFields = {},
-                                  const std::string& aBody = {});
+  std::unique_ptr<CallerCall> SendAndWait(TestHost& aHost,
+                                          const std::string& aMethod,
+                                          const std::string& aTarget,
+                                          const std::string& aFields = {},
+                                          const std::string& aBody = {});
 
-  /// @param aPrefix Begins the items' ids.
+  /// @param aPrefix Prefix of the items' ids.
   static std::string JobBody(int aItems, const std::string& aPrefix = {});
 
   StoreStandin store_;
   RequestCodec requestCodec_;
-  PlatformStoreCodec storeEntries_;
-  /// Of the next host; empty: it has no disk.
+  PlatformStoreCodec storeCodec_;
+  /// For the next host; empty: no spool.
   std::string dataFolder_;
-  std::vector<boost::asio::ip::tcp::socket> heldPorts_;
-  double capOverage_ = 0.0;                       ///< Of the next host.
-  std::optional<base::Duration> revocationBound_; ///< Of the next host.
+  std::vector<boost::asio::ip::tcp::socket> reservedPorts_;
+  double capOverage_ = 0.0;                       ///< For the next host.
+  std::optional<base::Duration> revocationBound_; ///< For the next host.
   base::Duration jobRetention_{ std::chrono::minutes{ 10 } };
   std::vector<std::unique_ptr<TestHost>> hosts_;
   std::vector<std::unique_ptr<ServerStandin>> servers_;
--- a/Tests/Platform/OnlineTest.cpp
+++ b/Tests/Platform/OnlineTest.cpp
@@ -13,7 +13,7 @@
     AddServer("i-1");
     AddServer("i-2");
     host_ = &StartHost("entry", batch::BatchPreference::IfNoOther);
-    // Changes are told at once to a host that waits for them.
+    // A follower of all prefixes sees changes of the store at once.
     RunUntil([this] {
       return Metrics(*host_).find("pumiceturn_store_prefixes_followed 4") !=
              std::string::npos;
@@ -22,11 +22,11 @@
 
   std::unique_ptr<CallerCall> Stream(const std::string& aPath)
   {
-    return Ask(
+    return SendAndWait(
       *host_, "POST", aPath, "Attempt-Id: r1\r\nDeadline-Ms: 9000\r\n");
   }
 
-  void EnqueueAtBoth(const ServerScript& aScript)
+  void EnqueueAtAll(const ServerScript& aScript)
   {
     servers_[0]->Enqueue(aScript);
     servers_[1]->Enqueue(aScript);
@@ -40,7 +40,7 @@
   TestHost* host_ = nullptr;
 };
 
-TEST_CASE_METHOD(OnlineFixture, "Online_CalmStream_PassesUnchanged")
+TEST_CASE_METHOD(OnlineFixture, "Online_Stream_IsForwardedUnchanged")
 {
   const auto call = Stream("/stream/1");
   CHECK(call->status_ == 200);
@@ -56,40 +56,39 @@
         9000);
 }
 
-// A translator's line stops in the middle. The server crashes within an event;
-// the stream goes on at another server, with nothing missing and nothing twice.
-TEST_CASE_METHOD(OnlineFixture, "Online_ResumableStreamBreaks_GoesOnElsewhere")
+// Guards against lost or repeated events when a server crashes within an event.
+TEST_CASE_METHOD(OnlineFixture, "Online_ResumableStreamBreaks_ResumesElsewhere")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Break, 3, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Break, 3, 0 });
   servers_[0]->Enqueue({});
   servers_[1]->Enqueue({});
   const auto call = Stream("/resumable/1");
-  // Both servers break once, and two attempts are allowed.
+  // Both attempts break off after three of the six events; the caller gets each
+  // event once.
   CHECK(call->body_ == WholeStream());
   CHECK(RequestCount() == 2);
 }
 
-TEST_CASE_METHOD(OnlineFixture, "Online_ResumableStreamBreaksTwice_LooksBroken")
+TEST_CASE_METHOD(OnlineFixture, "Online_ResumableStreamBreaksTwice_IsAborted")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Break, 1, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Break, 1, 0 });
   const auto call = Stream("/resumable/1");
   CHECK(call->end_ == httpstream::CallOutcome::Broken);
   CHECK(RequestCount() == 2);
 }
 
-// A customer is billed twice: a request that may run once was sent to a second
-// server after the first had reset the connection.
-TEST_CASE_METHOD(OnlineFixture, "Online_OnceOnlyIsReset_IsNotSentAgain")
+// Guards against running an unsafe request twice after a connection reset.
+TEST_CASE_METHOD(OnlineFixture, "Online_UnsafeRequestIsReset_IsNotRetried")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Reset, 0, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Reset, 0, 0 });
   const auto call = Stream("/once/1");
   CHECK(call->status_ == 502);
   CHECK(RequestCount() == 1);
 }
 
-TEST_CASE_METHOD(OnlineFixture, "Online_OnceOnlyStreamBreaks_LooksBroken")
+TEST_CASE_METHOD(OnlineFixture, "Online_NonResumableStreamBreaks_IsAborted")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Break, 2, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Break, 2, 0 });
   const auto call = Stream("/stream/1");
   CHECK(call->end_ == httpstream::CallOutcome::Broken);
   CHECK(RequestCount() == 1);
@@ -104,27 +103,26 @@
   CHECK(call->status_ == 200);
 }
 
-TEST_CASE_METHOD(OnlineFixture, "Online_AllRefuse_CallerIsToldWhenToComeBack")
+TEST_CASE_METHOD(OnlineFixture, "Online_AllServersRefuse_CallerGetsRetryAfter")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Refuse, 0, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Refuse, 0, 0 });
   const auto call = Stream("/once/1");
   CHECK(call->status_ == 503);
   CHECK(call->seal_.empty());
   CHECK_FALSE(call->retryAfter_.empty());
 }
 
-// Servers were taken away, and translators wait for seconds: each line queues
-// behind all others at an engine, also when the burst is nearly over. A line
-// that would wait too long is refused at once, and queued when it comes again.
-TEST_CASE_METHOD(OnlineFixture, "Online_PlacesTaken_NewCallerComesBackLater")
+// Guards against queueing a request beyond the latency objective. Its retry,
+// with less time left, is queued.
+TEST_CASE_METHOD(OnlineFixture, "Online_NoFreeSlot_NewCallerGetsRetryAfter")
 {
-  constexpr int kLearnt = 10;
-  for (int round = 0; round < kLearnt; ++round) {
+  constexpr int kWarmUpRequests = 10;
+  for (int round = 0; round < kWarmUpRequests; ++round) {
     CHECK(Stream("/urgent/pause-20")->status_ == 200);
   }
-  constexpr int kPlaces = 4;
+  constexpr int kSlots = 4;
   std::vector<std::unique_ptr<CallerCall>> held;
-  for (int place = 0; place < kPlaces; ++place) {
+  for (int slot = 0; slot < kSlots; ++slot) {
     held.push_back(Send(host_->callerPort_,
                         "POST",
                         "/stream/hold-2",
@@ -134,27 +132,27 @@
   const auto refused = Stream("/urgent/1");
   CHECK(refused->status_ == 503);
   CHECK(std::stod(refused->retryAfter_) > 0.5);
-  CHECK(RequestCount() == kLearnt + kPlaces);
-  const auto again =
-    Ask(*host_, "POST", "/urgent/1", "Attempt-Id: r2\r\nDeadline-Ms: 7500\r\n");
+  CHECK(RequestCount() == kWarmUpRequests + kSlots);
+  const auto again = SendAndWait(
+    *host_, "POST", "/urgent/1", "Attempt-Id: r2\r\nDeadline-Ms: 7500\r\n");
   CHECK(again->status_ == 200);
 }
 
-TEST_CASE_METHOD(OnlineFixture, "Online_ServersOwnFailure_PassesUnchanged")
+TEST_CASE_METHOD(OnlineFixture, "Online_ServerError_IsForwardedUnchanged")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Status, 0, 500 });
+  EnqueueAtAll({ ServerScript::Kind::Status, 0, 500 });
   const auto call = Stream("/once/1");
   CHECK(call->status_ == 500);
   CHECK(call->seal_ == "seal");
   CHECK(call->body_ == "own body");
 }
 
-// Look-ups are refused although another server is idle: two servers came back
-// at their addresses under new ids, and each stale registration costs a try.
+// Guards against stale registrations using up the attempts of a request while
+// another server is idle.
 TEST_CASE_METHOD(OnlineFixture, "Online_MisdirectedAnswers_DontUseUpAttempts")
 {
   ServerStandin& third = AddServer("i-3");
-  EnqueueAtBoth({ ServerScript::Kind::Misdirect, 0, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Misdirect, 0, 0 });
   RunUntil([&] {
     const auto call = Stream("/once/1");
     CHECK(call->status_ == 200);
@@ -162,9 +160,9 @@
   });
 }
 
-TEST_CASE_METHOD(OnlineFixture, "Online_CallerLeaves_ServersWorkEnds")
+TEST_CASE_METHOD(OnlineFixture, "Online_CallerDisconnects_ServerStops")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Hold, 2, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Hold, 2, 0 });
   const auto call = Send(host_->callerPort_,
                          "POST",
                          "/stream/1",
@@ -178,7 +176,7 @@
 
 TEST_CASE_METHOD(OnlineFixture, "Online_SilentMidStream_ResumesElsewhere")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Hold, 2, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Hold, 2, 0 });
   servers_[0]->Enqueue({});
   servers_[1]->Enqueue({});
   const auto call = Stream("/resumable/1");
@@ -191,7 +189,7 @@
   CHECK(Stream("/elsewhere/1")->status_ == 404);
 }
 
-// A caller gets 404 for a route that operators added seconds ago.
+// Guards against a 404 for a route that was just added.
 TEST_CASE_METHOD(OnlineFixture, "Online_NewConfiguration_ComesIntoForce")
 {
   CHECK(Stream("/v9/1")->status_ == 404);
@@ -211,7 +209,7 @@
   RunUntil([this] { return Stream("/v10/1")->status_ == 200; });
 }
 
-TEST_CASE_METHOD(OnlineFixture, "Online_StoreAway_GoesOnServing")
+TEST_CASE_METHOD(OnlineFixture, "Online_StoreUnavailable_KeepsServing")
 {
   store_.SetBehaviour(StoreBehaviour::Refusing);
   for (int call = 0; call < 5; ++call) {
@@ -219,10 +217,9 @@
   }
 }
 
-TEST_CASE_METHOD(OnlineFixture, "Online_ServerDrains_GetsNothingNew")
+TEST_CASE_METHOD(OnlineFixture, "Online_ServerDrains_GetsNoNewRequests")
 {
-  // The bound within which a draining server must get nothing new, and so many
-  // calls that one in use would not be left out by chance.
+  // So many calls that a server in use gets one with near certainty.
   constexpr std::chrono::seconds kDrainBound{ 2 };
   constexpr int kCalls = 40;
   const auto drainsAt = std::chrono::steady_clock::now();
@@ -237,22 +234,21 @@
   CHECK(servers_[0]->Requests().size() == before);
 }
 
-// Half of the answers come late: entries that no server wrote stand among the
-// servers', and requests are sent where they lead.
-TEST_CASE_METHOD(OnlineFixture, "Online_ServersEntrySpoiled_OthersServe")
+// Guards against sending requests to endpoints whose registration is corrupt.
+TEST_CASE_METHOD(OnlineFixture, "Online_ServerEntryCorrupt_OthersServe")
 {
-  // With less, an endpoint in use may be left out by chance.
+  // So many calls that a server in use gets one with near certainty.
   constexpr int kCalls = 40;
   using nlohmann::json;
-  const json whole = json::parse(servers_[0]->Registration("service", "ready"));
-  json noSlots = whole;
-  noSlots.erase("slots");
-  json odd = whole;
-  odd["state"] = "resting";
-  json negative = whole;
+  const json valid = json::parse(servers_[0]->Registration("service", "ready"));
+  json withoutSlots = valid;
+  withoutSlots.erase("slots");
+  json badState = valid;
+  badState["state"] = "resting";
+  json negative = valid;
   negative["slots"] = -4;
-  for (const std::string& value : { noSlots.dump(),
-                                    odd.dump(),
+  for (const std::string& value : { withoutSlots.dump(),
+                                    badState.dump(),
                                     negative.dump(),
                                     std::string("{{"),
                                     std::string("\xff\xfe"),
@@ -266,7 +262,7 @@
       }
       return servers_[0]->Requests().size() == before;
     });
-    store_.Put("servers/i-1", whole.dump());
+    store_.Put("servers/i-1", valid.dump());
     RunUntil([this] {
       const std::size_t before = servers_[0]->Requests().size();
       for (int call = 0; call < kCalls; ++call) {
@@ -277,8 +273,8 @@
   }
 }
 
-// A host ends: its own key in the store holds what it can't read.
-TEST_CASE_METHOD(OnlineFixture, "Online_HostsEntrySpoiled_GoesOnServing")
+// Guards against a crash when a host's own registration is corrupt.
+TEST_CASE_METHOD(OnlineFixture, "Online_HostEntryCorrupt_KeepsServing")
 {
   for (const char* value : { "{{", "{\"owner\":7}", "[]", "" }) {
     store_.Put("pumiceturn/host/entry", value);
@@ -289,9 +285,8 @@
   }
 }
 
-// All servers of a service are down: one request crashes each that begins to
-// run it, and its caller sends it again, to any host.
-TEST_CASE_METHOD(OnlineFixture, "Online_CrashesEachServer_IsRefusedEverywhere")
+// Guards against one request crashing all servers by being retried at any host.
+TEST_CASE_METHOD(OnlineFixture, "Online_CrashesEachServer_IsRejectedAtAllHosts")
 {
   TestHost& other = StartHost("other", batch::BatchPreference::IfNoOther);
   AddServer("i-3");
@@ -311,18 +306,18 @@
   });
   const std::size_t before = RequestCount() + servers_[2]->Requests().size();
   const std::string fields = "Attempt-Id: r2\r\nDeadline-Ms: 9000\r\n";
-  CHECK(Ask(*host_, "POST", "/once/bad", fields)->status_ == 502);
-  CHECK(Ask(other, "POST", "/once/bad", fields)->status_ == 502);
+  CHECK(SendAndWait(*host_, "POST", "/once/bad", fields)->status_ == 502);
+  CHECK(SendAndWait(other, "POST", "/once/bad", fields)->status_ == 502);
   CHECK(RequestCount() + servers_[2]->Requests().size() == before);
   for (const auto& server : servers_) {
     server->ClearScripts();
   }
-  CHECK(Ask(other, "POST", "/once/good", fields)->status_ == 200);
+  CHECK(SendAndWait(other, "POST", "/once/good", fields)->status_ == 200);
 }
 
 TEST_CASE_METHOD(OnlineFixture, "Online_Stopping_FinishesOpenRequests")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Hold, 2, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Hold, 2, 0 });
   const auto held = Send(host_->callerPort_,
                          "POST",
                          "/stream/1",
@@ -332,19 +327,19 @@
   host_->gateway_->Stop([&isStopped] { isStopped = true; });
   servers_[0]->ClearScripts();
   servers_[1]->ClearScripts();
-  const auto late =
-    Ask(*host_, "POST", "/once/1", "Attempt-Id: r2\r\nDeadline-Ms: 9000\r\n");
+  const auto late = SendAndWait(
+    *host_, "POST", "/once/1", "Attempt-Id: r2\r\nDeadline-Ms: 9000\r\n");
   CHECK(late->status_ == 200);
   CHECK_FALSE(isStopped);
   RunUntil([&isStopped] { return isStopped; });
   CHECK(store_.Keys("pumiceturn/host/").empty());
 }
 
-// A look-up that was taken late during a shutdown is cut at the host's end. The
-// balancer goes on sending where most hosts of a failure domain leave at once.
-TEST_CASE_METHOD(OnlineFixture, "Online_LongAfterStop_IsRefusedAsNotRun")
+// Guards against accepting a late request that the host can't finish before it
+// stops.
+TEST_CASE_METHOD(OnlineFixture, "Online_LateAfterStop_IsRejectedAsNotRun")
 {
-  EnqueueAtBoth({ ServerScript::Kind::Hold, 2, 0 });
+  EnqueueAtAll({ ServerScript::Kind::Hold, 2, 0 });
   const auto held = Send(host_->callerPort_,
                          "POST",
                          "/stream/1",
--- a/Tests/Platform/RateCodecTest.cpp
+++ b/Tests/Platform/RateCodecTest.cpp
@@ -25,8 +25,8 @@
     return { "archive", 77, 9, true, 2s, 37ms, 410ms };
   }
 
-  /// @return bytes of a datagram with some of them changed.
-  [[nodiscard]] std::vector<std::uint8_t> Spoil(const json& aRow)
+  /// @return the bytes of a datagram with some of them overwritten.
+  [[nodiscard]] std::vector<std::uint8_t> Corrupt(const json& aRow)
   {
     std::vector<std::uint8_t> bytes = json::to_cbor(aRow);
     for (int change = 0; change < 3; ++change) {
@@ -38,7 +38,7 @@
   std::mt19937 random_{ 5 };
 };
 
-TEST_CASE_METHOD(RateCodecFixture, "RateCodec_SentAndRead_IsTheSame")
+TEST_CASE_METHOD(RateCodecFixture, "RateCodec_RoundTrip_IsEqual")
 {
   CHECK(DecodeRateReport(json::from_cbor(
           json::to_cbor(EncodeRateReport(Report())))) == Report());
@@ -46,8 +46,8 @@
           json::to_cbor(EncodeRateResponse(Response())))) == Response());
 }
 
-// A stranger's answer shut an organisation out for years.
-TEST_CASE_METHOD(RateCodecFixture, "RateCodec_TimeIsNone_IsRefused")
+// Guards against a forged response blocking an organisation for years.
+TEST_CASE_METHOD(RateCodecFixture, "RateCodec_TimeOutOfRange_IsRejected")
 {
   json row = EncodeRateResponse(Response());
   for (const json& time : { json(-1), json(10001), json(1e300), json("1") }) {
@@ -56,15 +56,15 @@
   }
 }
 
-// A spoiled datagram ended the process.
-TEST_CASE_METHOD(RateCodecFixture, "RateCodec_Spoiled_ThrowsNothingElse")
+// Guards against a corrupt datagram crashing the process.
+TEST_CASE_METHOD(RateCodecFixture, "RateCodec_Corrupt_ThrowsJsonExceptionsOnly")
 {
   for (int round = 0; round < 20000; ++round) {
     try {
       (void)DecodeRateReport(
-        json::from_cbor(Spoil(EncodeRateReport(Report()))));
+        json::from_cbor(Corrupt(EncodeRateReport(Report()))));
       (void)DecodeRateResponse(
-        json::from_cbor(Spoil(EncodeRateResponse(Response()))));
+        json::from_cbor(Corrupt(EncodeRateResponse(Response()))));
     } catch (const json::exception&) {
       continue;
     }
--- a/Tests/Platform/StandinText.h
+++ b/Tests/Platform/StandinText.h
@@ -8,7 +8,7 @@
 
 namespace pumiceturn::adapter {
 
-/// @return the whole stream of a server's stand-in, as a caller must get it.
+/// @return the complete event stream that a caller gets from a ServerStandin.
 inline std::string
 WholeStream()
 {
@@ -20,7 +20,7 @@
   return text;
 }
 
-/// @return the output of an item that a server's stand-in has run whole.
+/// @return the complete output of an item that ran at a ServerStandin.
 inline std::string
 WholeOutput()
 {
--- a/Tests/Platform/StorePathTest.cpp
+++ b/Tests/Platform/StorePathTest.cpp
@@ -7,21 +7,21 @@
 class StorePathFixture : protected BatchJobsFixture
 {
 protected:
-  void TurnAway(const TestHost& aHost)
+  void RefuseAtStore(const TestHost& aHost)
   {
     store_.SetPortBehaviour(aHost.storePort_, StoreBehaviour::Refusing);
   }
 
-  void LetIn(const TestHost& aHost)
+  void ServeAtStore(const TestHost& aHost)
   {
     store_.SetPortBehaviour(aHost.storePort_, StoreBehaviour::Serving);
   }
 
-  /// Starts a worker and waits until the entry host gives it jobs.
-  TestHost& StartKnownWorker()
+  /// Starts a worker and waits until it gets jobs from the entry host.
+  TestHost& StartWorkerWithJobs()
   {
     TestHost& worker = StartWorker("worker");
-    // One job at a time, and seldom: thousands would keep the only way to the
+    // Limits the rate, as thousands of jobs would keep the only path to the
     // store busy when the test begins.
     constexpr std::chrono::milliseconds kPause{ 50 };
     int tries = 0;
@@ -31,11 +31,11 @@
       if (std::chrono::steady_clock::now() >= nextAt) {
         nextAt = std::chrono::steady_clock::now() + kPause;
         job = "first" + std::to_string(++tries);
-        (void)Ask(*entry_,
-                  "POST",
-                  "/lots/1",
-                  "Attempt-Id: " + job + "\r\n",
-                  JobBody(1));
+        (void)SendAndWait(*entry_,
+                          "POST",
+                          "/lots/1",
+                          "Attempt-Id: " + job + "\r\n",
+                          JobBody(1));
       }
       return store_.Get("pumiceturn/lot/" + job).find("worker") !=
              std::string::npos;
@@ -49,13 +49,13 @@
   }
 };
 
-// A job is late. The store turns away the host that runs it and serves the
-// others; nothing that the host makes can be stored, its registration lapses,
-// and another host runs the items once more.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_WorkerTurnedAway_FinishesItsJob")
+// Guards against rerunning a job's items because the store refuses the worker's
+// calls.
+TEST_CASE_METHOD(StorePathFixture,
+                 "StorePath_StoreRefusesWorker_FinishesItsJob")
 {
-  TestHost& worker = StartKnownWorker();
-  TurnAway(worker);
+  TestHost& worker = StartWorkerWithJobs();
+  RefuseAtStore(worker);
   const std::size_t before = ServedCount(worker);
   CHECK(Submit(*entry_, 5) == 202);
   WaitForAll(*entry_, 5);
@@ -63,89 +63,92 @@
   CHECK(ServedCount(worker) == before);
 }
 
-// A partner's job is refused by a host that the store turns away, although its
-// peers could have it stored.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_EntryTurnedAway_AcceptsAJob")
+// Guards against rejecting a job at a host that reaches the store through peers
+// only.
+TEST_CASE_METHOD(StorePathFixture, "StorePath_StoreRefusesEntry_AcceptsAJob")
 {
-  StartKnownWorker();
-  TurnAway(*entry_);
+  StartWorkerWithJobs();
+  RefuseAtStore(*entry_);
   RunUntil([this] { return Submit(*entry_, 3) == 202; });
   WaitForAll(*entry_, 3);
 }
 
-// A partner's job is accepted seconds late: the store turned the host away, and
-// the peers that it asked to have the job stored were cut off from it, so that
-// each call hung until its timeout.
+// Guards against calls that hang because they go through a peer that is cut
+// off.
 TEST_CASE_METHOD(StorePathFixture,
-                 "StorePath_SomePeersCutOff_AsksTheOneItHears")
+                 "StorePath_SomePeersCutOff_UsesAReachablePeer")
 {
   boost::asio::ip::tcp::acceptor cutOff(context_, Loopback(0));
-  bool isAsked = false;
-  cutOff.async_accept([&isAsked](const boost::system::error_code& aError,
-                                 const boost::asio::ip::tcp::socket&) {
-    isAsked = isAsked || !aError;
+  bool isContacted = false;
+  cutOff.async_accept([&isContacted](const boost::system::error_code& aError,
+                                     const boost::asio::ip::tcp::socket&) {
+    isContacted = isContacted || !aError;
   });
   for (const char* host : { "c-1", "c-2", "c-3", "c-4", "c-5" }) {
     store_.Put(
       fmt::format("pumiceturn/host/{}", host),
       json{ { "owner", fmt::format("{}/1", host) },
-            { "peer", fmt::format("127.0.0.1:{}", FreePort()) },
+            { "peer", fmt::format("127.0.0.1:{}", ReservePort()) },
             { "calls",
               fmt::format("127.0.0.1:{}", cutOff.local_endpoint().port()) },
             { "worker", false } }
         .dump());
   }
-  StartKnownWorker();
+  StartWorkerWithJobs();
   RunUntil([this] {
     return Metrics(*entry_).find("pumiceturn_peers_heard 1") !=
            std::string::npos;
   });
-  TurnAway(*entry_);
+  RefuseAtStore(*entry_);
   RunUntil([this] { return Submit(*entry_, 3) == 202; });
-  CHECK_FALSE(isAsked);
+  CHECK_FALSE(isContacted);
 }
 
-// A host that the store turned away must come back to its own way, or its calls
-// load a peer for good.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_LetInAgain_LeavesThePeersAlone")
+// Guards against a host that keeps loading its peers after its direct path to
+// the store has recovered.
+TEST_CASE_METHOD(StorePathFixture,
+                 "StorePath_DirectPathRecovers_PeersAreNotUsed")
 {
-  TestHost& worker = StartKnownWorker();
-  TurnAway(worker);
+  TestHost& worker = StartWorkerWithJobs();
+  RefuseAtStore(worker);
   CHECK(Submit(*entry_, 2) == 202);
   WaitForAll(*entry_, 2);
   const std::size_t before = ServedCount(worker);
-  LetIn(worker);
+  ServeAtStore(worker);
   RunUntil([&] { return ServedCount(worker) > before + 5; });
 }
 
-// A configuration doesn't come into force. The store is away for all hosts, and
-// they ask each other instead of the store once it is back.
+// Guards against hosts calling the store only through each other after it has
+// recovered.
 TEST_CASE_METHOD(StorePathFixture,
-                 "StorePath_AllTurnedAway_ComeBackByThemselves")
+                 "StorePath_StoreRefusesAll_RecoversAfterwards")
 {
-  TestHost& worker = StartKnownWorker();
-  TurnAway(worker);
-  TurnAway(*entry_);
+  TestHost& worker = StartWorkerWithJobs();
+  RefuseAtStore(worker);
+  RefuseAtStore(*entry_);
   RunUntil([this] { return Submit(*entry_, 2) == 503; });
-  // What a watch that was open before may still bring, then what none brings.
+  // An open watch may still deliver the first version, but not the second.
   WriteConfiguration(7);
   WriteConfiguration(8);
-  LetIn(worker);
-  LetIn(*entry_);
+  ServeAtStore(worker);
+  ServeAtStore(*entry_);
   RunUntil([this] {
-    return Ask(*entry_, "POST", "/v8/1", "Attempt-Id: r1\r\n")->status_ == 200;
+    return SendAndWait(*entry_, "POST", "/v8/1", "Attempt-Id: r1\r\n")
+             ->status_ == 200;
   });
   RunUntil([this] { return Submit(*entry_, 2) == 202; });
   WaitForAll(*entry_, 2);
 }
 
-// The address for peers is open to whatever reaches it.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_NoCallOfAPeer_IsAnsweredOnly")
+// Guards against unknown calls to the peer address having an effect.
+TEST_CASE_METHOD(StorePathFixture,
+                 "StorePath_UnknownCall_IsRejectedWithoutEffect")
 {
   const std::size_t before = store_.Keys("").size();
   for (const std::string target : { "/", "/store", "/elsewhere" }) {
-    CHECK(AskAt(Loopback(entry_->forwardPort_), "POST", target)->status_ !=
-          200);
+    CHECK(
+      SendToAndWait(Loopback(entry_->forwardPort_), "POST", target)->status_ !=
+      200);
   }
   CHECK(store_.Keys("").size() == before);
 }
--- a/Tests/Platform/StoreReportTest.cpp
+++ b/Tests/Platform/StoreReportTest.cpp
@@ -22,25 +22,26 @@
     delta.prefix_ = StorePrefix::Endpoints;
     delta.delta_.previousChange_ = 7;
     delta.delta_.view_ = { 11, 12, 30ms };
-    // Not text: anyone may write under the endpoints' prefix.
+    // Not valid UTF-8: anyone may write under the endpoints' prefix.
     delta.delta_.items_ = { { "s/1", std::string(aValueBytes, '\xff'), 10 },
                             { "s/2", {}, 11, true } };
     return delta;
   }
 
-  /// As it comes out of a datagram.
-  [[nodiscard]] static json Sent(const json& aRow)
+  /// @return the row after encoding to CBOR and decoding.
+  [[nodiscard]] static json RoundTrip(const json& aRow)
   {
     return json::from_cbor(json::to_cbor(aRow));
   }
 };
 
-TEST_CASE_METHOD(StoreReportFixture, "StoreReport_SentAndRead_IsTheSame")
+TEST_CASE_METHOD(StoreReportFixture, "StoreReport_RoundTrip_IsEqual")
 {
   StoreReport report;
   report.state_ = { true, false };
   report.views_.push_back({ StorePrefix::BatchJobs, { 5, 9, 120ms } });
-  const StoreReport read = DecodeStoreReport(Sent(EncodeStoreReport(report)));
+  const StoreReport read =
+    DecodeStoreReport(RoundTrip(EncodeStoreReport(report)));
   CHECK(read.state_.mayFollow_);
   CHECK_FALSE(read.state_.isPreferred_);
   REQUIRE(read.views_.size() == 1);
@@ -50,12 +51,12 @@
   CHECK(read.views_.front().view_.age_ == 120ms);
 }
 
-TEST_CASE_METHOD(StoreReportFixture, "StoreDelta_SentAndRead_IsTheSame")
+TEST_CASE_METHOD(StoreReportFixture, "StoreDelta_RoundTrip_IsEqual")
 {
   const StoreDelta delta = MakeDelta(3);
   const auto row = EncodeStoreDelta(delta);
   REQUIRE(row);
-  const StoreDelta read = DecodeStoreDelta(Sent(*row));
+  const StoreDelta read = DecodeStoreDelta(RoundTrip(*row));
   CHECK(read.prefix_ == StorePrefix::Endpoints);
   CHECK(read.delta_.previousChange_ == 7);
   REQUIRE(read.delta_.items_.size() == 2);
@@ -64,15 +65,14 @@
   CHECK(read.delta_.items_[1].removed_);
 }
 
-// A large configuration fills every host's link, once for each peer.
+// Guards against sending a large configuration to each peer.
 TEST_CASE_METHOD(StoreReportFixture, "StoreDelta_TooLarge_IsNotSent")
 {
   CHECK_FALSE(EncodeStoreDelta(MakeDelta(100000)));
 }
 
-// A host never asks the store again: a stranger's report said that its copy is
-// fresh for a long time to come.
-TEST_CASE_METHOD(StoreReportFixture, "StoreReport_AgeIsNoAge_IsRefused")
+// Guards against a forged report making a mirror look fresh for a long time.
+TEST_CASE_METHOD(StoreReportFixture, "StoreReport_FieldOutOfRange_IsRejected")
 {
   StoreReport report;
   report.views_.push_back({ StorePrefix::BatchJobs, { 5, 9, 120ms } });
@@ -86,26 +86,26 @@
   CHECK_THROWS_AS(DecodeStoreReport(row), json::exception);
 }
 
-// A host ends: a datagram of a stranger, or one that was damaged, got past the
-// reader.
-TEST_CASE_METHOD(StoreReportFixture, "StoreDelta_BytesAreDamaged_NeverGetsPast")
+// Guards against a crash on a forged or corrupt datagram.
+TEST_CASE_METHOD(StoreReportFixture,
+                 "StoreDelta_CorruptBytes_ThrowsJsonExceptionsOnly")
 {
   constexpr int kInputs = 5000;
-  constexpr int kMostChanges = 4;
+  constexpr int kMaxChanges = 4;
   std::mt19937 random(7);
-  const std::vector<std::uint8_t> whole =
+  const std::vector<std::uint8_t> valid =
     json::to_cbor(*EncodeStoreDelta(MakeDelta(20)));
   int read = 0;
   for (int input = 0; input < kInputs; ++input) {
-    std::vector<std::uint8_t> bytes = whole;
-    for (int change = 0; change < kMostChanges; ++change) {
+    std::vector<std::uint8_t> bytes = valid;
+    for (int change = 0; change < kMaxChanges; ++change) {
       bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
     }
     try {
       (void)DecodeStoreDelta(json::from_cbor(bytes));
       ++read;
     } catch (const json::exception&) {
-      // Refused, as it should be.
+      // Rejected as expected.
     }
   }
   CHECK(read < kInputs);
--- a/Tests/Platform/TestRoute.h
+++ b/Tests/Platform/TestRoute.h
@@ -6,8 +6,8 @@
 
 namespace pumiceturn::adapter {
 
-/// @return a route as operators write it, for requests below the path that its
-///         name gives; a test changes what it needs otherwise.
+/// @return a route in the operators' format, for requests below "/NAME/". Tests
+///         overwrite the fields that they need to differ.
 inline nlohmann::json
 MakeTestRoute(const std::string& aName, const std::string& aKind)
 {
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -34,8 +34,9 @@
     };
     store_.Put("op/config", configuration.dump());
     for (const auto& host : hosts_) {
-      RunUntil(
-        [&] { return Ask(*host, "GET", "/" + Mark() + "/1")->status_ != 404; });
+      RunUntil([&] {
+        return SendAndWait(*host, "GET", "/" + Mark() + "/1")->status_ != 404;
+      });
     }
   }
 
@@ -48,7 +49,7 @@
                                      const std::string& aJob,
                                      int aItems)
   {
-    return Ask(
+    return SendAndWait(
       aHost, "POST", "/lots/1", Fields(aJob), JobBody(aItems, aJob + "-"));
   }
 
@@ -157,7 +158,7 @@
   StartWorker("worker");
   SetCap(100);
   CHECK(SubmitAs(*entry_, "a", 11) == 202);
-  CHECK(Ask(*entry_, "DELETE", "/api/lots/a")->status_ == 200);
+  CHECK(SendAndWait(*entry_, "DELETE", "/api/lots/a")->status_ == 200);
   RunUntil([this] { return SubmitAs(*entry_, "b", 11) == 202; });
 }
 
@@ -170,8 +171,8 @@
   CHECK(SubmitAs(*entry_, "b", 1) == 429);
   LetServersAnswer();
   RunUntil([this] {
-    return Ask(*entry_, "GET", "/api/lots/a?after=10")->body_.find("a-item") !=
-           std::string::npos;
+    return SendAndWait(*entry_, "GET", "/api/lots/a?after=10")
+             ->body_.find("a-item") != std::string::npos;
   });
   RunUntil([this] { return SubmitAs(*entry_, "b", 1) == 202; });
 }
