--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -105,7 +105,7 @@
 void
 BatchJobHandler::RespondRetryLater(httpstream::Exchange& aExchange) const
 {
-  aExchange.Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+  aExchange.Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
 }
 
 void
@@ -193,7 +193,7 @@
                          const std::string& aAddress,
                          const BatchJobCall& aCall)
 {
-  httpstream::HttpClient* client = clients_.Find(aAddress);
+  httpstream ::HttpClient* client = clients_.FindOrCreate(aAddress);
   if (client == nullptr) {
     ReadFromStore(aExchange, aJob, aCall);
     return;
@@ -206,7 +206,7 @@
   shared_.codec_.CopyForPeer(original, request);
   const auto* read = std::get_if<ReadResults>(&aCall);
   const base::Duration wait =
-    read != nullptr ? read->longestWait_ : base::Duration::zero();
+    read != nullptr ? read->maxWait_ : base ::Duration ::zero();
   client->Call(request,
                wait + kForwardMargin,
                [this, aExchange, aJob, aCall](httpstream::CallResult aResult) {
@@ -263,7 +263,7 @@
                                 const ReadResults& aCall,
                                 bool aMayWait)
 {
-  const base::Instant deadline = aExchange->ReceivedAt() + aCall.longestWait_;
+  const base ::Instant deadline = aExchange->ReceivedAt() + aCall.maxWait_;
   const bool hasResult = aCall.position_ < aJob.results_.size();
   if (hasResult || !aMayWait || !aJob.IsOpen() ||
       base::MonotonicNow() >= deadline) {
@@ -348,7 +348,7 @@
         End(aExchange, *job, aRetriesLeft - 1);
         return;
       }
-      aExchange->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+      aExchange->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
     });
 }
 
@@ -385,7 +385,7 @@
       if (isOver && job != nullptr) {
         SendResults(*aReader.exchange_, *job, aReader.position_);
       } else if (isOver) {
-        aReader.exchange_->Respond(shared_.codec_.MakeNotRun(kRetryAfter));
+        aReader.exchange_->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
       }
       return isOver;
     });
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -499,14 +499,14 @@
 BatchWorker::OnAttemptEnd(ItemAttempt& aAttempt,
                           batch::ItemAttemptOutcome aOutcome)
 {
-  const std::string job = aAttempt.JobId();
-  const std::size_t item = aAttempt.Item();
-  base::Log(kItemRunEnded,
-            { { "lot", job },
-              { "item", item },
-              { "endpoint", aAttempt.EndpointId() },
-              { "end", NameOf(aOutcome) },
-              { "last_event", aAttempt.Progress().lastEvent_ } });
+  const std ::string job = aAttempt.JobId();
+  const std ::size_t item = aAttempt.Item();
+  base ::Log(kItemAttemptEnded,
+             { { "lot", job },
+               { "item", item },
+               { "endpoint", aAttempt.EndpointId() },
+               { "end", NameOf(aOutcome) },
+               { "last_event", aAttempt.Progress().lastEvent_ } });
   shared_.metrics_
     .GetCounter("pumiceturn_item_runs_total",
                 "Ended attempts to run items of batch jobs.",
--- a/Libraries/LibGateway/ItemAttempt.cpp
+++ b/Libraries/LibGateway/ItemAttempt.cpp
@@ -72,7 +72,7 @@
 void
 ItemAttempt::OnHead(const httpstream::ResponseHead& aHead)
 {
-  responseInfo_ = shared_.codec_.ReadAnswer(aHead);
+  responseInfo_ = shared_.codec_.ReadResponseInfo(aHead);
   status_ = aHead.result_int();
 }
 
@@ -105,7 +105,7 @@
   if (aOutcome != httpstream::CallOutcome::Complete) {
     return batch::ItemAttemptOutcome::Broken;
   }
-  if (responseInfo_.isCertainlyNotRun_) {
+  if (responseInfo_.isSafeToRetry_) {
     return batch::ItemAttemptOutcome::NotRun;
   }
   if (status_ == httpstream::kStatusUnprocessable) {
--- a/Tests/Platform/BatchJobsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -93,13 +93,14 @@
 {
   store_.SetBehaviour(StoreBehaviour::Refusing);
   const auto call =
-    Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
+    SendAndWait(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
   CHECK(call->status_ == 503);
   CHECK_FALSE(call->retryAfter_.empty());
-  CHECK(Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 503);
+  CHECK(SendAndWait(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 503);
   store_.SetBehaviour(StoreBehaviour::Serving);
   RunUntil([this] {
-    return Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 404;
+    return SendAndWait(*entry_, "GET", "/api/lots/lot1?after=0")->status_ ==
+           404;
   });
   CHECK(RequestCount() == 0);
 }
@@ -108,12 +109,12 @@
 {
   TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   CHECK(Submit(*entry_, 1) == 202);
-  CHECK(Ask(other, "GET", "/api/lots/lot1?after=0")->status_ == 200);
-  const auto body = Ask(other, "GET", "/api/items/lot1?id=item-0");
+  CHECK(SendAndWait(other, "GET", "/api/lots/lot1?after=0")->status_ == 200);
+  const auto body = SendAndWait(other, "GET", "/api/items/lot1?id=item-0");
   CHECK(body->status_ == 200);
   CHECK(body->body_ == "prompt");
-  CHECK(Ask(other, "GET", "/api/items/lot1?id=none")->status_ == 404);
-  CHECK(Ask(other, "GET", "/api/lots/none?after=0")->status_ == 404);
+  CHECK(SendAndWait(other, "GET", "/api/items/lot1?id=none")->status_ == 404);
+  CHECK(SendAndWait(other, "GET", "/api/lots/none?after=0")->status_ == 404);
 }
 
 // Guards against abandoning items early when the wall clocks of hosts differ.
@@ -160,7 +161,8 @@
   // The host is down, but its registration has not expired yet.
   hosts_.back()->gateway_.reset();
   CHECK(Results(*entry_) == page);
-  CHECK(Ask(*entry_, "GET", "/api/items/lot1?id=item-1")->body_ == "prompt");
+  CHECK(SendAndWait(*entry_, "GET", "/api/items/lot1?id=item-1")->body_ ==
+        "prompt");
 }
 
 // Guards against losing the last result when the watch reports the finished job
@@ -207,8 +209,8 @@
   CHECK(Submit(*entry_, 3) == 202);
   json page;
   RunUntil([&] {
-    const auto call =
-      Ask(*entry_, "GET", "/api/lots/lot1?after=0", "Wait-Ms: 1000\r\n");
+    const auto call = SendAndWait(
+      *entry_, "GET", "/api/lots/lot1?after=0", "Wait-Ms: 1000\r\n");
     page = json::parse(call->body_);
     return !page["results"].empty();
   });
@@ -252,8 +254,8 @@
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   CHECK(Submit(*entry_, 2) == 202);
   RunUntil([this] { return RequestCount() == 2; });
-  CHECK(Ask(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
-  CHECK(Ask(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
+  CHECK(SendAndWait(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
+  CHECK(SendAndWait(*entry_, "DELETE", "/api/lots/lot1")->status_ == 200);
   RunUntil([this] {
     return servers_[0]->AbandonedCount() + servers_[1]->AbandonedCount() == 2;
   });
@@ -349,7 +351,7 @@
   store_.Put("pumiceturn/data/lot2/content/000000", JobBody(1));
   store_.Put("pumiceturn/lot/lot2", state);
   const auto read = [this] {
-    return Ask(*entry_, "GET", "/api/lots/lot2?after=0");
+    return SendAndWait(*entry_, "GET", "/api/lots/lot2?after=0");
   };
   // Wait for more ticks than it would take to abandon the job.
   const std::size_t before = store_.CallCount();
@@ -372,7 +374,8 @@
            store_.Keys("pumiceturn/data/").empty();
   });
   RunUntil([this] {
-    return Ask(*entry_, "GET", "/api/lots/lot1?after=0")->status_ == 404;
+    return SendAndWait(*entry_, "GET", "/api/lots/lot1?after=0")->status_ ==
+           404;
   });
 }
 
@@ -380,7 +383,8 @@
                  "BatchJobs_MalformedJobs_Are400AndNothingIsStored")
 {
   const auto submit = [this](const std::string& aBody) {
-    return Ask(*entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", aBody)
+    return SendAndWait(
+             *entry_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", aBody)
       ->status_;
   };
   CHECK(submit("{") == 400);
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -35,7 +35,8 @@
     store_.Put("op/config", configuration.dump());
     for (const auto& host : hosts_) {
       RunUntil([&] {
-        return Ask(*host, "GET", "/" + MarkerRoute() + "/1")->status_ != 404;
+        return SendAndWait(*host, "GET", "/" + MarkerRoute() + "/1")->status_ !=
+               404;
       });
     }
   }
@@ -49,7 +50,7 @@
                                       const std::string& aJob,
                                       int aItems)
   {
-    return Ask(
+    return SendAndWait(
       aHost, "POST", "/lots/1", Fields(aJob), JobBody(aItems, aJob + "-"));
   }
 
@@ -158,7 +159,7 @@
   StartWorker("worker");
   SetCap(100);
   CHECK(SubmitAs(*entry_, "a", 11) == 202);
-  CHECK(Ask(*entry_, "DELETE", "/api/lots/a")->status_ == 200);
+  CHECK(SendAndWait(*entry_, "DELETE", "/api/lots/a")->status_ == 200);
   RunUntil([this] { return SubmitAs(*entry_, "b", 11) == 202; });
 }
 
@@ -171,8 +172,8 @@
   CHECK(SubmitAs(*entry_, "b", 1) == 429);
   LetServersAnswer();
   RunUntil([this] {
-    return Ask(*entry_, "GET", "/api/lots/a?after=10")->body_.find("a-item") !=
-           std::string::npos;
+    return SendAndWait(*entry_, "GET", "/api/lots/a?after=10")
+             ->body_.find("a-item") != std::string::npos;
   });
   RunUntil([this] { return SubmitAs(*entry_, "b", 1) == 202; });
 }
