--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -215,7 +215,7 @@
                wait + kPassOnMargin,
                [this, aExchange, aJob, aCall](httpstream::CallResult aResult) {
                  const bool isAnswer =
-                   aResult.end_ == httpstream::CallOutcome::Complete &&
+                   aResult.outcome_ == httpstream::CallOutcome::Complete &&
                    (aResult.status_ == httpstream::kStatusOk ||
                     aResult.status_ == httpstream::kStatusNotFound);
                  if (isAnswer) {
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -187,7 +187,7 @@
   shared_.metrics_.AddGauge("pumiceturn_endpoint_connections_made_total",
                             "Connections opened to endpoints.",
                             {},
-                            [this] { return shared_.pool_.MadeCount(); });
+                            [this] { return shared_.pool_.OpenedCount(); });
   shared_.metrics_.AddGauge("pumiceturn_caller_connections",
                             "Open connections of callers.",
                             {},
@@ -465,7 +465,7 @@
   mirrors_.Tick(!stopping_ && !retiring_ && !storeTransport_.IsDirectPathLost(),
                 now);
   for (const std::string& id : shared_.endpoints_.Expire(now)) {
-    shared_.pool_.Forget(id);
+    shared_.pool_.RemoveServer(id);
     base::Log(kEndpointChanged, { { "endpoint", id }, { "state", "expired" } });
   }
   const base::WallTime wallNow = base::WallNow();
@@ -479,7 +479,7 @@
     spool_->Tick(now, wallNow);
   }
   shared_.suspects_.Expire(now);
-  shared_.pool_.Sweep(now);
+  shared_.pool_.CloseExpired(now);
 }
 
 void
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -151,7 +151,7 @@
   const std::string id = aItem.key_.substr(layout_.endpointPrefix_.size());
   if (aItem.removed_) {
     shared_.endpoints_.Remove(id, health_.RecoveredAt(now), now);
-    shared_.pool_.Forget(id);
+    shared_.pool_.RemoveServer(id);
     base::Log(kEndpointChanged,
               { { "endpoint", id },
                 { "state", "removed" },
@@ -175,7 +175,7 @@
   const fleet::RegistrationOutcome outcome =
     shared_.endpoints_.Put(*record, now);
   if (outcome == fleet::RegistrationOutcome::Restarted) {
-    shared_.pool_.Forget(id);
+    shared_.pool_.RemoveServer(id);
     base::Log(kEndpointChanged,
               { { "endpoint", id },
                 { "state", "restarted" },
--- a/Libraries/LibGateway/SpoolClient.cpp
+++ b/Libraries/LibGateway/SpoolClient.cpp
@@ -66,12 +66,12 @@
       [tally, copies = copies_](const httpstream::CallResult& aResult) {
         --tally->open_;
         const bool isAnswered =
-          aResult.end_ == httpstream::CallOutcome::Complete;
+          aResult.outcome_ == httpstream::CallOutcome::Complete;
         if (isAnswered && aResult.status_ == httpstream::kStatusOk) {
           ++tally->spooled_;
         }
         const bool isCertainlyNot =
-          aResult.end_ == httpstream::CallOutcome::NotConnected ||
+          aResult.outcome_ == httpstream::CallOutcome::NotConnected ||
           (isAnswered && aResult.status_ == httpstream::kStatusUnavailable);
         tally->mayBeSpooled_ = tally->mayBeSpooled_ || !isCertainlyNot;
         if (tally->spooled_ >= copies) {
--- a/Libraries/LibGateway/StoreTransport.cpp
+++ b/Libraries/LibGateway/StoreTransport.cpp
@@ -204,10 +204,10 @@
   call.erase(kTimeoutField);
   own_.Call(call, timeout, [this, aExchange](Result aResult) {
     RecordDirect(aResult);
-    if (aResult.end_ == httpstream::CallOutcome::NotConnected) {
+    if (aResult.outcome_ == httpstream::CallOutcome::NotConnected) {
       aExchange->Respond(
         httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
-    } else if (aResult.end_ != httpstream::CallOutcome::Complete) {
+    } else if (aResult.outcome_ != httpstream::CallOutcome::Complete) {
       // Whether the store carried it out is unknown, and so the peer learns.
       aExchange->Abort();
     } else {
--- a/Libraries/LibHttpStream/ClientConnection.cpp
+++ b/Libraries/LibHttpStream/ClientConnection.cpp
@@ -20,17 +20,18 @@
 
 constexpr std::size_t kReadBytes = 16384;
 
-/// Header bytes of an answer; servers send well under 1 KB.
 constexpr std::uint32_t kMaxHeadBytes = 16384;
 
-/// Idle time after which a connection isn't reused where the server names no
-/// limit: limits under a second can't be named in its whole seconds.
-constexpr std::chrono::milliseconds kUnstatedIdleLimit{ 300 };
+/// Used if the server sends no keep-alive timeout. A server with a limit below
+/// 1 s can't send one, since the header has whole seconds.
+constexpr std::chrono::milliseconds kDefaultIdleLimit{ 300 };
 
-/// Kept back from the server's limit, for the request's way to it.
-constexpr std::chrono::milliseconds kIdleMargin{ 400 };
+/// Subtracted from the server's keep-alive timeout to allow for the time a
+/// request takes to reach it.
+constexpr std::chrono::milliseconds kKeepAliveMargin{ 400 };
 
-/// @return the seconds of "timeout=N", if it is there.
+/// @return N of "timeout=N" in a Keep-Alive header, in seconds; nullopt if it
+/// is missing or malformed.
 std::optional<unsigned>
 ParseKeepAliveSeconds(std::string_view aValue)
 {
@@ -67,10 +68,10 @@
   socket_.async_connect(
     aEndpoint,
     [self = shared_from_this()](const boost::system::error_code& aError) {
-      if (self->closed_ || !self->ready_) {
+      if (self->isClosed_ || !self->ready_) {
         return;
       }
-      ++self->timerRound_;
+      ++self->timerGeneration_;
       self->timer_.cancel();
       const auto ready = std::exchange(self->ready_, nullptr);
       if (!aError) {
@@ -87,10 +88,10 @@
 {
   call_ = std::move(aCall);
   observer_ = &aObserver;
-  headSeen_ = false;
+  isHeadReceived_ = false;
   isReusable_ = false;
   isPaused_ = false;
-  isForeign_ = false;
+  isStale_ = false;
   parser_.reset();
   ArmTimer(call_.firstByteTimeout_);
   Write();
@@ -100,15 +101,15 @@
 void
 ClientConnection::ArmTimer(base::Duration aTimeout)
 {
-  ++timerRound_;
+  ++timerGeneration_;
   if (aTimeout <= base::Duration::zero()) {
     timer_.cancel();
     return;
   }
   timer_.expires_after(aTimeout);
-  timer_.async_wait([self = shared_from_this(), round = timerRound_](
+  timer_.async_wait([self = shared_from_this(), generation = timerGeneration_](
                       const boost::system::error_code& aError) {
-    if (aError || self->closed_ || round != self->timerRound_) {
+    if (aError || self->isClosed_ || generation != self->timerGeneration_) {
       return;
     }
     if (self->ready_) {
@@ -130,8 +131,8 @@
                     [self = shared_from_this()](
                       const boost::system::error_code& aError, std::size_t) {
                       self->isWriting_ = false;
-                      // A failed write shows at the reading side too, after
-                      // what the server may have answered before it closed.
+                      // The read reports a failed write as well, after any
+                      // response that the server sent before it closed.
                       if (!aError && self->observer_ == nullptr) {
                         self->call_.bytes_.clear();
                       }
@@ -141,7 +142,7 @@
 void
 ClientConnection::Read()
 {
-  if (isReading_ || closed_ || isPaused_) {
+  if (isReading_ || isClosed_ || isPaused_) {
     return;
   }
   isReading_ = true;
@@ -158,7 +159,7 @@
 ClientConnection::OnRead(const boost::system::error_code& aError,
                          std::size_t aBytes)
 {
-  if (closed_ || observer_ == nullptr) {
+  if (isClosed_ || observer_ == nullptr) {
     return;
   }
   if (aError) {
@@ -173,46 +174,46 @@
 ClientConnection::Parse()
 {
   const auto self = shared_from_this();
-  while (observer_ != nullptr && !closed_ && input_.size() > 0) {
+  while (observer_ != nullptr && !isClosed_ && input_.size() > 0) {
     if (!parser_) {
       parser_.emplace();
       parser_->eager(true);
       parser_->header_limit(kMaxHeadBytes);
       parser_->body_limit(boost::none);
       parser_->skip(call_.isHead_);
-      headSeen_ = false;
+      isHeadReceived_ = false;
     }
     boost::system::error_code error;
-    const std::size_t used = parser_->put(input_.data(), error);
-    input_.consume(used);
+    const std::size_t consumed = parser_->put(input_.data(), error);
+    input_.consume(consumed);
     if (error && error != http::error::need_more) {
       Finish(CallOutcome::Malformed);
       return;
     }
-    if (parser_->is_header_done() && !headSeen_ && !AcceptHead()) {
+    if (parser_->is_header_done() && !isHeadReceived_ && !AcceptHead()) {
       return;
     }
-    PassBody();
-    if (observer_ == nullptr || closed_) {
+    DeliverBody();
+    if (observer_ == nullptr || isClosed_) {
       return;
     }
     if (parser_->is_done()) {
-      const bool wasForeign = isForeign_;
-      const bool wasInterim = parser_->get().result_int() < 200;
-      if (!wasForeign && !wasInterim) {
-        NoteKeepAlive();
+      const bool isStale = isStale_;
+      const bool isInformational = parser_->get().result_int() < 200;
+      if (!isStale && !isInformational) {
+        RecordKeepAlive();
         Finish(CallOutcome::Complete);
         return;
       }
       parser_.reset();
       continue;
     }
-    if (used == 0) {
+    if (consumed == 0) {
       break;
     }
   }
-  if (observer_ != nullptr && !closed_) {
-    if (!isForeign_ && headSeen_) {
+  if (observer_ != nullptr && !isClosed_) {
+    if (!isStale_ && isHeadReceived_) {
       ArmTimer(call_.gapTimeout_);
     }
     Read();
@@ -222,29 +223,29 @@
 bool
 ClientConnection::AcceptHead()
 {
-  headSeen_ = true;
+  isHeadReceived_ = true;
   const ResponseHead& head = parser_->get();
   const std::string_view echoed = ValueOf(head, call_.echoField_);
-  // Servers may send a second answer to an earlier call. Passing it on would
-  // give one caller's text to another.
-  isForeign_ =
+  // Servers may send a second response to an earlier call. Passing it on would
+  // give one caller's data to another.
+  isStale_ =
     !call_.echoField_.empty() && !echoed.empty() && echoed != call_.echoValue_;
-  if (isForeign_ || head.result_int() < 200) {
+  if (isStale_ || head.result_int() < 200) {
     return true;
   }
   observer_->OnHead(head);
-  return observer_ != nullptr && !closed_;
+  return observer_ != nullptr && !isClosed_;
 }
 
 void
-ClientConnection::PassBody()
+ClientConnection::DeliverBody()
 {
-  if (!headSeen_ || !parser_) {
+  if (!isHeadReceived_ || !parser_) {
     return;
   }
   std::string bytes = std::move(parser_->get().body());
   parser_->get().body().clear();
-  if (!bytes.empty() && !isForeign_) {
+  if (!bytes.empty() && !isStale_) {
     observer_->OnBody(bytes);
   }
 }
@@ -253,45 +254,45 @@
 ClientConnection::OnEndOfInput(const boost::system::error_code& aError)
 {
   const bool isOrderly = aError == asio::error::eof;
-  if (!isOrderly || !parser_ || !headSeen_ || isForeign_) {
+  if (!isOrderly || !parser_ || !isHeadReceived_ || isStale_) {
     Finish(CallOutcome::Broken);
     return;
   }
   boost::system::error_code error;
   parser_->put_eof(error);
-  const bool isWhole = !error && parser_->is_done();
-  Finish(isWhole ? CallOutcome::Complete : CallOutcome::Broken);
+  const bool isComplete = !error && parser_->is_done();
+  Finish(isComplete ? CallOutcome::Complete : CallOutcome::Broken);
 }
 
 void
-ClientConnection::NoteKeepAlive()
+ClientConnection::RecordKeepAlive()
 {
   const ResponseHead& head = parser_->get();
-  // Bytes left over belong to no call of ours.
+  // Surplus bytes belong to no call, so the connection can't be reused.
   isReusable_ = parser_->keep_alive() && !parser_->need_eof() && !isWriting_ &&
                 input_.size() == 0;
   const auto seconds = ParseKeepAliveSeconds(ValueOf(head, "Keep-Alive"));
-  base::Duration allowed = kUnstatedIdleLimit;
+  base::Duration allowed = kDefaultIdleLimit;
   if (seconds) {
-    allowed = std::chrono::seconds(*seconds) - kIdleMargin;
+    allowed = std::chrono::seconds(*seconds) - kKeepAliveMargin;
   }
   usableUntil_ = base::MonotonicNow() + allowed;
 }
 
 void
-ClientConnection::Finish(CallOutcome aEnd)
+ClientConnection::Finish(CallOutcome aOutcome)
 {
   CallObserver* observer = std::exchange(observer_, nullptr);
   const auto self = shared_from_this();
-  ++timerRound_;
+  ++timerGeneration_;
   timer_.cancel();
   parser_.reset();
   if (!isReusable_) {
-    closed_ = true;
+    isClosed_ = true;
     CloseSocket(socket_);
   }
   if (observer != nullptr) {
-    observer->OnEnd(aEnd);
+    observer->OnEnd(aOutcome);
   }
 }
 
@@ -301,8 +302,8 @@
   observer_ = nullptr;
   ready_ = nullptr;
   isReusable_ = false;
-  closed_ = true;
-  ++timerRound_;
+  isClosed_ = true;
+  ++timerGeneration_;
   timer_.cancel();
   CloseSocket(socket_);
 }
@@ -323,11 +324,11 @@
 bool
 ClientConnection::IsReusable() const
 {
-  return isReusable_ && !closed_;
+  return isReusable_ && !isClosed_;
 }
 
 bool
-ClientConnection::IsQuiet()
+ClientConnection::IsIdleAndOpen()
 {
   char byte = 0;
   boost::system::error_code error;
--- a/Libraries/LibHttpStream/ClientConnection.h
+++ b/Libraries/LibHttpStream/ClientConnection.h
@@ -16,35 +16,36 @@
 
 namespace pumiceturn::httpstream {
 
-/// How a call ended.
+/// The result of a call.
 enum class CallOutcome : std::uint8_t
 {
-  Complete,     ///< The whole answer was read.
-  NotConnected, ///< No connection was made: nothing was sent.
-  Broken,       ///< The connection ended before the answer did.
-  TimedOut,     ///< No byte came for the time allowed.
-  Malformed     ///< The bytes are no answer.
+  Complete,     ///< The whole response was read.
+  NotConnected, ///< The connection failed; nothing was sent.
+  Broken,       ///< The connection ended before the response.
+  TimedOut,     ///< No byte arrived within the timeout.
+  Malformed     ///< The bytes are not an HTTP response.
 };
 
-/// What one call sends and how patient it is.
+/// A call's request, and its timeouts.
 struct Call
 {
-  std::string bytes_; ///< The whole request.
+  std::string bytes_; ///< The serialized request.
 
-  /// Field that an answer repeats, and its value. An answer with another value
-  /// belongs to an earlier call on this connection and is skipped. Empty: any
-  /// answer is taken.
+  /// Header field that a response echoes, and its expected value. A response
+  /// with another value belongs to an earlier call on this connection and is
+  /// skipped. If the name is empty, any response is accepted.
   std::string echoField_;
   std::string echoValue_;
 
-  bool isHead_ = false; ///< The answer has no body whatever its length says.
+  bool isHead_ = false; ///< A HEAD request: the response has no body.
 
-  /// Longest wait for the first byte, and between bytes. Zero: no limit.
+  /// Timeouts for the first byte and between bytes; zero means no limit.
   base::Duration firstByteTimeout_{ 0 };
   base::Duration gapTimeout_{ 0 };
 };
 
-/// Receives one call's answer. Callbacks come in the order head, body, end.
+/// Receives the response of a call. OnHead() is called first, then OnBody() any
+/// number of times, and OnEnd() last; a failed call may skip the first two.
 class CallObserver
 {
 public:
@@ -52,40 +53,45 @@
   virtual void OnHead(const ResponseHead& aHead) = 0;
   virtual void OnBody(std::string_view aBytes) = 0;
 
-  /// Nothing follows. May destroy or reuse the observer.
-  virtual void OnEnd(CallOutcome aEnd) = 0;
+  /// Called once, last. May destroy or reuse the observer.
+  virtual void OnEnd(CallOutcome aOutcome) = 0;
 };
 
-/// One connection to a server, with one call at a time. Belongs to the event
-/// thread.
+/// A connection to a server that carries one call at a time. Must be used on
+/// the event thread only.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection>
 {
 public:
   explicit ClientConnection(const boost::asio::any_io_executor& aExecutor);
 
-  /// Connects, then calls aReady with whether that worked.
+  /// Connects, then calls aReady with whether the connection succeeded.
   void Connect(const boost::asio::ip::tcp::endpoint& aEndpoint,
                base::Duration aTimeout,
                std::function<void(bool)> aReady);
 
-  /// Sends a call. The observer must outlive it or call Cancel().
+  /// Sends a request. The observer must outlive the call unless Cancel() is
+  /// called.
   void Start(Call aCall, CallObserver& aObserver);
 
-  /// Closes the connection and calls back no more.
+  /// Closes the connection. No callback follows.
   void Cancel();
 
-  /// Stops or goes on reading, for a receiver that is slower than the server.
+  /// Pauses or resumes reading, for a receiver that is slower than the server.
+  /// The gap timeout doesn't run while reading is paused.
   void SetPaused(bool aIsPaused);
 
-  /// @return whether another call may follow: the last answer was whole, all of
-  /// its request was sent, and neither side wants to close.
+  /// @return whether the connection can carry another call: the last response
+  /// was complete, its request was sent completely, and neither side asked to
+  /// close.
   [[nodiscard]] bool IsReusable() const;
 
-  /// Looks whether bytes or a close came while nothing was asked: both make
-  /// the connection useless.
-  [[nodiscard]] bool IsQuiet();
+  /// Checks an idle connection by peeking at its socket.
+  /// @return false if the server closed it or sent unexpected bytes; it must
+  /// not be reused then.
+  [[nodiscard]] bool IsIdleAndOpen();
 
-  /// @return until when the server keeps the connection open while idle.
+  /// @return until when the idle connection may be reused, derived from the
+  /// server's keep-alive limit.
   [[nodiscard]] base::Instant UsableUntil() const { return usableUntil_; }
 
 private:
@@ -98,10 +104,10 @@
   void OnRead(const boost::system::error_code& aError, std::size_t aBytes);
   void Parse();
   bool AcceptHead();
-  void PassBody();
+  void DeliverBody();
   void OnEndOfInput(const boost::system::error_code& aError);
-  void NoteKeepAlive();
-  void Finish(CallOutcome aEnd);
+  void RecordKeepAlive();
+  void Finish(CallOutcome aOutcome);
 
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
@@ -111,14 +117,14 @@
   CallObserver* observer_ = nullptr;
   std::function<void(bool)> ready_;
   base::Instant usableUntil_;
-  std::uint64_t timerRound_ = 0;
-  bool headSeen_ = false;
-  bool isForeign_ = false; ///< The present answer belongs to an earlier call.
+  std::uint64_t timerGeneration_ = 0;
+  bool isHeadReceived_ = false;
+  bool isStale_ = false; ///< The current response belongs to an earlier call.
   bool isWriting_ = false;
   bool isReading_ = false;
   bool isPaused_ = false;
   bool isReusable_ = false;
-  bool closed_ = false;
+  bool isClosed_ = false;
 };
 
 } // namespace pumiceturn::httpstream
--- a/Libraries/LibHttpStream/ConnectionPool.cpp
+++ b/Libraries/LibHttpStream/ConnectionPool.cpp
@@ -9,13 +9,13 @@
 ConnectionPool::Acquire(const std::string& aKey,
                         const boost::asio::ip::tcp::endpoint& aEndpoint,
                         base::Duration aConnectTimeout,
-                        Ready aReady)
+                        ReadyCallback aReady)
 {
-  if (auto connection = TakeIdle(aKey)) {
+  if (auto connection = PopIdle(aKey)) {
     aReady(connection);
     return connection;
   }
-  ++made_;
+  ++openedCount_;
   auto connection = std::make_shared<ClientConnection>(executor_);
   connection->Connect(aEndpoint,
                       aConnectTimeout,
@@ -27,7 +27,7 @@
 }
 
 std::shared_ptr<ClientConnection>
-ConnectionPool::TakeIdle(const std::string& aKey)
+ConnectionPool::PopIdle(const std::string& aKey)
 {
   const auto found = idle_.find(aKey);
   if (found == idle_.end()) {
@@ -38,7 +38,7 @@
   while (!connections.empty()) {
     auto connection = std::move(connections.back());
     connections.pop_back();
-    if (connection->UsableUntil() > now && connection->IsQuiet()) {
+    if (connection->UsableUntil() > now && connection->IsIdleAndOpen()) {
       return connection;
     }
     connection->Cancel();
@@ -61,19 +61,19 @@
 }
 
 void
-ConnectionPool::Sweep(base::Instant aNow)
+ConnectionPool::CloseExpired(base::Instant aNow)
 {
   for (auto entry = idle_.begin(); entry != idle_.end();) {
     auto& connections = entry->second;
-    const auto expired = [aNow](const auto& aConnection) {
-      const bool isOver = aConnection->UsableUntil() <= aNow;
-      if (isOver) {
+    const auto closeIfExpired = [aNow](const auto& aConnection) {
+      const bool isExpired = aConnection->UsableUntil() <= aNow;
+      if (isExpired) {
         aConnection->Cancel();
       }
-      return isOver;
+      return isExpired;
     };
     connections.erase(
-      std::remove_if(connections.begin(), connections.end(), expired),
+      std::remove_if(connections.begin(), connections.end(), closeIfExpired),
       connections.end());
     entry = connections.empty() ? idle_.erase(entry) : std::next(entry);
   }
--- a/Libraries/LibHttpStream/ConnectionPool.h
+++ b/Libraries/LibHttpStream/ConnectionPool.h
@@ -12,49 +12,51 @@
 
 namespace pumiceturn::httpstream {
 
-/// Keeps idle connections to servers for the next call. The last one used comes
-/// first, so that few are kept warm. Belongs to the event thread.
+/// Keeps idle connections to servers for reuse, the most recently used first.
+/// Must be used on the event thread only.
 class ConnectionPool
 {
 public:
-  using Ready = std::function<void(std::shared_ptr<ClientConnection>)>;
+  using ReadyCallback = std::function<void(std::shared_ptr<ClientConnection>)>;
 
   explicit ConnectionPool(boost::asio::any_io_executor aExecutor)
     : executor_(std::move(aExecutor))
   {
   }
 
-  /// Gives an idle connection at once, or makes one.
-  /// @param aKey     Names the server's process: a successor at the same
-  ///                 address is another.
-  /// @param aReady   Receives nullptr where no connection could be made.
-  /// @return the connection under way, for Cancel().
+  /// Calls aReady with an idle connection before returning, or opens a new one.
+  /// @param aKey     Identifies the server's process; a new process at the same
+  ///                 address has another key.
+  /// @param aReady   Receives nullptr if the connection failed.
+  /// @return the connection, which may still be connecting, for Cancel().
   std::shared_ptr<ClientConnection> Acquire(
     const std::string& aKey,
     const boost::asio::ip::tcp::endpoint& aEndpoint,
     base::Duration aConnectTimeout,
-    Ready aReady);
+    ReadyCallback aReady);
 
-  /// Takes back a connection after a call; drops it if it can't be reused.
+  /// Returns a connection to the pool after a call; closes it if it can't be
+  /// reused. Ignores nullptr.
   void Release(const std::string& aKey,
                std::shared_ptr<ClientConnection> aConnection);
 
-  /// Drops the idle connections of a server that has gone.
-  void Forget(const std::string& aKey) { idle_.erase(aKey); }
+  /// Removes the idle connections of a server from the pool.
+  void RemoveServer(const std::string& aKey) { idle_.erase(aKey); }
 
-  /// Drops idle connections whose time is up.
-  void Sweep(base::Instant aNow);
+  /// Closes idle connections that have passed their idle limit.
+  void CloseExpired(base::Instant aNow);
 
-  [[nodiscard]] std::uint64_t MadeCount() const { return made_; }
+  /// @return the number of connections opened so far.
+  [[nodiscard]] std::uint64_t OpenedCount() const { return openedCount_; }
 
 private:
-  std::shared_ptr<ClientConnection> TakeIdle(const std::string& aKey);
+  std::shared_ptr<ClientConnection> PopIdle(const std::string& aKey);
 
   boost::asio::any_io_executor executor_;
   std::unordered_map<std::string,
                      std::vector<std::shared_ptr<ClientConnection>>>
     idle_;
-  std::uint64_t made_ = 0;
+  std::uint64_t openedCount_ = 0;
 };
 
 } // namespace pumiceturn::httpstream
--- a/Libraries/LibHttpStream/HttpClient.cpp
+++ b/Libraries/LibHttpStream/HttpClient.cpp
@@ -8,18 +8,17 @@
 
 namespace {
 
-/// Longest wait for a connection; a lost opening packet is sent again after 1
-/// s.
-constexpr std::chrono::milliseconds kLongestConnect{ 500 };
+/// Shorter than the 1 s after which a lost SYN is retransmitted.
+constexpr std::chrono::milliseconds kMaxConnectTimeout{ 500 };
 
-const std::string kOnlyServer = "server";
+const std::string kPoolKey = "server";
 
-/// One call under way; owns itself until its end.
-class WholeCall : public CallObserver
+/// A call in flight. Deletes itself in OnEnd().
+class BufferedCall : public CallObserver
 {
 public:
-  WholeCall(std::shared_ptr<ConnectionPool> aPool,
-            std::function<void(CallResult)> aDone)
+  BufferedCall(std::shared_ptr<ConnectionPool> aPool,
+               std::function<void(CallResult)> aDone)
     : pool_(std::move(aPool))
     , done_(std::move(aDone))
   {
@@ -39,11 +38,11 @@
   {
     result_.body_.append(aBytes);
   }
-  void OnEnd(CallOutcome aEnd) override
+  void OnEnd(CallOutcome aOutcome) override
   {
-    const std::unique_ptr<WholeCall> self(this);
-    result_.end_ = aEnd;
-    pool_->Release(kOnlyServer, std::move(connection_));
+    const std::unique_ptr<BufferedCall> self(this);
+    result_.outcome_ = aOutcome;
+    pool_->Release(kPoolKey, std::move(connection_));
     done_(std::move(result_));
   }
 
@@ -65,20 +64,20 @@
   call.bytes_ = Serialize(aRequest);
   call.firstByteTimeout_ = aTimeout;
   call.gapTimeout_ = aTimeout;
-  pool_->Sweep(base::MonotonicNow());
+  pool_->CloseExpired(base::MonotonicNow());
   pool_->Acquire(
-    kOnlyServer,
+    kPoolKey,
     server_,
-    std::min<base::Duration>(aTimeout, kLongestConnect),
+    std::min<base::Duration>(aTimeout, kMaxConnectTimeout),
     [pool = pool_, call = std::move(call), done = std::move(aDone)](
       std::shared_ptr<ClientConnection> aConnection) mutable {
       if (!aConnection) {
         done(CallResult{});
         return;
       }
-      // Freed by its OnEnd(), which comes exactly once.
-      auto* whole = new WholeCall(pool, std::move(done));
-      whole->Start(std::move(aConnection), std::move(call));
+      // Deleted by its OnEnd(), which is called exactly once.
+      auto* buffered = new BufferedCall(pool, std::move(done));
+      buffered->Start(std::move(aConnection), std::move(call));
     });
 }
 
--- a/Libraries/LibHttpStream/HttpClient.h
+++ b/Libraries/LibHttpStream/HttpClient.h
@@ -9,16 +9,16 @@
 
 namespace pumiceturn::httpstream {
 
-/// How a whole call went.
+/// The outcome of a call and its buffered response.
 struct CallResult
 {
-  CallOutcome end_ = CallOutcome::NotConnected;
+  CallOutcome outcome_ = CallOutcome::NotConnected;
   unsigned status_ = 0;
   std::string body_;
 };
 
-/// Makes calls whose answers are read whole, over kept connections to one
-/// server. Belongs to the event thread.
+/// Sends requests to one server over pooled connections and buffers each
+/// response. Must be used on the event thread only.
 class HttpClient
 {
 public:
@@ -29,14 +29,16 @@
   {
   }
 
-  /// Sends a request and reads its whole answer.
-  /// @param aTimeout For connecting, the first byte, and each further one.
+  /// Sends a request and buffers its response.
+  /// @param aTimeout Limit for connecting (which has a lower cap as well), for
+  ///                 the first byte, and for the gap between reads.
+  /// @param aDone    Called once with the result.
   void Call(const Request& aRequest,
             base::Duration aTimeout,
             std::function<void(CallResult)> aDone);
 
 private:
-  /// Shared with the calls under way, which may outlive this object.
+  /// Shared with calls in flight, which may outlive this object.
   std::shared_ptr<ConnectionPool> pool_;
   boost::asio::ip::tcp::endpoint server_;
 };
--- a/Libraries/LibHttpStream/Listener.cpp
+++ b/Libraries/LibHttpStream/Listener.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-/// How often time limits are applied; well below the shortest, 3 s.
-constexpr std::chrono::milliseconds kSweepInterval{ 500 };
+/// Must be well below the shortest timeout of ServerLimits.
+constexpr std::chrono::milliseconds kTimeoutCheckInterval{ 500 };
 
-/// Wait after accept() failed, which lasts while descriptors are short.
-constexpr std::chrono::milliseconds kAcceptPause{ 50 };
+/// Delay before retrying a failed accept(), e.g. while file descriptors are
+/// exhausted.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{ 50 };
 
 constexpr int kBacklog = 1024;
 
@@ -24,7 +25,7 @@
 
 Listener::Listener(asio::io_context& aContext, Handler aHandler)
   : acceptor_(aContext)
-  , sweepTimer_(aContext)
+  , timeoutTimer_(aContext)
   , handler_(std::move(aHandler))
 {
 }
@@ -45,7 +46,7 @@
     return error;
   }
   Accept();
-  Sweep();
+  ScheduleTimeoutCheck();
   return {};
 }
 
@@ -65,37 +66,37 @@
       Accept();
       return;
     }
-    auto pause = std::make_shared<asio::steady_timer>(acceptor_.get_executor(),
-                                                      kAcceptPause);
-    pause->async_wait(
-      [this, pause](const boost::system::error_code&) { Accept(); });
+    auto retryTimer = std::make_shared<asio::steady_timer>(
+      acceptor_.get_executor(), kAcceptRetryDelay);
+    retryTimer->async_wait(
+      [this, retryTimer](const boost::system::error_code&) { Accept(); });
   });
 }
 
 void
-Listener::Sweep()
+Listener::ScheduleTimeoutCheck()
 {
-  sweepTimer_.expires_after(kSweepInterval);
-  sweepTimer_.async_wait([this](const boost::system::error_code& aError) {
+  timeoutTimer_.expires_after(kTimeoutCheckInterval);
+  timeoutTimer_.async_wait([this](const boost::system::error_code& aError) {
     if (aError) {
       return;
     }
     const base::Instant now = base::MonotonicNow();
-    const std::vector<std::shared_ptr<ServerConnection>> all(
+    const std::vector<std::shared_ptr<ServerConnection>> connections(
       connections_.begin(), connections_.end());
-    for (const auto& connection : all) {
+    for (const auto& connection : connections) {
       connection->CheckTimeouts(now);
     }
-    Sweep();
+    ScheduleTimeoutCheck();
   });
 }
 
 void
 Listener::CloseIdle()
 {
-  const std::vector<std::shared_ptr<ServerConnection>> all(connections_.begin(),
-                                                           connections_.end());
-  for (const auto& connection : all) {
+  const std::vector<std::shared_ptr<ServerConnection>> connections(
+    connections_.begin(), connections_.end());
+  for (const auto& connection : connections) {
     connection->CloseIfIdle();
   }
 }
@@ -105,7 +106,7 @@
 {
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  sweepTimer_.cancel();
+  timeoutTimer_.cancel();
 }
 
 std::size_t
--- a/Libraries/LibHttpStream/Listener.h
+++ b/Libraries/LibHttpStream/Listener.h
@@ -12,8 +12,8 @@
 
 namespace pumiceturn::httpstream {
 
-/// Accepts callers' connections and hands on their requests. Belongs to the
-/// event thread.
+/// Accepts callers' connections and passes their requests to a handler. Must be
+/// used on the event thread only.
 class Listener : public ServerConnectionOwner
 {
 public:
@@ -22,19 +22,19 @@
   Listener(boost::asio::io_context& aContext, Handler aHandler);
 
   /// Binds and listens.
-  /// @return the error of the system, if the address cannot be used.
+  /// @return the system's error if the address can't be used.
   [[nodiscard]] boost::system::error_code Open(
     const boost::asio::ip::tcp::endpoint& aEndpoint);
 
   void SetLimits(const ServerLimits& aLimits) { limits_ = aLimits; }
 
-  /// From now on answers tell callers to close.
+  /// Adds "Connection: close" to all further responses.
   void SetDraining() { isDraining_ = true; }
 
-  /// Closes the connections on which nothing is under way.
+  /// Closes the connections without a request in progress.
   void CloseIdle();
 
-  /// Stops accepting.
+  /// Stops accepting connections; open ones stay open.
   void Close();
 
   [[nodiscard]] std::size_t ConnectionCount() const
@@ -51,10 +51,10 @@
 
 private:
   void Accept();
-  void Sweep();
+  void ScheduleTimeoutCheck();
 
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer sweepTimer_;
+  boost::asio::steady_timer timeoutTimer_;
   Handler handler_;
   ServerLimits limits_;
   bool isDraining_ = false;
--- a/Libraries/LibHttpStream/Message.h
+++ b/Libraries/LibHttpStream/Message.h
@@ -15,7 +15,7 @@
 using ResponseHead =
   boost::beast::http::response_header<boost::beast::http::fields>;
 
-/// @return the value of a field, empty where there is none.
+/// @return the value of a header field; empty if the field is missing.
 inline std::string_view
 ValueOf(const Fields& aFields, std::string_view aName)
 {
@@ -26,32 +26,35 @@
   return { found->value().data(), found->value().size() };
 }
 
-/// @return path and query of a request.
+/// @return the path and query of a request.
 inline std::string_view
 TargetOf(const Request& aRequest)
 {
   return { aRequest.target().data(), aRequest.target().size() };
 }
 
-/// @return whether a field concerns only one connection and is not forwarded.
+/// @return whether a header field applies to a single connection and must not
+/// be forwarded.
 bool
 IsHopByHop(std::string_view aName);
 
-/// Copies the fields that are forwarded from one side to the other.
+/// Copies all header fields except hop-by-hop ones and those listed in the
+/// Connection field.
 void
 CopyEndToEndFields(const Fields& aFrom, Fields& aTo);
 
-/// @return the request as bytes, ready to be sent.
+/// @return the request in the wire format of HTTP/1.1.
 std::string
 Serialize(const Request& aRequest);
 
-/// @return a whole answer with a body of known length.
+/// @return a complete response. Content-Type is set only if the body isn't
+/// empty.
 Response
 MakeResponse(unsigned aStatus,
              std::string aBody,
              std::string_view aContentType = "application/json");
 
-/// @return one chunk of a chunked body.
+/// @return aBytes framed as one chunk of a chunked body.
 std::string
 MakeChunk(std::string_view aBytes);
 
--- a/Libraries/LibHttpStream/ServerConnection.cpp
+++ b/Libraries/LibHttpStream/ServerConnection.cpp
@@ -21,12 +21,12 @@
 
 constexpr std::size_t kReadBytes = 8192;
 
-/// Requests to close that a new connection outlives, so that a caller who has
-/// just connected gets its first request across. Counted in calls, which come
-/// with pauses, as a host that stood still has read nothing in the meantime.
-constexpr int kSparedCloses = 5;
+/// Calls of CloseIfIdle() that a new connection survives, so that a caller that
+/// has just connected can send its first request. Counted in calls rather than
+/// time, because a process that was suspended has read nothing meanwhile.
+constexpr int kMaxIgnoredCloses = 5;
 
-/// Bytes that a caller may send ahead while its request is being answered.
+/// Bytes of pipelined requests that are buffered during a response.
 constexpr std::size_t kMaxReadAheadBytes = 65536;
 
 unsigned
@@ -76,15 +76,15 @@
 Exchange::Respond(Response aResponse)
 {
   const auto connection = connection_.lock();
-  if (answered_ || !connection || connection->closed_) {
+  if (isFinished_ || !connection || connection->isClosed_) {
     return;
   }
-  answered_ = true;
+  isFinished_ = true;
   if (connection->owner_.IsDraining()) {
-    connection->keepOpen_ = false;
+    connection->keepAlive_ = false;
   }
   aResponse.content_length(aResponse.body().size());
-  if (!connection->keepOpen_) {
+  if (!connection->keepAlive_) {
     aResponse.set(http::field::connection, "close");
   }
   const bool hasBody = request_.method() != http::verb::head;
@@ -96,22 +96,22 @@
 Exchange::BeginStream(const ResponseHead& aHead)
 {
   const auto connection = connection_.lock();
-  if (answered_ || streaming_ || !connection || connection->closed_) {
+  if (isFinished_ || isStreaming_ || !connection || connection->isClosed_) {
     return;
   }
-  streaming_ = true;
+  isStreaming_ = true;
   Response head;
   head.result(aHead.result_int());
   CopyEndToEndFields(aHead, head);
-  // A caller of HTTP/1.0 knows no chunks: its answer ends with the connection.
-  connection->chunked_ = request_.version() >= 11;
-  if (!connection->chunked_ || connection->owner_.IsDraining()) {
-    connection->keepOpen_ = false;
+  // HTTP/1.0 has no chunked encoding: closing the connection ends the response.
+  connection->isChunked_ = request_.version() >= 11;
+  if (!connection->isChunked_ || connection->owner_.IsDraining()) {
+    connection->keepAlive_ = false;
   }
-  if (connection->chunked_) {
+  if (connection->isChunked_) {
     head.set(http::field::transfer_encoding, "chunked");
   }
-  if (!connection->keepOpen_) {
+  if (!connection->keepAlive_) {
     head.set(http::field::connection, "close");
   }
   connection->Write(SerializeResponse(head, false));
@@ -121,23 +121,23 @@
 Exchange::SendChunk(std::string_view aBytes)
 {
   const auto connection = connection_.lock();
-  if (answered_ || !streaming_ || !connection || connection->closed_ ||
+  if (isFinished_ || !isStreaming_ || !connection || connection->isClosed_ ||
       aBytes.empty()) {
     return;
   }
-  connection->Write(connection->chunked_ ? MakeChunk(aBytes)
-                                         : std::string(aBytes));
+  connection->Write(connection->isChunked_ ? MakeChunk(aBytes)
+                                           : std::string(aBytes));
 }
 
 void
 Exchange::EndStream()
 {
   const auto connection = connection_.lock();
-  if (answered_ || !streaming_ || !connection || connection->closed_) {
+  if (isFinished_ || !isStreaming_ || !connection || connection->isClosed_) {
     return;
   }
-  answered_ = true;
-  if (connection->chunked_) {
+  isFinished_ = true;
+  if (connection->isChunked_) {
     connection->Write(std::string(kLastChunk));
   }
   connection->EndExchange();
@@ -146,7 +146,7 @@
 void
 Exchange::Abort()
 {
-  answered_ = true;
+  isFinished_ = true;
   if (const auto connection = connection_.lock()) {
     connection->Close();
   }
@@ -178,8 +178,10 @@
 bool
 ServerConnection::IsIdle() const
 {
-  const bool isExpected = !hasAsked_ && sparedCloses_ < kSparedCloses;
-  return !exchange_ && !requestBegan_ && !isWriting_ && !isExpected;
+  const bool isAwaitingFirstRequest =
+    !hasReceivedBytes_ && ignoredCloses_ < kMaxIgnoredCloses;
+  return !exchange_ && !requestStartedAt_ && !isWriting_ &&
+         !isAwaitingFirstRequest;
 }
 
 void
@@ -189,22 +191,22 @@
     Close();
     return;
   }
-  if (!hasAsked_) {
-    ++sparedCloses_;
+  if (!hasReceivedBytes_) {
+    ++ignoredCloses_;
   }
 }
 
 void
 ServerConnection::CheckTimeouts(base::Instant aNow)
 {
-  if (closed_ || exchange_ || isWriting_) {
+  if (isClosed_ || exchange_ || isWriting_) {
     return;
   }
   const ServerLimits& limits = owner_.Limits();
-  if (requestBegan_ && parser_ && !parser_->is_header_done() &&
-      aNow - *requestBegan_ > limits.headerTimeout_) {
-    keepOpen_ = false;
-    closeWhenSent_ = true;
+  if (requestStartedAt_ && parser_ && !parser_->is_header_done() &&
+      aNow - *requestStartedAt_ > limits.headerTimeout_) {
+    keepAlive_ = false;
+    closeAfterWrite_ = true;
     Write("HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n"
           "Content-Length: 0\r\n\r\n");
     return;
@@ -217,7 +219,7 @@
 void
 ServerConnection::Read()
 {
-  if (isReading_ || closed_) {
+  if (isReading_ || isClosed_) {
     return;
   }
   isReading_ = true;
@@ -234,11 +236,11 @@
 ServerConnection::OnRead(const boost::system::error_code& aError,
                          std::size_t aBytes)
 {
-  if (closed_) {
+  if (isClosed_) {
     return;
   }
   if (aError) {
-    // The caller has closed or reset: what it asked for is of no use now.
+    // The caller has closed or reset the connection and won't read a response.
     Close();
     return;
   }
@@ -256,7 +258,7 @@
 void
 ServerConnection::Parse()
 {
-  if (closed_ || exchange_ || closeWhenSent_) {
+  if (isClosed_ || exchange_ || closeAfterWrite_) {
     return;
   }
   if (!parser_) {
@@ -264,18 +266,18 @@
     parser_->eager(true);
     parser_->header_limit(owner_.Limits().maxHeaderBytes_);
     parser_->body_limit(owner_.Limits().maxBodyBytes_);
-    sentContinue_ = false;
+    isContinueSent_ = false;
   }
   if (input_.size() > 0) {
-    if (!requestBegan_) {
-      requestBegan_ = base::MonotonicNow();
-      hasAsked_ = true;
+    if (!requestStartedAt_) {
+      requestStartedAt_ = base::MonotonicNow();
+      hasReceivedBytes_ = true;
     }
     boost::system::error_code error;
-    const std::size_t used = parser_->put(input_.data(), error);
-    input_.consume(used);
+    const std::size_t consumed = parser_->put(input_.data(), error);
+    input_.consume(consumed);
     if (error && error != http::error::need_more) {
-      RefuseMalformed(error);
+      RejectRequest(error);
       return;
     }
   }
@@ -283,15 +285,15 @@
     Dispatch();
     return;
   }
-  ContinueIfExpected();
+  SendContinueIfExpected();
   Read();
 }
 
 void
-ServerConnection::RefuseMalformed(const boost::system::error_code& aError)
+ServerConnection::RejectRequest(const boost::system::error_code& aError)
 {
-  keepOpen_ = false;
-  closeWhenSent_ = true;
+  keepAlive_ = false;
+  closeAfterWrite_ = true;
   Response response = MakeResponse(StatusFor(aError), {});
   response.set(http::field::connection, "close");
   response.content_length(0);
@@ -299,12 +301,12 @@
 }
 
 void
-ServerConnection::ContinueIfExpected()
+ServerConnection::SendContinueIfExpected()
 {
-  if (sentContinue_ || !parser_->is_header_done()) {
+  if (isContinueSent_ || !parser_->is_header_done()) {
     return;
   }
-  sentContinue_ = true;
+  isContinueSent_ = true;
   if (boost::beast::iequals(parser_->get()[http::field::expect],
                             "100-continue")) {
     Write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -314,11 +316,11 @@
 void
 ServerConnection::Dispatch()
 {
-  keepOpen_ = parser_->keep_alive();
+  keepAlive_ = parser_->keep_alive();
   exchange_ = std::make_shared<Exchange>(
     weak_from_this(), parser_->release(), base::MonotonicNow());
   parser_.reset();
-  requestBegan_.reset();
+  requestStartedAt_.reset();
   Read();
   owner_.OnRequest(exchange_);
 }
@@ -326,7 +328,7 @@
 void
 ServerConnection::Write(std::string aBytes)
 {
-  if (closed_) {
+  if (isClosed_) {
     return;
   }
   if (pending_.empty()) {
@@ -340,10 +342,10 @@
 void
 ServerConnection::Flush()
 {
-  if (isWriting_ || pending_.empty() || closed_) {
+  if (isWriting_ || pending_.empty() || isClosed_) {
     return;
   }
-  // Most pieces fit the kernel's buffer: one call, and no wake-up afterwards.
+  // Most writes fit the socket buffer, so try without an asynchronous wait.
   boost::system::error_code error;
   socket_.non_blocking(true, error);
   const std::size_t sent = socket_.write_some(asio::buffer(pending_), error);
@@ -372,7 +374,7 @@
 void
 ServerConnection::OnWritten(const boost::system::error_code& aError)
 {
-  if (closed_) {
+  if (isClosed_) {
     return;
   }
   if (aError) {
@@ -384,12 +386,12 @@
     Flush();
     return;
   }
-  if (closeWhenSent_) {
+  if (closeAfterWrite_) {
     Close();
     return;
   }
-  if (exchange_ && exchange_->drained_) {
-    exchange_->drained_();
+  if (exchange_ && exchange_->onDrained_) {
+    exchange_->onDrained_();
   }
 }
 
@@ -397,17 +399,17 @@
 ServerConnection::EndExchange()
 {
   exchange_.reset();
-  if (!keepOpen_) {
-    closeWhenSent_ = true;
+  if (!keepAlive_) {
+    closeAfterWrite_ = true;
     if (!isWriting_ && pending_.empty()) {
       Close();
     }
     return;
   }
-  if (closed_) {
+  if (isClosed_) {
     return;
   }
-  // Posted, since a request that was sent ahead would nest its handling here.
+  // Posted, because handling a pipelined request here would recurse.
   asio::post(socket_.get_executor(),
              [self = shared_from_this()] { self->Parse(); });
 }
@@ -415,20 +417,20 @@
 void
 ServerConnection::Close()
 {
-  if (closed_) {
+  if (isClosed_) {
     return;
   }
-  closed_ = true;
+  isClosed_ = true;
   boost::system::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   CloseSocket(socket_);
   const std::shared_ptr<Exchange> exchange = std::move(exchange_);
   const auto self = shared_from_this();
   owner_.OnClosed(*this);
-  if (exchange && !exchange->answered_) {
-    exchange->answered_ = true;
-    if (exchange->callerDisconnected_) {
-      exchange->callerDisconnected_();
+  if (exchange && !exchange->isFinished_) {
+    exchange->isFinished_ = true;
+    if (exchange->onCallerDisconnected_) {
+      exchange->onCallerDisconnected_();
     }
   }
 }
--- a/Libraries/LibHttpStream/ServerConnection.h
+++ b/Libraries/LibHttpStream/ServerConnection.h
@@ -15,8 +15,7 @@
 
 namespace pumiceturn::httpstream {
 
-/// What a caller may send and how long it may take. Operators change it at run
-/// time.
+/// Limits on requests and connections. Operators may change them at run time.
 struct ServerLimits
 {
   std::uint32_t maxHeaderBytes_ = 16384;
@@ -27,8 +26,9 @@
 
 class ServerConnection;
 
-/// One request and the means to answer it, exactly once: whole, or as a stream.
-/// Belongs to the event thread.
+/// A request and its response, which is sent exactly once, either complete or
+/// as a stream. Sending does nothing once the response has ended or the
+/// connection has closed. Must be used on the event thread only.
 class Exchange
 {
 public:
@@ -39,40 +39,42 @@
   [[nodiscard]] const Request& GetRequest() const { return request_; }
   [[nodiscard]] Request& GetRequest() { return request_; }
 
-  /// When the last byte of the request had been read.
+  /// @return when the last byte of the request was read.
   [[nodiscard]] base::Instant ReceivedAt() const { return receivedAt_; }
 
-  /// Answers with a body of known length.
+  /// Sends a complete response with a Content-Length.
   void Respond(Response aResponse);
 
-  /// Begins a streamed answer; its body is sent in chunks.
+  /// Sends the head of a streamed response.
   void BeginStream(const ResponseHead& aHead);
 
-  /// Sends bytes of a streamed answer at once.
+  /// Sends bytes of a streamed response without buffering them.
   void SendChunk(std::string_view aBytes);
 
-  /// Ends a streamed answer as complete.
+  /// Completes a streamed response.
   void EndStream();
 
-  /// Closes the connection, so that an unfinished answer looks broken.
+  /// Closes the connection, so that the caller sees an unfinished response as
+  /// incomplete.
   void Abort();
 
-  [[nodiscard]] bool IsAnswered() const { return answered_; }
-  [[nodiscard]] bool IsStreaming() const { return streaming_; }
+  [[nodiscard]] bool IsFinished() const { return isFinished_; }
+  [[nodiscard]] bool IsStreaming() const { return isStreaming_; }
 
-  /// @return bytes that the caller has not taken yet.
+  /// @return the number of response bytes not yet written to the socket.
   [[nodiscard]] std::size_t UnsentBytes() const;
 
-  /// @param aCallback Called once if the caller closes before the answer ends.
+  /// @param aCallback Called once if the connection closes before the response
+  ///                  has ended.
   void OnCallerDisconnected(std::function<void()> aCallback)
   {
-    callerDisconnected_ = std::move(aCallback);
+    onCallerDisconnected_ = std::move(aCallback);
   }
 
-  /// @param aCallback Called each time that all bytes have been taken.
+  /// @param aCallback Called each time all pending bytes have been written.
   void OnDrained(std::function<void()> aCallback)
   {
-    drained_ = std::move(aCallback);
+    onDrained_ = std::move(aCallback);
   }
 
 private:
@@ -81,29 +83,30 @@
   std::weak_ptr<ServerConnection> connection_;
   Request request_;
   base::Instant receivedAt_;
-  bool answered_ = false;
-  bool streaming_ = false;
-  std::function<void()> callerDisconnected_;
-  std::function<void()> drained_;
+  bool isFinished_ = false;
+  bool isStreaming_ = false;
+  std::function<void()> onCallerDisconnected_;
+  std::function<void()> onDrained_;
 };
 
-/// What a connection asks of its listener.
+/// Interface through which a connection reaches its listener.
 class ServerConnectionOwner
 {
 public:
   virtual ~ServerConnectionOwner() = default;
 
-  /// Handles a whole request.
+  /// Handles a completely received request.
   virtual void OnRequest(std::shared_ptr<Exchange> aExchange) = 0;
   virtual void OnClosed(ServerConnection& aConnection) = 0;
   [[nodiscard]] virtual const ServerLimits& Limits() const = 0;
 
-  /// @return whether answers tell the caller to close, as the host is leaving.
+  /// @return whether responses carry "Connection: close" because the host is
+  /// shutting down.
   [[nodiscard]] virtual bool IsDraining() const = 0;
 };
 
-/// One caller's connection: reads requests one after the other, and goes on
-/// reading during an answer, so that a close is noticed at once.
+/// A caller's connection. Handles one request at a time, and keeps reading
+/// while a response is sent in order to detect a close at once.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
 public:
@@ -112,11 +115,13 @@
 
   void Start();
 
-  /// Applies the time limits; called a few times a second.
+  /// Closes the connection if a time limit has passed, after a 408 if the
+  /// header of a request is incomplete. Called periodically.
   void CheckTimeouts(base::Instant aNow);
 
-  /// Closes if no request is being read or answered. A connection that has not
-  /// brought a request yet is spared a few times.
+  /// Closes the connection if no request is being read or answered. A
+  /// connection that hasn't sent a request yet survives a few calls, since its
+  /// first request may be on its way.
   void CloseIfIdle();
 
   [[nodiscard]] bool IsIdle() const;
@@ -129,8 +134,8 @@
   void Read();
   void OnRead(const boost::system::error_code& aError, std::size_t aBytes);
   void Parse();
-  void RefuseMalformed(const boost::system::error_code& aError);
-  void ContinueIfExpected();
+  void RejectRequest(const boost::system::error_code& aError);
+  void SendContinueIfExpected();
   void Dispatch();
   void Write(std::string aBytes);
   void Flush();
@@ -143,19 +148,19 @@
   boost::beast::flat_buffer input_;
   std::optional<Parser> parser_;
   std::shared_ptr<Exchange> exchange_;
-  std::string pending_; ///< Not handed to the kernel yet.
-  std::string writing_; ///< Being written.
+  std::string pending_; ///< Not passed to the kernel yet.
+  std::string writing_; ///< Owned by the asynchronous write in progress.
   bool isReading_ = false;
   bool isWriting_ = false;
-  bool keepOpen_ = true;
-  bool chunked_ = true; ///< The streamed answer's framing.
-  bool closeWhenSent_ = false;
-  bool closed_ = false;
-  bool sentContinue_ = false;
-  bool hasAsked_ = false; ///< Part of a request has come at least once.
-  int sparedCloses_ = 0;
+  bool keepAlive_ = true;
+  bool isChunked_ = true; ///< Whether the streamed response is chunked.
+  bool closeAfterWrite_ = false;
+  bool isClosed_ = false;
+  bool isContinueSent_ = false;
+  bool hasReceivedBytes_ = false; ///< Bytes of a request have been received.
+  int ignoredCloses_ = 0;
   base::Instant lastActivity_;
-  std::optional<base::Instant> requestBegan_;
+  std::optional<base::Instant> requestStartedAt_;
 };
 
 } // namespace pumiceturn::httpstream
--- a/Libraries/LibHttpStream/Socket.cpp
+++ b/Libraries/LibHttpStream/Socket.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Unacknowledged bytes for this long mean that the path is gone. Longer than
-/// one retransmission (about 1 s), shorter than the users' 3 s contact bound.
+/// Longer than one TCP retransmission (about 1 s), shorter than the 3 s after
+/// which the platform regards a host as out of contact.
 constexpr unsigned kUserTimeoutMs = 2500;
 
-/// Keep-alive probes notice a connection that went silent while it was idle.
+/// Keep-alive probes detect an idle connection whose peer is unreachable.
 constexpr int kKeepAliveIdleSeconds = 2;
 constexpr int kKeepAliveIntervalSeconds = 1;
 constexpr int kKeepAliveProbes = 2;
@@ -22,7 +22,8 @@
 TuneSocket(boost::asio::ip::tcp::socket& aSocket)
 {
   boost::system::error_code ignored;
-  // A socket that refuses an option still works; it only notices losses later.
+  // Errors are ignored: without an option the socket still works and only
+  // detects a lost peer later.
   aSocket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   const int handle = aSocket.native_handle();
   const auto set = [handle](int aLevel, int aName, int aValue) {
--- a/Libraries/LibHttpStream/Socket.h
+++ b/Libraries/LibHttpStream/Socket.h
@@ -4,13 +4,13 @@
 
 namespace pumiceturn::httpstream {
 
-/// Sends small writes at once, and lets the kernel give up on a peer that does
-/// not acknowledge: behind a partition a connection hangs for minutes without.
+/// Disables Nagle's algorithm, and sets the kernel's user timeout and
+/// keep-alive probes. Without these a connection to a partitioned peer hangs
+/// for minutes.
 void
 TuneSocket(boost::asio::ip::tcp::socket& aSocket);
 
-/// Closes without an error for the caller to handle; a socket that is already
-/// gone has nothing left to close.
+/// Closes the socket and ignores errors. Does nothing if it is already closed.
 void
 CloseSocket(boost::asio::ip::tcp::socket& aSocket);
 
--- a/Libraries/LibHttpStream/Status.h
+++ b/Libraries/LibHttpStream/Status.h
@@ -2,8 +2,8 @@
 
 namespace pumiceturn::httpstream {
 
-/// Status codes of HTTP that the system sends or acts on. Where the code means
-/// more to the platform than its name says, the comment tells.
+/// HTTP status codes that the system sends or acts on. Comments give the
+/// platform's meaning where it goes beyond HTTP's.
 inline constexpr unsigned kStatusOk = 200;
 inline constexpr unsigned kStatusAccepted = 202;
 inline constexpr unsigned kStatusBadRequest = 400;
@@ -13,17 +13,17 @@
 inline constexpr unsigned kStatusGone = 410;
 inline constexpr unsigned kStatusPreconditionFailed = 412;
 
-/// Another process has the address now: certainly not run.
+/// Another process now has the address; the request was not run.
 inline constexpr unsigned kStatusMisdirected = 421;
-/// To an item of a job: it can never be done.
+/// A job's item can never succeed.
 inline constexpr unsigned kStatusUnprocessable = 422;
-/// Certainly not done: too many calls.
+/// The request was not run: too many calls.
 inline constexpr unsigned kStatusTooManyRequests = 429;
-/// To callers: nothing is known of the request's fate.
+/// To callers: the request may or may not have run.
 inline constexpr unsigned kStatusBadGateway = 502;
-/// To callers: certainly not run.
+/// To callers: the request was not run.
 inline constexpr unsigned kStatusUnavailable = 503;
-/// To callers: nothing is known of the request's fate.
+/// To callers: the request may or may not have run.
 inline constexpr unsigned kStatusGatewayTimeout = 504;
 
 } // namespace pumiceturn::httpstream
--- a/Tests/LibHttpStream/ClientConnectionTest.cpp
+++ b/Tests/LibHttpStream/ClientConnectionTest.cpp
@@ -20,10 +20,10 @@
   {
   }
 
-  /// Takes one request and sends bytes; then closes, if asked.
+  /// Reads one request and sends bytes, then closes the connection if aCloses.
   void Serve(const std::string& aBytes, bool aCloses)
   {
-    const auto answer = [this, aBytes, aCloses] {
+    const auto respond = [this, aBytes, aCloses] {
       asio::async_read_until(
         server_,
         input_,
@@ -38,11 +38,11 @@
         });
     };
     if (server_.is_open()) {
-      answer();
+      respond();
       return;
     }
     acceptor_.async_accept(
-      server_, [answer](const boost::system::error_code&) { answer(); });
+      server_, [respond](const boost::system::error_code&) { respond(); });
   }
 
   std::shared_ptr<ClientConnection> Connect()
@@ -60,8 +60,9 @@
     return result;
   }
 
-  RecordingObserver Ask(const std::shared_ptr<ClientConnection>& aConnection,
-                        const std::string& aId)
+  RecordingObserver SendRequest(
+    const std::shared_ptr<ClientConnection>& aConnection,
+    const std::string& aId)
   {
     RecordingObserver observer;
     Call call;
@@ -69,7 +70,7 @@
     call.echoField_ = "X-Id";
     call.echoValue_ = aId;
     aConnection->Start(std::move(call), observer);
-    RunUntil([&observer] { return observer.end_.has_value(); });
+    RunUntil([&observer] { return observer.outcome_.has_value(); });
     return observer;
   }
 
@@ -80,21 +81,20 @@
 };
 
 TEST_CASE_METHOD(ClientConnectionFixture,
-                 "ClientConnection_WholeAnswer_IsReusable")
+                 "ClientConnection_CompleteResponse_IsReusable")
 {
   Serve("HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=5\r\n"
         "Content-Length: 2\r\n\r\nhi",
         false);
   const auto connection = Connect();
   REQUIRE(connection);
-  const RecordingObserver answer = Ask(connection, "1");
-  CHECK(answer.end_ == CallOutcome::Complete);
-  CHECK(answer.body_ == "hi");
+  const RecordingObserver response = SendRequest(connection, "1");
+  CHECK(response.outcome_ == CallOutcome::Complete);
+  CHECK(response.body_ == "hi");
   CHECK(connection->IsReusable());
 }
 
-// The process ends with an empty callback. An endpoint is down, and the
-// connection to it is refused.
+// Guards against a crash by an empty callback when a connection is refused.
 TEST_CASE_METHOD(ClientConnectionFixture, "ClientConnection_Refused_IsReported")
 {
   acceptor_.close();
@@ -115,61 +115,60 @@
 }
 
 TEST_CASE_METHOD(ClientConnectionFixture,
-                 "ClientConnection_ChunkedAnswerCutOff_IsBroken")
+                 "ClientConnection_ChunkedResponseCutOff_IsBroken")
 {
   Serve("HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
         "2\r\nhi\r\n",
         true);
-  const RecordingObserver answer = Ask(Connect(), "1");
-  CHECK(answer.body_ == "hi");
-  CHECK(answer.end_ == CallOutcome::Broken);
+  const RecordingObserver response = SendRequest(Connect(), "1");
+  CHECK(response.body_ == "hi");
+  CHECK(response.outcome_ == CallOutcome::Broken);
 }
 
 TEST_CASE_METHOD(ClientConnectionFixture,
-                 "ClientConnection_AnswerWithoutLength_EndsWithTheConnection")
+                 "ClientConnection_ResponseWithoutLength_EndsWithConnection")
 {
   Serve("HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nhi", true);
   const auto connection = Connect();
-  const RecordingObserver answer = Ask(connection, "1");
-  CHECK(answer.body_ == "hi");
-  CHECK(answer.end_ == CallOutcome::Complete);
+  const RecordingObserver response = SendRequest(connection, "1");
+  CHECK(response.body_ == "hi");
+  CHECK(response.outcome_ == CallOutcome::Complete);
   CHECK_FALSE(connection->IsReusable());
 }
 
 TEST_CASE_METHOD(ClientConnectionFixture,
-                 "ClientConnection_BytesThatAreNoAnswer_AreReported")
+                 "ClientConnection_MalformedResponse_IsReported")
 {
   Serve("nonsense\r\n\r\n", false);
-  CHECK(Ask(Connect(), "1").end_ == CallOutcome::Malformed);
+  CHECK(SendRequest(Connect(), "1").outcome_ == CallOutcome::Malformed);
 }
 
-// One archive gets another archive's surname. A server sends a second answer to
-// an earlier request late, and it arrives where the next answer is expected.
+// Guards against passing a late duplicate response to the next caller.
 TEST_CASE_METHOD(ClientConnectionFixture,
-                 "ClientConnection_AnswerToEarlierCall_IsSkipped")
+                 "ClientConnection_ResponseToEarlierCall_IsSkipped")
 {
   Serve("HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 3\r\n\r\nold"
         "HTTP/1.1 200 OK\r\nX-Id: 2\r\nContent-Length: 3\r\n\r\nnew",
         false);
-  const RecordingObserver answer = Ask(Connect(), "2");
-  CHECK(answer.end_ == CallOutcome::Complete);
-  CHECK(answer.echoed_ == "2");
-  CHECK(answer.body_ == "new");
+  const RecordingObserver response = SendRequest(Connect(), "2");
+  CHECK(response.outcome_ == CallOutcome::Complete);
+  CHECK(response.echoed_ == "2");
+  CHECK(response.body_ == "new");
 }
 
 TEST_CASE_METHOD(ClientConnectionFixture,
-                 "ClientConnection_BytesAfterTheAnswer_PreventReuse")
+                 "ClientConnection_SurplusBytes_PreventReuse")
 {
   Serve("HTTP/1.1 200 OK\r\nX-Id: 1\r\nKeep-Alive: timeout=5\r\n"
         "Content-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n",
         false);
   const auto connection = Connect();
-  CHECK(Ask(connection, "1").body_ == "hi");
+  CHECK(SendRequest(connection, "1").body_ == "hi");
   CHECK_FALSE(connection->IsReusable());
 }
 
 TEST_CASE_METHOD(ClientConnectionFixture,
-                 "ClientConnection_ServerSaysNothing_IsSilent")
+                 "ClientConnection_NoResponse_TimesOut")
 {
   Serve("", false);
   const auto connection = Connect();
@@ -178,8 +177,8 @@
   call.bytes_ = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
   call.firstByteTimeout_ = std::chrono::milliseconds(50);
   connection->Start(std::move(call), observer);
-  RunUntil([&observer] { return observer.end_.has_value(); });
-  CHECK(observer.end_ == CallOutcome::TimedOut);
+  RunUntil([&observer] { return observer.outcome_.has_value(); });
+  CHECK(observer.outcome_ == CallOutcome::TimedOut);
 }
 
 } // namespace pumiceturn::httpstream
--- a/Tests/LibHttpStream/HttpFixture.h
+++ b/Tests/LibHttpStream/HttpFixture.h
@@ -12,7 +12,7 @@
 
 namespace pumiceturn::httpstream {
 
-/// Collects one answer.
+/// Records the response of one call.
 class RecordingObserver : public CallObserver
 {
 public:
@@ -22,22 +22,22 @@
     echoed_ = ValueOf(aHead, "X-Id");
   }
   void OnBody(std::string_view aBytes) override { body_.append(aBytes); }
-  void OnEnd(CallOutcome aEnd) override { end_ = aEnd; }
+  void OnEnd(CallOutcome aOutcome) override { outcome_ = aOutcome; }
 
   unsigned status_ = 0;
   std::string echoed_;
   std::string body_;
-  std::optional<CallOutcome> end_;
+  std::optional<CallOutcome> outcome_;
 };
 
-/// Runs an event loop on loopback until something has happened.
+/// Runs an event loop until a condition holds.
 class HttpFixture
 {
 protected:
   template<typename Predicate>
   void RunUntil(Predicate&& aPredicate)
   {
-    // A bound for a hanging test; no verdict depends on how fast it runs.
+    // Only stops a test that hangs; no check depends on the test's speed.
     constexpr std::chrono::seconds kBound{ 30 };
     const auto end = std::chrono::steady_clock::now() + kBound;
     while (!aPredicate() && std::chrono::steady_clock::now() < end) {
--- a/Tests/LibHttpStream/ListenerTest.cpp
+++ b/Tests/LibHttpStream/ListenerTest.cpp
@@ -29,7 +29,7 @@
     asio::write(caller_, asio::buffer(aBytes));
   }
 
-  /// Reads until the text holds what is expected, or the connection ends.
+  /// Reads until the received bytes contain aExpected or the connection closes.
   void ReadUntil(const std::string& aExpected)
   {
     bool isClosed = false;
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE_METHOD(ListenerFixture,
-                 "Listener_RequestsSentAhead_AreAnsweredInTurn")
+                 "Listener_PipelinedRequests_AreAnsweredInOrder")
 {
   Send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
@@ -121,8 +121,7 @@
   CHECK(exchanges_.empty());
 }
 
-// A translator takes half a line for the whole one: the stream broke off, and
-// its end looked like a complete answer.
+// Guards against an aborted stream that looks complete to the caller.
 TEST_CASE_METHOD(ListenerFixture, "Listener_StreamAborted_DoesNotLookComplete")
 {
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -137,7 +136,7 @@
   CHECK(received_.find(kLastChunk) == std::string::npos);
 }
 
-TEST_CASE_METHOD(ListenerFixture, "Listener_StreamEnded_IsWhole")
+TEST_CASE_METHOD(ListenerFixture, "Listener_StreamEnded_IsComplete")
 {
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
@@ -149,17 +148,18 @@
   ReadUntil(std::string(kLastChunk));
 }
 
-TEST_CASE_METHOD(ListenerFixture, "Listener_CallerCloses_IsNoticedAtOnce")
+TEST_CASE_METHOD(ListenerFixture, "Listener_CallerCloses_IsDetectedAtOnce")
 {
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
-  bool isGone = false;
-  exchanges_[0]->OnCallerDisconnected([&isGone] { isGone = true; });
+  bool isDisconnected = false;
+  exchanges_[0]->OnCallerDisconnected(
+    [&isDisconnected] { isDisconnected = true; });
   caller_.close();
-  RunUntil([&isGone] { return isGone; });
+  RunUntil([&isDisconnected] { return isDisconnected; });
 }
 
-TEST_CASE_METHOD(ListenerFixture, "Listener_Leaving_TellsCallersToClose")
+TEST_CASE_METHOD(ListenerFixture, "Listener_Draining_SendsConnectionClose")
 {
   listener_.SetDraining();
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -169,7 +169,7 @@
   CHECK(received_.find("Connection: close") != std::string::npos);
 }
 
-TEST_CASE_METHOD(ListenerFixture, "Listener_CloseIdle_SparesBusyConnections")
+TEST_CASE_METHOD(ListenerFixture, "Listener_CloseIdle_KeepsBusyConnections")
 {
   Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([this] { return exchanges_.size() == 1; });
@@ -181,9 +181,7 @@
   RunUntil([this] { return listener_.ConnectionCount() == 0; });
 }
 
-// A caller's first request on a new connection gets no answer. The balancer
-// connects just as a leaving host closes its idle connections, which takes the
-// new one for idle before its request has arrived.
+// Guards against closing a new connection before its first request arrives.
 TEST_CASE_METHOD(ListenerFixture, "Listener_CloseIdle_LetsANewConnectionAsk")
 {
   RunUntil([this] { return listener_.ConnectionCount() == 1; });
@@ -198,7 +196,8 @@
   RunUntil([this] { return listener_.ConnectionCount() == 0; });
 }
 
-TEST_CASE_METHOD(ListenerFixture, "Listener_SilentConnection_IsClosedInTheEnd")
+TEST_CASE_METHOD(ListenerFixture,
+                 "Listener_ConnectionWithoutRequest_IsClosedEventually")
 {
   RunUntil([this] { return listener_.ConnectionCount() == 1; });
   RunUntil([this] {
--- a/Tests/Platform/BatchJobsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -78,7 +78,7 @@
 TEST_CASE_METHOD(BatchJobsFixture,
                  "BatchJobs_AnswerOfTheStoreLost_JobIsKeptOnce")
 {
-  store_.SetBehaviour(StoreBehaviour::LosingWrites);
+  store_.SetBehaviour(StoreBehaviour::DroppingWriteResponses);
   const auto call = Send(
     entry_->callerPort_, "POST", "/lots/1", "Attempt-Id: lot1\r\n", JobBody(2));
   RunUntil([this] { return !store_.Get("pumiceturn/lot/lot1").empty(); });
@@ -174,7 +174,7 @@
                  "BatchJobs_WatchOvertakesTheAnswer_LastResultIsShown")
 {
   StartWorker("worker");
-  store_.SetBehaviour(StoreBehaviour::AnsweringLate);
+  store_.SetBehaviour(StoreBehaviour::DelayingWriteResponses);
   CHECK(Submit(*entry_, 1) == 202);
   const json page = WaitForAll(*entry_, 1);
   CHECK(page["results"][0]["output"] == WholeOutput());
@@ -194,7 +194,7 @@
   RunUntil([this] { return RequestCount() == 1; });
   servers_[0]->ClearScripts();
   servers_[1]->ClearScripts();
-  store_.SetBehaviour(StoreBehaviour::LosingWrites);
+  store_.SetBehaviour(StoreBehaviour::DroppingWriteResponses);
   RunUntil([this] {
     return store_.Get("pumiceturn/lot/lot1").find("\"finished\":true") !=
            std::string::npos;
--- a/Tests/Platform/StandinText.h
+++ b/Tests/Platform/StandinText.h
@@ -13,7 +13,7 @@
 WholeStream()
 {
   std::string text;
-  for (std::uint64_t id = 1; id <= ServerStandin::kEvents; ++id) {
+  for (std::uint64_t id = 1; id <= ServerStandin::kEventCount; ++id) {
     text +=
       fmt::format("id: {}\ndata: {}\n\n", id, ServerStandin::EventData(id));
   }
@@ -25,7 +25,7 @@
 WholeOutput()
 {
   std::string text;
-  for (std::uint64_t id = 1; id <= ServerStandin::kEvents; ++id) {
+  for (std::uint64_t id = 1; id <= ServerStandin::kEventCount; ++id) {
     text += (id > 1 ? "\n" : "") + ServerStandin::EventData(id);
   }
   return text;
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -191,7 +191,7 @@
 // neither refused nor counted twice.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_AnswerLost_JobCountsOnce")
 {
-  store_.SetBehaviour(StoreBehaviour::LosingWrites);
+  store_.SetBehaviour(StoreBehaviour::DroppingWriteResponses);
   const auto call =
     Send(entry_->callerPort_, "POST", "/lots/1", Fields("a"), JobBody(6, "a-"));
   RunUntil([this] { return !store_.Get("pumiceturn/lot/a").empty(); });
--- a/Tests/PlatformSoak/FaultProxy.cpp
+++ b/Tests/PlatformSoak/FaultProxy.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-/// How often a direction that is held back looks whether it may go on.
-constexpr std::chrono::milliseconds kLook{ 10 };
+/// Interval at which a blocked direction checks whether it may continue.
+constexpr std::chrono::milliseconds kPollInterval{ 10 };
 
-constexpr std::size_t kPieceBytes = 16384;
+constexpr std::size_t kBufferBytes = 16384;
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
 
 asio::awaitable<void>
@@ -51,11 +51,11 @@
 }
 
 void
-FaultProxy::SilenceOpenConnections()
+FaultProxy::BlockOpenConnections()
 {
   for (const auto& entry : connections_) {
     if (const auto connection = entry.lock()) {
-      connection->isSilent_ = true;
+      connection->isBlocked_ = true;
     }
   }
 }
@@ -83,12 +83,12 @@
                   [](const auto& aEntry) { return aEntry.expired(); });
     auto connection = std::make_shared<Connection>(std::move(socket), context_);
     connections_.push_back(connection);
-    Carry(connection);
+    Relay(connection);
   }
 }
 
 void
-FaultProxy::Carry(const ConnectionPtr& aConnection)
+FaultProxy::Relay(const ConnectionPtr& aConnection)
 {
   aConnection->target_.async_connect(
     target_, [this, aConnection](const boost::system::error_code& aError) {
@@ -112,17 +112,17 @@
   const bool isForward = aDirection == Direction::Forward;
   tcp::socket& from = isForward ? aConnection->caller_ : aConnection->target_;
   tcp::socket& to = isForward ? aConnection->target_ : aConnection->caller_;
-  std::array<char, kPieceBytes> piece{};
+  std::array<char, kBufferBytes> data{};
   while (true) {
     auto [error, bytes] =
-      co_await from.async_read_some(asio::buffer(piece), kNoThrow);
+      co_await from.async_read_some(asio::buffer(data), kNoThrow);
     if (aFault->delay_.count() > 0) {
       co_await Wait(from.get_executor(), aFault->delay_);
     }
     while (from.is_open() &&
-           (aConnection->isSilent_ ||
-            (isForward ? aFault->isCutForward_ : aFault->isCutBack_))) {
-      co_await Wait(from.get_executor(), kLook);
+           (aConnection->isBlocked_ ||
+            (isForward ? aFault->isForwardBlocked_ : aFault->isBackBlocked_))) {
+      co_await Wait(from.get_executor(), kPollInterval);
     }
     if (error) {
       Close(to, error != asio::error::eof);
@@ -130,7 +130,7 @@
       co_return;
     }
     auto [failure, written] =
-      co_await asio::async_write(to, asio::buffer(piece, bytes), kNoThrow);
+      co_await asio::async_write(to, asio::buffer(data, bytes), kNoThrow);
     if (failure) {
       Close(from, true);
       co_return;
--- a/Tests/PlatformSoak/FaultProxy.h
+++ b/Tests/PlatformSoak/FaultProxy.h
@@ -11,8 +11,8 @@
 
 namespace pumiceturn::adapter {
 
-/// Stands between two processes and does to their connections what a network
-/// does on a bad day. Belongs to the event thread.
+/// TCP proxy that injects network faults into the connections between two
+/// processes. Must be used on the event thread only.
 class FaultProxy
 {
 public:
@@ -24,18 +24,18 @@
     return acceptor_.local_endpoint();
   }
 
-  /// Holds each piece back for a time.
+  /// Delays each piece of data.
   void SetDelay(std::chrono::milliseconds aDelay) { fault_->delay_ = aDelay; }
 
-  /// Holds all bytes back until it is called again with false.
-  void SetCut(bool aIsCutForward, bool aIsCutBack)
+  /// Blocks all data of a direction until called again with false for it.
+  void SetBlocked(bool aIsForwardBlocked, bool aIsBackBlocked)
   {
-    fault_->isCutForward_ = aIsCutForward;
-    fault_->isCutBack_ = aIsCutBack;
+    fault_->isForwardBlocked_ = aIsForwardBlocked;
+    fault_->isBackBlocked_ = aIsBackBlocked;
   }
 
-  /// Open connections carry nothing any more; new ones work.
-  void SilenceOpenConnections();
+  /// Blocks all data on open connections for good; new ones work.
+  void BlockOpenConnections();
 
   void ResetConnections();
 
@@ -45,8 +45,8 @@
   struct Fault
   {
     std::chrono::milliseconds delay_{ 0 };
-    bool isCutForward_ = false;
-    bool isCutBack_ = false;
+    bool isForwardBlocked_ = false;
+    bool isBackBlocked_ = false;
   };
   struct Connection
   {
@@ -57,7 +57,7 @@
     }
     Socket caller_;
     Socket target_;
-    bool isSilent_ = false;
+    bool isBlocked_ = false;
   };
   enum class Direction : std::uint8_t
   {
@@ -68,7 +68,7 @@
   using FaultPtr = std::shared_ptr<Fault>;
 
   boost::asio::awaitable<void> Accept();
-  void Carry(const ConnectionPtr& aConnection);
+  void Relay(const ConnectionPtr& aConnection);
   static boost::asio::awaitable<void> Pump(ConnectionPtr aConnection,
                                            FaultPtr aFault,
                                            Direction aDirection);
--- a/Tests/PlatformSoak/GatewayProcess.cpp
+++ b/Tests/PlatformSoak/GatewayProcess.cpp
@@ -16,26 +16,26 @@
 
 namespace {
 
-constexpr int kExitNotStarted = 127;
+constexpr int kExitExecFailed = 127;
 
 } // namespace
 
-GatewayProcess::GatewayProcess(Place aPlace,
+GatewayProcess::GatewayProcess(HostConfig aConfig,
                                const std::filesystem::path& aFolder)
-  : place_(std::move(aPlace))
-  , settings_(aFolder / (place_.name_ + ".yaml"))
-  , log_(aFolder / (place_.name_ + ".log"))
+  : config_(std::move(aConfig))
+  , settings_(aFolder / (config_.name_ + ".yaml"))
+  , log_(aFolder / (config_.name_ + ".log"))
 {
   std::ofstream file(settings_);
-  file << "node: " << place_.name_ << "\nzone: a\nip: " << place_.ip_ << "\n";
-  if (place_.isEntry_) {
-    file << "listen: { front: \"" << place_.ip_ << ":" << kCallerPort
-         << "\", ready: \"" << place_.ip_ << ":8081\" }\n";
+  file << "node: " << config_.name_ << "\nzone: a\nip: " << config_.ip_ << "\n";
+  if (config_.isEntry_) {
+    file << "listen: { front: \"" << config_.ip_ << ":" << kCallerPort
+         << "\", ready: \"" << config_.ip_ << ":8081\" }\n";
   } else {
     file << "listen: {}\ndataDir: "
-         << (aFolder / (place_.name_ + "-data")).string() << "\n";
+         << (aFolder / (config_.name_ + "-data")).string() << "\n";
   }
-  file << "portRange: [ 7000, 7019 ]\nplatform: { address: \"" << place_.store_
+  file << "portRange: [ 7000, 7019 ]\nplatform: { address: \"" << config_.store_
        << "\" }\nbounds: { drainMs: 2000, settleMs: 1000, statusS: 120, "
           "graceS: 4 }\n";
 }
@@ -60,12 +60,12 @@
     log_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, S_IRUSR | S_IWUSR);
   id_ = ::fork();
   if (id_ == 0) {
-    // Where the soak itself is killed, nothing that it started stays.
+    // Ends the process if the test program itself is killed.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     ::dup2(log, STDOUT_FILENO);
     ::dup2(log, STDERR_FILENO);
     ::execve(program.c_str(), arguments.data(), environment.data());
-    ::_exit(kExitNotStarted);
+    ::_exit(kExitExecFailed);
   }
   ::close(log);
   if (id_ < 0) {
@@ -87,7 +87,7 @@
 {
   if (id_ != 0 && ::waitpid(id_, nullptr, WNOHANG) == id_) {
     id_ = 0;
-    crashes_ += isEndExpected_ ? 0 : 1;
+    crashCount_ += isEndExpected_ ? 0 : 1;
   }
   return id_ != 0;
 }
--- a/Tests/PlatformSoak/GatewayProcess.h
+++ b/Tests/PlatformSoak/GatewayProcess.h
@@ -8,23 +8,23 @@
 
 namespace pumiceturn::adapter {
 
-/// One pumiceturn-gateway, which the soak starts, signals and ends by its id.
+/// A pumiceturn-gateway process that the soak test starts, signals and ends.
 class GatewayProcess
 {
 public:
-  /// Where it listens and which store it asks.
-  struct Place
+  /// The addresses and the role of a host.
+  struct HostConfig
   {
     std::string name_;
-    std::string ip_; ///< Of its own, within 127.0.0.0/8.
-    std::string store_;
+    std::string ip_;    ///< Unique to the host, within 127.0.0.0/8.
+    std::string store_; ///< IP:PORT
     bool isEntry_ = false;
   };
 
   static constexpr std::uint16_t kCallerPort = 8080;
 
-  /// @param aFolder For its settings and its log.
-  GatewayProcess(Place aPlace, const std::filesystem::path& aFolder);
+  /// @param aFolder Holds the settings, the log and the data.
+  GatewayProcess(HostConfig aConfig, const std::filesystem::path& aFolder);
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
   GatewayProcess(GatewayProcess&&) = delete;
@@ -34,25 +34,25 @@
   void Start();
   void Signal(int aSignal) const;
 
-  /// @return whether it runs; takes note of its end.
+  /// Reaps the process if it has ended, and counts an unexpected end.
+  /// @return whether the process is running.
   [[nodiscard]] bool IsRunning();
 
-  /// @return how often it ended by itself, with a status or a signal that the
-  ///         soak didn't send.
-  [[nodiscard]] int CrashCount() const { return crashes_; }
+  /// @return how often the process ended without a preceding ExpectEnd().
+  [[nodiscard]] int CrashCount() const { return crashCount_; }
 
-  /// Its next end is the soak's doing.
+  /// Marks the next end of the process as caused by the test.
   void ExpectEnd() { isEndExpected_ = true; }
 
-  [[nodiscard]] const Place& Where() const { return place_; }
+  [[nodiscard]] const HostConfig& Config() const { return config_; }
 
 private:
-  Place place_;
+  HostConfig config_;
   std::filesystem::path settings_;
   std::filesystem::path log_;
   pid_t id_ = 0;
   bool isEndExpected_ = false;
-  int crashes_ = 0;
+  int crashCount_ = 0;
 };
 
 } // namespace pumiceturn::adapter
--- a/Tests/PlatformSoak/SoakFixture.cpp
+++ b/Tests/PlatformSoak/SoakFixture.cpp
@@ -16,33 +16,34 @@
 
 namespace {
 
-constexpr std::size_t kEntries = 2;
+constexpr std::size_t kEntryHosts = 2;
 constexpr std::size_t kWorkers = 3;
 constexpr std::size_t kServers = 3;
 
-/// Routes of the last versions that stay, so that old ones can be asked for.
-constexpr int kVersionsKept = 5;
+/// Number of recent configuration versions whose routes remain, so that probes
+/// can request them.
+constexpr int kRetainedVersions = 5;
 
-/// Work begun at each step of kStep, as one in so many.
+/// Mean number of steps between two actions of a kind.
 constexpr milliseconds kStep{ 10 };
 constexpr std::uint64_t kStepsToOnline = 3;
 constexpr std::uint64_t kStepsToJob = 60;
 constexpr std::uint64_t kStepsToRead = 5;
 constexpr std::uint64_t kStepsToProbe = 15;
 constexpr std::uint64_t kStepsToFault = 40;
-constexpr std::uint64_t kMostItems = 8;
-constexpr milliseconds kResendPause{ 300 };
+constexpr std::uint64_t kMaxItems = 8;
+constexpr milliseconds kResendDelay{ 300 };
 
-/// A bound for what must happen in the end; no verdict depends on how fast.
+/// Only stops a run that hangs; no check depends on the speed of recovery.
 constexpr std::chrono::seconds kRecoveryBound{ 120 };
 
-/// A job that was accepted while the store was away is on disks first, and the
-/// platform gives a host a second until it must know it.
-constexpr std::chrono::seconds kSettle{ 1 };
+/// A job accepted while the store is unavailable is spooled to disk first; the
+/// platform allows 1 s until every host must know it.
+constexpr std::chrono::seconds kJobVisibilityDelay{ 1 };
 
-/// A host that has just started has no memory of an outage; the platform counts
-/// it as out of touch for so long.
-constexpr std::chrono::seconds kOutOfTouch{ 3 };
+/// Time after its start for which the platform regards a host as out of
+/// contact.
+constexpr std::chrono::seconds kOutOfContactTime{ 3 };
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kAccepted = 202;
@@ -68,7 +69,7 @@
 }
 
 std::string
-Text(const boost::asio::ip::tcp::endpoint& aAddress)
+FormatAddress(const boost::asio::ip::tcp::endpoint& aAddress)
 {
   return fmt::format("{}:{}", aAddress.address().to_string(), aAddress.port());
 }
@@ -81,13 +82,13 @@
   , store_(context_)
 {
   std::filesystem::create_directories(folder_);
-  store_.LetLeasesLapse();
+  store_.EnableLeaseExpiry();
 }
 
 SoakFixture::~SoakFixture()
 {
   hosts_.clear();
-  // The logs of a run that broke a promise are a finding, and stay.
+  // Keeps the logs of a run with violations.
   if (violations_.empty()) {
     std::error_code ignored;
     std::filesystem::remove_all(folder_, ignored);
@@ -95,25 +96,25 @@
 }
 
 std::uint64_t
-SoakFixture::Draw(std::uint64_t aBound)
+SoakFixture::RandomBelow(std::uint64_t aBound)
 {
   return std::uniform_int_distribution<std::uint64_t>(0, aBound - 1)(random_);
 }
 
 SoakFixture::Host&
-SoakFixture::DrawEntry()
+SoakFixture::RandomEntryHost()
 {
-  return *hosts_[Draw(kEntries)];
+  return *hosts_[RandomBelow(kEntryHosts)];
 }
 
 void
-SoakFixture::After(milliseconds aTime, std::function<void()> aAction)
+SoakFixture::RunAfter(milliseconds aTime, std::function<void()> aAction)
 {
-  undos_.push_back({ Clock::now() + aTime, std::move(aAction) });
+  scheduled_.push_back({ Clock::now() + aTime, std::move(aAction) });
 }
 
 void
-SoakFixture::Violate(const std::string& aWhat)
+SoakFixture::AddViolation(const std::string& aWhat)
 {
   violations_.push_back(aWhat);
 }
@@ -121,11 +122,12 @@
 void
 SoakFixture::WriteConfiguration()
 {
-  version_ += 1 + static_cast<int>(Draw(3));
+  version_ += 1 + static_cast<int>(RandomBelow(3));
   json routes = { MakeRoute("look-up", "stream", true),
                   MakeRoute("booking", "unsafe", false),
                   MakeRoute("lots", "batch", true) };
-  for (int version = std::max(1, version_ - kVersionsKept); version <= version_;
+  for (int version = std::max(1, version_ - kRetainedVersions);
+       version <= version_;
        ++version) {
     routes.push_back(MakeRoute(fmt::format("v{}", version), "stream", true));
   }
@@ -144,32 +146,32 @@
     const std::string id = fmt::format("i-{}", index + 1);
     Server server;
     server.standin_ = std::make_unique<ServerStandin>(context_, id);
-    const std::string own = server.standin_->Address();
-    const auto port =
-      static_cast<std::uint16_t>(std::stoi(own.substr(own.rfind(':') + 1)));
-    server.way_ = std::make_unique<FaultProxy>(context_, Loopback(port));
+    const std::string standinAddress = server.standin_->Address();
+    const auto port = static_cast<std::uint16_t>(
+      std::stoi(standinAddress.substr(standinAddress.rfind(':') + 1)));
+    server.proxy_ = std::make_unique<FaultProxy>(context_, Loopback(port));
     json entry = json::parse(server.standin_->Registration("service", "ready"));
-    entry["address"] = Text(server.way_->Address());
+    entry["address"] = FormatAddress(server.proxy_->Address());
     store_.Put("servers/" + id, entry.dump());
     servers_.push_back(std::move(server));
   }
-  // Addresses of their own for this run.
+  // A random network, so that concurrent runs don't share addresses.
   const std::string network =
-    fmt::format("127.{}.{}", 20 + Draw(200), 1 + Draw(250));
-  for (std::size_t index = 0; index < kEntries + kWorkers; ++index) {
+    fmt::format("127.{}.{}", 20 + RandomBelow(200), 1 + RandomBelow(250));
+  for (std::size_t index = 0; index < kEntryHosts + kWorkers; ++index) {
     auto host = std::make_unique<Host>();
     host->storePort_ = store_.OpenPort();
-    host->wayToStore_ =
+    host->storeProxy_ =
       std::make_unique<FaultProxy>(context_, Loopback(host->storePort_));
-    GatewayProcess::Place place;
-    place.isEntry_ = index < kEntries;
-    place.name_ =
+    GatewayProcess::HostConfig config;
+    config.isEntry_ = index < kEntryHosts;
+    config.name_ =
       fmt::format("{}-{}",
-                  place.isEntry_ ? "entry" : "worker",
-                  place.isEntry_ ? index + 1 : index + 1 - kEntries);
-    place.ip_ = fmt::format("{}.{}", network, index + 10);
-    place.store_ = Text(host->wayToStore_->Address());
-    host->process_ = std::make_unique<GatewayProcess>(place, folder_);
+                  config.isEntry_ ? "entry" : "worker",
+                  config.isEntry_ ? index + 1 : index + 1 - kEntryHosts);
+    config.ip_ = fmt::format("{}.{}", network, index + 10);
+    config.store_ = FormatAddress(host->storeProxy_->Address());
+    host->process_ = std::make_unique<GatewayProcess>(config, folder_);
     host->process_->Start();
     host->startedAt_ = Clock::now();
     hosts_.push_back(std::move(host));
@@ -177,15 +179,15 @@
 }
 
 void
-SoakFixture::Ask(Host& aHost,
-                 const std::string& aMethod,
-                 const std::string& aTarget,
-                 const std::string& aFields,
-                 const std::string& aBody,
-                 std::function<void(const CallerCall&)> aOnEnd)
+SoakFixture::Send(Host& aHost,
+                  const std::string& aMethod,
+                  const std::string& aTarget,
+                  const std::string& aFields,
+                  const std::string& aBody,
+                  std::function<void(const CallerCall&)> aOnEnd)
 {
   const boost::asio::ip::tcp::endpoint address(
-    boost::asio::ip::make_address(aHost.process_->Where().ip_),
+    boost::asio::ip::make_address(aHost.process_->Config().ip_),
     GatewayProcess::kCallerPort);
   pending_.push_back(
     { SendTo(address, aMethod, aTarget, aFields, aBody), std::move(aOnEnd) });
@@ -194,67 +196,69 @@
 void
 SoakFixture::SendOnline()
 {
-  const bool mayRunOnce = Draw(3) == 0;
+  const bool isNonIdempotent = RandomBelow(3) == 0;
   const std::string id = fmt::format("r{}", ++nextId_);
-  if (mayRunOnce) {
-    once_.insert(id);
+  if (isNonIdempotent) {
+    nonIdempotent_.insert(id);
   }
-  Ask(
-    DrawEntry(),
-    "POST",
-    fmt::format("/{}/pause-{}", mayRunOnce ? "booking" : "look-up", Draw(200)),
-    fmt::format("Attempt-Id: {}\r\nDeadline-Ms: 9000\r\n", id),
-    {},
-    [this, id](const CallerCall& aCall) { CheckOnline(id, aCall); });
+  Send(RandomEntryHost(),
+       "POST",
+       fmt::format("/{}/pause-{}",
+                   isNonIdempotent ? "booking" : "look-up",
+                   RandomBelow(200)),
+       fmt::format("Attempt-Id: {}\r\nDeadline-Ms: 9000\r\n", id),
+       {},
+       [this, id](const CallerCall& aCall) { CheckOnline(id, aCall); });
 }
 
 void
 SoakFixture::CheckOnline(const std::string& aId, const CallerCall& aCall)
 {
-  const bool isWhole = aCall.end_ == httpstream::CallOutcome::Complete;
-  if (isWhole && aCall.status_ == kOk && aCall.body_ != WholeStream()) {
-    Violate(aId + ": a complete answer isn't the server's");
+  const bool isComplete = aCall.end_ == httpstream::CallOutcome::Complete;
+  if (isComplete && aCall.status_ == kOk && aCall.body_ != WholeStream()) {
+    AddViolation(aId + ": a complete response differs from the server's");
   }
-  if (isWhole && aCall.status_ == kNotFound) {
-    Violate(aId + ": 404 for a route that all versions have");
+  if (isComplete && aCall.status_ == kNotFound) {
+    AddViolation(aId + ": 404 for a route that is in all versions");
   }
-  if (isWhole && IsRefusal(aCall.status_)) {
+  if (isComplete && IsRefusal(aCall.status_)) {
     refused_.insert(aId);
-    ++tally_.refusals_;
+    ++counts_.refusals_;
   } else {
-    ++(isWhole && aCall.status_ == kOk ? tally_.wholeAnswers_
-                                       : tally_.otherEnds_);
+    ++(isComplete && aCall.status_ == kOk ? counts_.completeResponses_
+                                          : counts_.otherOutcomes_);
   }
 }
 
 void
-SoakFixture::SendProbeOfConfiguration()
+SoakFixture::ProbeConfiguration()
 {
-  Host& host = DrawEntry();
+  Host& host = RandomEntryHost();
   const int version =
-    std::max(1, version_ - static_cast<int>(Draw(kVersionsKept)));
-  const int before = host.inForce_;
-  Ask(host,
-      "POST",
-      fmt::format("/v{}/1", version),
-      fmt::format("Attempt-Id: p{}\r\nDeadline-Ms: 9000\r\n", ++nextId_),
-      {},
-      [this, &host, version, before](const CallerCall& aCall) {
-        if (aCall.end_ != httpstream::CallOutcome::Complete) {
-          return;
-        }
-        const bool isOlder = aCall.status_ == kNotFound && version <= before;
-        // A host that has started anew may know less, but refuses then.
-        if (isOlder && version > version_ - kVersionsKept &&
-            host.inForce_ >= before) {
-          Violate(fmt::format("{}: version {} was in force and is no longer",
-                              host.process_->Where().name_,
-                              version));
-        }
-        if (aCall.status_ == kOk) {
-          host.inForce_ = std::max(host.inForce_, version);
-        }
-      });
+    std::max(1, version_ - static_cast<int>(RandomBelow(kRetainedVersions)));
+  const int before = host.appliedVersion_;
+  Send(host,
+       "POST",
+       fmt::format("/v{}/1", version),
+       fmt::format("Attempt-Id: p{}\r\nDeadline-Ms: 9000\r\n", ++nextId_),
+       {},
+       [this, &host, version, before](const CallerCall& aCall) {
+         if (aCall.end_ != httpstream::CallOutcome::Complete) {
+           return;
+         }
+         const bool isOlder = aCall.status_ == kNotFound && version <= before;
+         // A restarted host may know an older version; it refuses requests
+         // then.
+         if (isOlder && version > version_ - kRetainedVersions &&
+             host.appliedVersion_ >= before) {
+           AddViolation(fmt::format("{}: version {} is no longer in force",
+                                    host.process_->Config().name_,
+                                    version));
+         }
+         if (aCall.status_ == kOk) {
+           host.appliedVersion_ = std::max(host.appliedVersion_, version);
+         }
+       });
 }
 
 void
@@ -269,72 +273,73 @@
                       { "body", base::EncodeBase64("prompt") },
                       { "tokens", 9 } });
   }
-  Ask(DrawEntry(),
-      "POST",
-      "/lots/1",
-      "Attempt-Id: " + aJob.id_ + "\r\n",
-      json{ { "items", std::move(items) } }.dump(),
-      [this, &aJob](const CallerCall& aCall) {
-        const bool isWhole = aCall.end_ == httpstream::CallOutcome::Complete;
-        if (isWhole && aCall.status_ == kAccepted) {
-          aJob.isAccepted_ = true;
-          aJob.acceptedAt_ = Clock::now();
-          return;
-        }
-        if (isWhole && aCall.status_ == kNotFound) {
-          Violate(aJob.id_ + ": 404 for the lots' route");
-        }
-        aJob.sendAt_ = Clock::now() + kResendPause;
-      });
+  Send(RandomEntryHost(),
+       "POST",
+       "/lots/1",
+       "Attempt-Id: " + aJob.id_ + "\r\n",
+       json{ { "items", std::move(items) } }.dump(),
+       [this, &aJob](const CallerCall& aCall) {
+         const bool isComplete =
+           aCall.end_ == httpstream::CallOutcome::Complete;
+         if (isComplete && aCall.status_ == kAccepted) {
+           aJob.isAccepted_ = true;
+           aJob.acceptedAt_ = Clock::now();
+           return;
+         }
+         if (isComplete && aCall.status_ == kNotFound) {
+           AddViolation(aJob.id_ + ": 404 for the batch route");
+         }
+         aJob.sendAt_ = Clock::now() + kResendDelay;
+       });
 }
 
 bool
 SoakFixture::MustBeKnown(const BatchJob& aJob, const Host& aHost)
 {
   const auto now = Clock::now();
-  return now - aJob.acceptedAt_ > kSettle &&
-         now - aHost.startedAt_ > kOutOfTouch;
+  return now - aJob.acceptedAt_ > kJobVisibilityDelay &&
+         now - aHost.startedAt_ > kOutOfContactTime;
 }
 
 void
 SoakFixture::ReadJob(BatchJob& aJob, Host& aHost, std::size_t aPosition)
 {
-  Ask(aHost,
-      "GET",
-      fmt::format("/api/lots/{}?after={}", aJob.id_, aPosition),
-      {},
-      {},
-      [this, &aJob, aPosition, mustBeKnown = MustBeKnown(aJob, aHost)](
-        const CallerCall& aCall) {
-        if (aCall.end_ != httpstream::CallOutcome::Complete) {
-          return;
-        }
-        if (aCall.status_ == kNotFound && mustBeKnown) {
-          Violate(aJob.id_ + ": 404 for an accepted lot");
-        } else if (aCall.status_ == kOk) {
-          CheckPage(aJob, aPosition, aCall.body_);
-        }
-      });
+  Send(aHost,
+       "GET",
+       fmt::format("/api/lots/{}?after={}", aJob.id_, aPosition),
+       {},
+       {},
+       [this, &aJob, aPosition, mustBeKnown = MustBeKnown(aJob, aHost)](
+         const CallerCall& aCall) {
+         if (aCall.end_ != httpstream::CallOutcome::Complete) {
+           return;
+         }
+         if (aCall.status_ == kNotFound && mustBeKnown) {
+           AddViolation(aJob.id_ + ": 404 for an accepted job");
+         } else if (aCall.status_ == kOk) {
+           CheckPage(aJob, aPosition, aCall.body_);
+         }
+       });
 }
 
 void
 SoakFixture::ReadBody(const BatchJob& aJob, Host& aHost)
 {
-  Ask(aHost,
-      "GET",
-      fmt::format("/api/items/{}?id={}-0", aJob.id_, aJob.id_),
-      {},
-      {},
-      [this, &aJob, mustBeKnown = MustBeKnown(aJob, aHost)](
-        const CallerCall& aCall) {
-        if (aCall.end_ != httpstream::CallOutcome::Complete) {
-          return;
-        }
-        if ((aCall.status_ == kNotFound && mustBeKnown) ||
-            (aCall.status_ == kOk && aCall.body_ != "prompt")) {
-          Violate(aJob.id_ + ": an item's body is gone or another");
-        }
-      });
+  Send(aHost,
+       "GET",
+       fmt::format("/api/items/{}?id={}-0", aJob.id_, aJob.id_),
+       {},
+       {},
+       [this, &aJob, mustBeKnown = MustBeKnown(aJob, aHost)](
+         const CallerCall& aCall) {
+         if (aCall.end_ != httpstream::CallOutcome::Complete) {
+           return;
+         }
+         if ((aCall.status_ == kNotFound && mustBeKnown) ||
+             (aCall.status_ == kOk && aCall.body_ != "prompt")) {
+           AddViolation(aJob.id_ + ": an item's body is missing or differs");
+         }
+       });
 }
 
 void
@@ -344,18 +349,19 @@
 {
   const json page = json::parse(aBody);
   if (page["total"] != aJob.items_) {
-    Violate(aJob.id_ + ": another number of items");
+    AddViolation(aJob.id_ + ": wrong number of items");
   }
   std::size_t position = aPosition;
   for (const json& result : page["results"]) {
     const std::string text = result.dump();
     const auto [known, isNew] = aJob.results_.try_emplace(position, text);
     if (known->second != text) {
-      Violate(fmt::format("{}: position {} changed", aJob.id_, position));
+      AddViolation(fmt::format("{}: position {} changed", aJob.id_, position));
     }
     if (isNew &&
         (result["state"] != "completed" || result["output"] != WholeOutput())) {
-      Violate(fmt::format("{}: position {}: {}", aJob.id_, position, text));
+      AddViolation(
+        fmt::format("{}: position {}: {}", aJob.id_, position, text));
     }
     ++position;
   }
@@ -372,12 +378,12 @@
   }
   for (const std::string& id : refused_) {
     if (runs.contains(id)) {
-      Violate(id + ": was said not to have run, and has");
+      AddViolation(id + ": ran although it was reported as not run");
     }
   }
-  for (const std::string& id : once_) {
+  for (const std::string& id : nonIdempotent_) {
     if (const auto run = runs.find(id); run != runs.end() && run->second > 1) {
-      Violate(id + ": ran more than once");
+      AddViolation(id + ": ran more than once");
     }
   }
 }
@@ -391,7 +397,7 @@
       items.insert(json::parse(text)["id"].get<std::string>());
     }
     if (items.size() != job->items_ || job->results_.size() != job->items_) {
-      Violate(job->id_ + ": an item is missing or listed twice");
+      AddViolation(job->id_ + ": an item is missing or listed twice");
     }
   }
 }
@@ -411,56 +417,56 @@
 }
 
 void
-SoakFixture::FreezeProcess(Host& aHost)
+SoakFixture::SuspendProcess(Host& aHost)
 {
   aHost.process_->Signal(SIGSTOP);
-  After(milliseconds(200 + Draw(4000)),
-        [&aHost] { aHost.process_->Signal(SIGCONT); });
+  RunAfter(milliseconds(200 + RandomBelow(4000)),
+           [&aHost] { aHost.process_->Signal(SIGCONT); });
 }
 
 void
-SoakFixture::HarmWay(FaultProxy& aWay)
+SoakFixture::InjectNetworkFault(FaultProxy& aProxy)
 {
-  switch (Draw(5)) {
+  switch (RandomBelow(5)) {
     case 0:
-      aWay.ResetConnections();
+      aProxy.ResetConnections();
       return;
     case 1:
-      aWay.SilenceOpenConnections();
+      aProxy.BlockOpenConnections();
       return;
     case 2:
-      aWay.SetDelay(milliseconds(20 + Draw(300)));
+      aProxy.SetDelay(milliseconds(20 + RandomBelow(300)));
       break;
     case 3:
-      aWay.SetCut(true, true);
+      aProxy.SetBlocked(true, true);
       break;
     default:
-      aWay.SetCut(Draw(2) == 0, true);
+      aProxy.SetBlocked(RandomBelow(2) == 0, true);
       break;
   }
-  After(milliseconds(200 + Draw(4000)), [&aWay] {
-    aWay.SetDelay(milliseconds(0));
-    aWay.SetCut(false, false);
+  RunAfter(milliseconds(200 + RandomBelow(4000)), [&aProxy] {
+    aProxy.SetDelay(milliseconds(0));
+    aProxy.SetBlocked(false, false);
   });
 }
 
 void
-SoakFixture::HarmStore()
+SoakFixture::InjectStoreFault()
 {
   constexpr std::array kBehaviours{ StoreBehaviour::Refusing,
-                                    StoreBehaviour::LosingWrites,
-                                    StoreBehaviour::AnsweringLate };
-  store_.SetBehaviour(kBehaviours.at(Draw(kBehaviours.size())));
-  After(milliseconds(200 + Draw(4000)),
-        [this] { store_.SetBehaviour(StoreBehaviour::Serving); });
+                                    StoreBehaviour::DroppingWriteResponses,
+                                    StoreBehaviour::DelayingWriteResponses };
+  store_.SetBehaviour(kBehaviours.at(RandomBelow(kBehaviours.size())));
+  RunAfter(milliseconds(200 + RandomBelow(4000)),
+           [this] { store_.SetBehaviour(StoreBehaviour::Serving); });
 }
 
 void
 SoakFixture::InjectFault()
 {
-  ++tally_.faults_;
-  Host& host = *hosts_[Draw(hosts_.size())];
-  switch (Draw(9)) {
+  ++counts_.faults_;
+  Host& host = *hosts_[RandomBelow(hosts_.size())];
+  switch (RandomBelow(9)) {
     case 0:
       KillProcess(host);
       break;
@@ -468,19 +474,19 @@
       StopProcess(host);
       break;
     case 2:
-      FreezeProcess(host);
+      SuspendProcess(host);
       break;
     case 3:
       host.process_->Signal(SIGHUP);
       break;
     case 4:
-      HarmWay(*host.wayToStore_);
+      InjectNetworkFault(*host.storeProxy_);
       break;
     case 5:
-      HarmWay(*servers_[Draw(servers_.size())].way_);
+      InjectNetworkFault(*servers_[RandomBelow(servers_.size())].proxy_);
       break;
     case 6:
-      HarmStore();
+      InjectStoreFault();
       break;
     case 7:
       store_.Compact();
@@ -492,27 +498,27 @@
 }
 
 void
-SoakFixture::RunUndos(bool aAll)
+SoakFixture::RunScheduled(bool aAll)
 {
   const auto now = Clock::now();
-  auto undos = std::exchange(undos_, {});
-  for (Undo& undo : undos) {
-    if (aAll || undo.at_ <= now) {
-      undo.action_();
+  auto scheduled = std::exchange(scheduled_, {});
+  for (ScheduledAction& action : scheduled) {
+    if (aAll || action.at_ <= now) {
+      action.action_();
     } else {
-      undos_.push_back(std::move(undo));
+      scheduled_.push_back(std::move(action));
     }
   }
 }
 
 void
-SoakFixture::RestartEnded()
+SoakFixture::RestartEndedProcesses()
 {
   for (const auto& host : hosts_) {
     if (!host->process_->IsRunning()) {
-      host->inForce_ = 0;
+      host->appliedVersion_ = 0;
       host->startedAt_ = Clock::now();
-      ++tally_.restarts_;
+      ++counts_.restarts_;
       host->process_->Start();
     }
   }
@@ -522,7 +528,7 @@
 SoakFixture::Step()
 {
   context_.run_for(kStep);
-  RunUndos(false);
+  RunScheduled(false);
   for (std::size_t index = 0; index < pending_.size();) {
     if (!pending_[index].call_->IsOver()) {
       ++index;
@@ -537,24 +543,24 @@
       SendJob(*job);
     }
   }
-  if (!jobs_.empty() && Draw(kStepsToRead) == 0) {
-    BatchJob& job = *jobs_[Draw(jobs_.size())];
+  if (!jobs_.empty() && RandomBelow(kStepsToRead) == 0) {
+    BatchJob& job = *jobs_[RandomBelow(jobs_.size())];
     if (job.isAccepted_) {
-      ReadJob(job, DrawEntry(), Draw(job.results_.size() + 1));
-      ReadBody(job, DrawEntry());
+      ReadJob(job, RandomEntryHost(), RandomBelow(job.results_.size() + 1));
+      ReadBody(job, RandomEntryHost());
     }
   }
-  if (Draw(isCalm_ ? kStepsToOnline * 10 : kStepsToOnline) == 0) {
+  if (RandomBelow(isFaultFree_ ? kStepsToOnline * 10 : kStepsToOnline) == 0) {
     SendOnline();
   }
-  // Now and then, a process that ended is back.
-  if (isCalm_ || Draw(kStepsToFault) == 0) {
-    RestartEnded();
+  // Restarts ended processes after a random delay while faults are injected.
+  if (isFaultFree_ || RandomBelow(kStepsToFault) == 0) {
+    RestartEndedProcesses();
   }
 }
 
 bool
-SoakFixture::IsAllAnswered() const
+SoakFixture::IsAllComplete() const
 {
   return pending_.empty() &&
          std::all_of(jobs_.begin(), jobs_.end(), [](const auto& aJob) {
@@ -563,66 +569,67 @@
 }
 
 void
-SoakFixture::EndFaults()
+SoakFixture::RunToCompletion()
 {
-  isCalm_ = true;
-  RunUndos(true);
+  isFaultFree_ = true;
+  RunScheduled(true);
   for (const auto& host : hosts_) {
     host->process_->Signal(SIGCONT);
   }
   const auto until = Clock::now() + kRecoveryBound;
-  const auto goOnUntil = [this, until](const auto& aIsDone) {
+  const auto stepUntil = [this, until](const auto& aIsDone) {
     while (!aIsDone() && Clock::now() < until) {
       Step();
     }
   };
-  // Each job is read whole at each entry host, and the results compared.
-  goOnUntil([this] {
+  // Reads each job completely at every entry host to compare the results.
+  stepUntil([this] {
     for (const auto& job : jobs_) {
       if (job->results_.size() < job->items_ && job->isAccepted_ &&
-          Draw(10) == 0) {
-        ReadJob(*job, DrawEntry(), 0);
+          RandomBelow(10) == 0) {
+        ReadJob(*job, RandomEntryHost(), 0);
       }
     }
-    return IsAllAnswered();
+    return IsAllComplete();
   });
   for (const auto& job : jobs_) {
-    for (std::size_t entry = 0; entry < kEntries && job->isAccepted_; ++entry) {
+    for (std::size_t entry = 0; entry < kEntryHosts && job->isAccepted_;
+         ++entry) {
       ReadJob(*job, *hosts_[entry], 0);
     }
   }
-  goOnUntil([this] { return pending_.empty(); });
+  stepUntil([this] { return pending_.empty(); });
 }
 
 void
-SoakFixture::Play(std::uint64_t aSeed, std::chrono::seconds aTime)
+SoakFixture::Run(std::uint64_t aSeed, std::chrono::seconds aTime)
 {
   random_.seed(aSeed);
   StartFleet();
   const auto until = Clock::now() + aTime;
   while (Clock::now() < until) {
     Step();
-    if (Draw(kStepsToJob) == 0) {
+    if (RandomBelow(kStepsToJob) == 0) {
       auto job = std::make_unique<BatchJob>();
       job->id_ = fmt::format("lot{}", ++nextId_);
-      job->items_ = 1 + Draw(kMostItems);
-      ++tally_.jobs_;
-      tally_.items_ += static_cast<int>(job->items_);
+      job->items_ = 1 + RandomBelow(kMaxItems);
+      ++counts_.jobs_;
+      counts_.items_ += static_cast<int>(job->items_);
       jobs_.push_back(std::move(job));
     }
-    if (Draw(kStepsToProbe) == 0) {
-      SendProbeOfConfiguration();
+    if (RandomBelow(kStepsToProbe) == 0) {
+      ProbeConfiguration();
     }
-    if (Draw(kStepsToFault) == 0) {
+    if (RandomBelow(kStepsToFault) == 0) {
       InjectFault();
     }
   }
-  EndFaults();
+  RunToCompletion();
   CheckServers();
   CheckJobs();
   for (const auto& host : hosts_) {
     if (host->process_->CrashCount() > 0) {
-      Violate(host->process_->Where().name_ + ": ended by itself");
+      AddViolation(host->process_->Config().name_ + ": ended unexpectedly");
     }
   }
 }
--- a/Tests/PlatformSoak/SoakFixture.h
+++ b/Tests/PlatformSoak/SoakFixture.h
@@ -21,36 +21,37 @@
 
 namespace pumiceturn::adapter {
 
-/// Runs the real programs as processes, with the platform's stand-ins behind
-/// proxies, injects faults drawn from a seed while callers send requests and
-/// jobs, and checks what callers and servers see.
+/// Runs gateway processes against the platform's stand-ins behind fault
+/// proxies, injects random faults from a seed while callers send requests and
+/// jobs, and checks what callers and servers observe.
 class SoakFixture : protected CallingFixture
 {
 protected:
   SoakFixture();
   ~SoakFixture();
 
-  /// Faults and load for a time, then calm until all is answered.
-  void Play(std::uint64_t aSeed, std::chrono::seconds aTime);
+  /// Starts the hosts and applies load and faults for aTime. Then stops the
+  /// faults, waits until all calls and jobs have completed, and checks them.
+  void Run(std::uint64_t aSeed, std::chrono::seconds aTime);
 
-  /// @return what was broken; empty where all promises held.
+  /// @return the violated guarantees; empty if all held.
   [[nodiscard]] const std::vector<std::string>& Violations() const
   {
     return violations_;
   }
 
-  /// What was played, so that a soak that does nothing is seen.
-  struct Tally
+  /// Counts of the load and the faults, to detect a run that did nothing.
+  struct RunCounts
   {
-    int wholeAnswers_ = 0;
+    int completeResponses_ = 0;
     int refusals_ = 0;
-    int otherEnds_ = 0;
+    int otherOutcomes_ = 0;
     int jobs_ = 0;
     int items_ = 0;
     int faults_ = 0;
     int restarts_ = 0;
   };
-  [[nodiscard]] const Tally& Played() const { return tally_; }
+  [[nodiscard]] const RunCounts& Counts() const { return counts_; }
 
 private:
   using json = nlohmann::json;
@@ -58,16 +59,17 @@
 
   struct Host
   {
-    std::uint16_t storePort_ = 0; ///< The store's own port for this host.
-    std::unique_ptr<FaultProxy> wayToStore_;
+    std::uint16_t storePort_ = 0; ///< The store's port for this host alone.
+    std::unique_ptr<FaultProxy> storeProxy_;
     std::unique_ptr<GatewayProcess> process_;
-    int inForce_ = 0; ///< Newest version seen since its last start.
+    /// Newest configuration version seen since the host's last start.
+    int appliedVersion_ = 0;
     Clock::time_point startedAt_;
   };
   struct Server
   {
     std::unique_ptr<ServerStandin> standin_;
-    std::unique_ptr<FaultProxy> way_;
+    std::unique_ptr<FaultProxy> proxy_;
   };
   struct BatchJob
   {
@@ -76,15 +78,15 @@
     bool isAccepted_ = false;
     Clock::time_point acceptedAt_;
     Clock::time_point sendAt_;
-    std::map<std::size_t, std::string> results_; ///< Seen, by position.
+    std::map<std::size_t, std::string> results_; ///< Results read, by position.
   };
-  /// A call under way and what is done with its answer.
+  /// A call in flight and its completion handler.
   struct Pending
   {
     std::unique_ptr<CallerCall> call_;
     std::function<void(const CallerCall&)> onEnd_;
   };
-  struct Undo
+  struct ScheduledAction
   {
     Clock::time_point at_;
     std::function<void()> action_;
@@ -95,24 +97,24 @@
 
   // Load.
   void Step();
-  void Ask(Host& aHost,
-           const std::string& aMethod,
-           const std::string& aTarget,
-           const std::string& aFields,
-           const std::string& aBody,
-           std::function<void(const CallerCall&)> aOnEnd);
+  void Send(Host& aHost,
+            const std::string& aMethod,
+            const std::string& aTarget,
+            const std::string& aFields,
+            const std::string& aBody,
+            std::function<void(const CallerCall&)> aOnEnd);
   void SendOnline();
-  void SendProbeOfConfiguration();
+  void ProbeConfiguration();
   void SendJob(BatchJob& aJob);
   void ReadJob(BatchJob& aJob, Host& aHost, std::size_t aPosition);
   void ReadBody(const BatchJob& aJob, Host& aHost);
 
-  /// @return whether a host must know a job that it is asked for now.
+  /// @return whether a host that is asked for a job now must know it.
   [[nodiscard]] static bool MustBeKnown(const BatchJob& aJob,
                                         const Host& aHost);
 
   // Checks.
-  void Violate(const std::string& aWhat);
+  void AddViolation(const std::string& aWhat);
   void CheckOnline(const std::string& aId, const CallerCall& aCall);
   void CheckPage(BatchJob& aJob,
                  std::size_t aPosition,
@@ -124,17 +126,17 @@
   void InjectFault();
   void KillProcess(Host& aHost);
   void StopProcess(Host& aHost);
-  void FreezeProcess(Host& aHost);
-  void HarmWay(FaultProxy& aWay);
-  void HarmStore();
-  void EndFaults();
-  void RunUndos(bool aAll);
-  void RestartEnded();
-  [[nodiscard]] bool IsAllAnswered() const;
-
-  std::uint64_t Draw(std::uint64_t aBound);
-  Host& DrawEntry();
-  void After(std::chrono::milliseconds aTime, std::function<void()> aAction);
+  void SuspendProcess(Host& aHost);
+  void InjectNetworkFault(FaultProxy& aProxy);
+  void InjectStoreFault();
+  void RunToCompletion();
+  void RunScheduled(bool aAll);
+  void RestartEndedProcesses();
+  [[nodiscard]] bool IsAllComplete() const;
+
+  std::uint64_t RandomBelow(std::uint64_t aBound);
+  Host& RandomEntryHost();
+  void RunAfter(std::chrono::milliseconds aTime, std::function<void()> aAction);
 
   std::filesystem::path folder_;
   StoreStandin store_;
@@ -142,15 +144,15 @@
   std::vector<Server> servers_;
   std::vector<Pending> pending_;
   std::vector<std::unique_ptr<BatchJob>> jobs_;
-  std::vector<Undo> undos_;
-  std::set<std::string> refused_; ///< Requests that were said not to have run.
-  std::set<std::string> once_;    ///< Requests that may run once.
+  std::vector<ScheduledAction> scheduled_;
+  std::set<std::string> refused_; ///< Requests that were reported as not run.
+  std::set<std::string> nonIdempotent_; ///< Requests that may run at most once.
   std::vector<std::string> violations_;
-  Tally tally_;
+  RunCounts counts_;
   std::mt19937_64 random_;
   std::uint64_t nextId_ = 0;
   int version_ = 0;
-  bool isCalm_ = false;
+  bool isFaultFree_ = false;
 };
 
 } // namespace pumiceturn::adapter
--- a/Tests/PlatformSoak/SoakTest.cpp
+++ b/Tests/PlatformSoak/SoakTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// @return a number that whoever runs the soak has set, or a default.
+/// @return the number in an environment variable, or a default.
 std::uint64_t
 ReadNumber(const char* aVariable, std::uint64_t aDefault)
 {
@@ -18,35 +18,33 @@
 
 } // namespace
 
-// Processes are killed, stopped, frozen and restarted, their ways to the store
-// and to the servers delayed, cut, reset or silenced, and the store fails, all
-// overlapping: an answer is mixed up, an item lost or listed twice, or a
-// request that was said not to have run has run. Meta/soak_platform.sh plays
-// more seeds.
+// Guards against mixed-up responses, lost or duplicate items, and requests that
+// ran although they were reported as not run, under overlapping faults of
+// processes, connections and the store. Meta/soak_platform.sh runs more seeds.
 TEST_CASE_METHOD(SoakFixture, "PlatformSoak_FaultsFromASeed_PromisesHold")
 {
   const std::uint64_t seed = ReadNumber("PUMICETURN_SOAK_SEED", 1);
   const std::uint64_t seconds = ReadNumber("PUMICETURN_SOAK_SECONDS", 8);
   INFO("seed " << seed);
-  Play(seed, std::chrono::seconds(seconds));
-  const Tally& played = Played();
+  Run(seed, std::chrono::seconds(seconds));
+  const RunCounts& counts = Counts();
   std::cout << fmt::format(
-    "seed {}: {} answers, {} refusals, {} other ends, {} lots with {} items, "
-    "{} faults, {} restarts\n",
+    "seed {}: {} complete responses, {} refusals, {} other outcomes, "
+    "{} jobs with {} items, {} faults, {} restarts\n",
     seed,
-    played.wholeAnswers_,
-    played.refusals_,
-    played.otherEnds_,
-    played.jobs_,
-    played.items_,
-    played.faults_,
-    played.restarts_);
+    counts.completeResponses_,
+    counts.refusals_,
+    counts.otherOutcomes_,
+    counts.jobs_,
+    counts.items_,
+    counts.faults_,
+    counts.restarts_);
   for (const std::string& violation : Violations()) {
     std::cout << "seed " << seed << ": " << violation << '\n';
   }
   CHECK(Violations().empty());
-  CHECK(played.wholeAnswers_ > 0);
-  CHECK(played.faults_ > 0);
+  CHECK(counts.completeResponses_ > 0);
+  CHECK(counts.faults_ > 0);
 }
 
 } // namespace pumiceturn::adapter
