--- a/Benchmarks/Gateway/Main.cpp
+++ b/Benchmarks/Gateway/Main.cpp
@@ -32,24 +32,24 @@
 
 namespace asio = boost::asio;
 
-constexpr double kMicroseconds = 1e6;
-constexpr const char* kCallersAddress = "127.0.0.1:18480";
+constexpr double kMicrosecondsPerSecond = 1e6;
+constexpr const char* kCallerAddress = "127.0.0.1:18480";
 constexpr std::uint32_t kSlots = 1000;
 
-/// @return processor time of the calling thread so far, in microseconds.
+/// @return the CPU time used by the calling thread, in microseconds.
 double
-ThreadMicroseconds()
+ThreadCpuMicroseconds()
 {
   rusage usage{};
   getrusage(RUSAGE_THREAD, &usage);
-  const auto count = [](const timeval& aTime) {
-    return static_cast<double>(aTime.tv_sec) * kMicroseconds +
+  const auto toMicroseconds = [](const timeval& aTime) {
+    return static_cast<double>(aTime.tv_sec) * kMicrosecondsPerSecond +
            static_cast<double>(aTime.tv_usec);
   };
-  return count(usage.ru_utime) + count(usage.ru_stime);
+  return toMicroseconds(usage.ru_utime) + toMicroseconds(usage.ru_stime);
 }
 
-/// Servers and the store, in a thread of their own.
+/// Runs the server and the store in their own thread.
 class PlatformThread
 {
 public:
@@ -101,7 +101,7 @@
   std::thread thread_;
 };
 
-/// The gateway in a thread of its own, whose processor time is measured.
+/// Runs the gateway in its own thread, whose CPU time is measured.
 class GatewayThread
 {
 public:
@@ -117,7 +117,7 @@
                transport_)
   {
     if (!gateway_.Start()) {
-      throw std::runtime_error("the gateway's address is taken");
+      throw std::runtime_error("the gateway can't listen on its address");
     }
     thread_ = std::thread([this] { context_.run(); });
   }
@@ -129,10 +129,10 @@
   GatewayThread(const GatewayThread&) = delete;
   GatewayThread& operator=(const GatewayThread&) = delete;
 
-  double Microseconds()
+  double CpuMicroseconds()
   {
     std::promise<double> promise;
-    asio::post(context_, [&] { promise.set_value(ThreadMicroseconds()); });
+    asio::post(context_, [&] { promise.set_value(ThreadCpuMicroseconds()); });
     return promise.get_future().get();
   }
 
@@ -144,7 +144,7 @@
     settings.incarnation_ = "1";
     settings.failureDomain_ = "a";
     settings.batchPreference_ = batch::BatchPreference::IfNoOther;
-    settings.callerAddress_ = kCallersAddress;
+    settings.callerAddress_ = kCallerAddress;
     return settings;
   }
 
@@ -157,21 +157,21 @@
   std::thread thread_;
 };
 
-/// One caller's request.
+/// Sends one request and receives its stream.
 class Caller : public httpstream::CallObserver
 {
 public:
-  Caller(asio::io_context& aContext, std::size_t& aLeft)
+  Caller(asio::io_context& aContext, std::size_t& aRemaining)
     : connection_(
         std::make_shared<httpstream::ClientConnection>(aContext.get_executor()))
-    , left_(aLeft)
+    , remaining_(aRemaining)
   {
   }
 
   void Start()
   {
     connection_->Connect(
-      *ParseAddress(kCallersAddress),
+      *ParseAddress(kCallerAddress),
       std::chrono::seconds(10),
       [this](bool aIsConnected) {
         if (!aIsConnected) {
@@ -190,33 +190,33 @@
     isOk_ = aHead.result_int() == 200;
   }
   void OnBody(std::string_view) override {}
-  void OnEnd(httpstream::CallOutcome aEnd) override
+  void OnEnd(httpstream::CallOutcome aOutcome) override
   {
-    isOk_ = isOk_ && aEnd == httpstream::CallOutcome::Complete;
-    --left_;
+    isOk_ = isOk_ && aOutcome == httpstream::CallOutcome::Complete;
+    --remaining_;
   }
 
   [[nodiscard]] bool IsOk() const { return isOk_; }
 
 private:
   std::shared_ptr<httpstream::ClientConnection> connection_;
-  std::size_t& left_;
+  std::size_t& remaining_;
   bool isOk_ = false;
 };
 
-/// Runs that many streams at once.
-/// @return how many were answered whole.
+/// Runs aCount concurrent streams.
+/// @return the number of streams that were received completely.
 std::size_t
 RunStreams(std::size_t aCount)
 {
   asio::io_context context;
-  std::size_t left = aCount;
+  std::size_t remaining = aCount;
   std::vector<std::unique_ptr<Caller>> callers;
   for (std::size_t index = 0; index < aCount; ++index) {
-    callers.push_back(std::make_unique<Caller>(context, left));
+    callers.push_back(std::make_unique<Caller>(context, remaining));
     callers.back()->Start();
   }
-  while (left > 0 && context.run_one() > 0) {
+  while (remaining > 0 && context.run_one() > 0) {
   }
   return static_cast<std::size_t>(
     std::count_if(callers.begin(), callers.end(), [](const auto& aCaller) {
@@ -232,14 +232,14 @@
   while (RunStreams(1) == 0) {
   }
   std::printf(
-    "%8s %8s %10s %14s\n", "streams", "whole", "events", "us an event");
+    "%8s %8s %10s %14s\n", "streams", "complete", "events", "us per event");
   for (const std::size_t streams : { 1, 10, 100, 300 }) {
-    const double before = gateway.Microseconds();
-    const std::size_t whole = RunStreams(streams);
-    const double used = gateway.Microseconds() - before;
+    const double before = gateway.CpuMicroseconds();
+    const std::size_t completed = RunStreams(streams);
+    const double used = gateway.CpuMicroseconds() - before;
     const auto events = static_cast<double>(streams) * aPace.events_;
     std::printf(
-      "%8zu %8zu %10.0f %14.1f\n", streams, whole, events, used / events);
+      "%8zu %8zu %10.0f %14.1f\n", streams, completed, events, used / events);
   }
 }
 
@@ -247,26 +247,27 @@
 
 } // namespace pumiceturn::gateway
 
-/// What one event of a stream costs on its way through the gateway: processor
-/// time of the gateway's thread, all layers and the kernel's share included, by
-/// the number of streams at once. On loopback addresses only:
+/// Measures the CPU time that the gateway's thread, including the kernel, uses
+/// per streamed event, for several numbers of concurrent streams. Uses loopback
+/// addresses only:
 ///
 ///   bench_gateway --events 200 --gap 10
 int
 main(int aCount, char** aArguments)
 {
   try {
-    cxxopts::Options options("bench_gateway", "What an event costs.");
+    cxxopts::Options options("bench_gateway",
+                             "Measures the gateway's CPU time per event.");
     options.add_options()("events",
-                          "Events of a stream",
+                          "Events per stream",
                           cxxopts::value<std::uint32_t>()->default_value(
                             "200"))("gap",
                                     "Milliseconds between two events",
                                     cxxopts::value<int>()->default_value("10"));
-    const auto given = options.parse(aCount, aArguments);
+    const auto parsed = options.parse(aCount, aArguments);
     pumiceturn::gateway::Measure(
-      { given["events"].as<std::uint32_t>(),
-        std::chrono::milliseconds(given["gap"].as<int>()) });
+      { parsed["events"].as<std::uint32_t>(),
+        std::chrono::milliseconds(parsed["gap"].as<int>()) });
     return 0;
   } catch (const std::exception& exception) {
     std::fputs(exception.what(), stderr);
--- a/Benchmarks/Gateway/PacedServer.cpp
+++ b/Benchmarks/Gateway/PacedServer.cpp
@@ -39,11 +39,11 @@
     httpstream::ValueOf(aExchange->GetRequest(), adapter::kRequestIdField);
   head.set(std::string(adapter::kRequestIdField), std::string(id));
   aExchange->BeginStream(head);
-  SendNext(aExchange, 1);
+  SendEvent(aExchange, 1);
 }
 
 void
-PacedServer::SendNext(const ExchangePtr& aExchange, std::uint32_t aEvent)
+PacedServer::SendEvent(const ExchangePtr& aExchange, std::uint32_t aEvent)
 {
   aExchange->SendChunk(
     fmt::format("id: {}\ndata: {{\"text\": \" surname\"}}\n\n", aEvent));
@@ -52,10 +52,10 @@
     return;
   }
   auto timer = std::make_shared<boost::asio::steady_timer>(context_);
-  timer->expires_after(pace_.gap_);
+  timer->expires_after(pace_.interval_);
   timer->async_wait(
     [this, timer, aExchange, aEvent](const boost::system::error_code&) {
-      SendNext(aExchange, aEvent + 1);
+      SendEvent(aExchange, aEvent + 1);
     });
 }
 
--- a/Benchmarks/Gateway/PacedServer.h
+++ b/Benchmarks/Gateway/PacedServer.h
@@ -12,15 +12,15 @@
 
 namespace pumiceturn::gateway {
 
-/// Streams events at an even pace, as an engine does. Belongs to the event
-/// thread.
+/// Server that streams events at a fixed interval, as an inference engine does.
+/// Must be used on the event thread only.
 class PacedServer
 {
 public:
   struct Pace
   {
     std::uint32_t events_ = 0;
-    std::chrono::milliseconds gap_{ 0 };
+    std::chrono::milliseconds interval_{ 0 };
   };
 
   PacedServer(boost::asio::io_context& aContext, Pace aPace);
@@ -31,7 +31,7 @@
   using ExchangePtr = std::shared_ptr<httpstream::Exchange>;
 
   void OnRequest(const ExchangePtr& aExchange);
-  void SendNext(const ExchangePtr& aExchange, std::uint32_t aEvent);
+  void SendEvent(const ExchangePtr& aExchange, std::uint32_t aEvent);
 
   boost::asio::io_context& context_;
   httpstream::Listener listener_;
--- a/Tests/Fuzz/FuzzRecords.cpp
+++ b/Tests/Fuzz/FuzzRecords.cpp
@@ -22,8 +22,8 @@
   }
 }
 
-/// Reads a segment as the store does at start, and checks what it must hold
-/// for any bytes.
+/// Scans a segment as the store does at start, and checks the invariants that
+/// hold for any input.
 void
 Scan(const std::string& aBytes, SegmentPlace aPlace)
 {
@@ -58,8 +58,8 @@
   Require(live >= 0);
 }
 
-/// Builds a valid segment from the input, so that the checksums of most records
-/// hold, and then applies the rest of the input as edits.
+/// Builds a valid segment from the input and applies the rest of the input as
+/// edits, so that most records still have valid checksums.
 std::string
 BuildSegment(const std::uint8_t* aData, std::size_t aSize)
 {
--- a/Tests/Platform/SpoiledEntriesTest.cpp
+++ b/Tests/Platform/MalformedEntriesTest.cpp
@@ -17,11 +17,11 @@
 
 using nlohmann::json;
 
-/// Whole entries of each kind, and ways to spoil them.
-class SpoiledEntriesFixture
+/// Valid entries of each kind, and random mutations of them.
+class MalformedEntriesFixture
 {
 protected:
-  SpoiledEntriesFixture()
+  MalformedEntriesFixture()
   {
     const json configuration = { { "version", 3 },
                                  { "routes",
@@ -43,28 +43,29 @@
                         { "headers", { { "Model", "m" } } },
                         { "body", "cHJvbXB0" },
                         { "tokens", 9 } };
-    batch::SpooledJob held;
-    held.id_ = "lot";
-    held.content_ = "content";
-    whole_ = { configuration.dump(),
-               server.dump(),
-               json{ { "items", { item } } }.dump(),
-               gateway::EncodeHostRecord({ "h/1", "10.0.0.1:1", "10.0.0.1:2" }),
-               batch::EncodeState({ "h/1", 5, 2, 1, "a.example", "/p" }),
-               batch::EncodeResults(
-                 { { "i", batch::ItemState::Completed, "text" } }),
-               batch::EncodeProgress({ { "i", { 4, "text" } } }),
-               batch::EncodeSpooledJob(held),
-               "{\"lot\":900}" };
+    batch::SpooledJob spooled;
+    spooled.id_ = "lot";
+    spooled.content_ = "content";
+    validEntries_ = {
+      configuration.dump(),
+      server.dump(),
+      json{ { "items", { item } } }.dump(),
+      gateway::EncodeHostRecord({ "h/1", "10.0.0.1:1", "10.0.0.1:2" }),
+      batch::EncodeState({ "h/1", 5, 2, 1, "a.example", "/p" }),
+      batch::EncodeResults({ { "i", batch::ItemState::Completed, "text" } }),
+      batch::EncodeProgress({ { "i", { 4, "text" } } }),
+      batch::EncodeSpooledJob(spooled),
+      "{\"lot\":900}"
+    };
   }
 
-  std::size_t Draw(std::size_t aBelow)
+  std::size_t RandomBelow(std::size_t aBelow)
   {
     return std::uniform_int_distribution<std::size_t>(0, aBelow - 1)(random_);
   }
 
-  /// Values that a field may hold by mistake or malice.
-  json OddValue()
+  /// @return a random value of an unexpected type or range.
+  json UnexpectedValue()
   {
     static const std::vector<json> kValues = { nullptr,
                                                true,
@@ -78,57 +79,57 @@
                                                json::array(),
                                                json::object(),
                                                "99999999999999" };
-    return kValues[Draw(kValues.size())];
+    return kValues[RandomBelow(kValues.size())];
   }
 
-  std::string SpoilFields(const std::string& aText)
+  std::string MutateField(const std::string& aText)
   {
     json value = json::parse(aText, nullptr, false);
-    json* place = &value;
-    // Down to a random depth.
-    while (place->is_structured() && !place->empty() && Draw(3) != 0) {
-      auto at = place->begin();
-      std::advance(at, Draw(place->size()));
-      place = &*at;
+    json* node = &value;
+    // Descends to a random depth.
+    while (node->is_structured() && !node->empty() && RandomBelow(3) != 0) {
+      auto child = node->begin();
+      std::advance(child, RandomBelow(node->size()));
+      node = &*child;
     }
-    *place = OddValue();
+    *node = UnexpectedValue();
     return value.dump(-1, ' ', false, json::error_handler_t::ignore);
   }
 
-  std::string Spoil(std::string aText)
+  std::string Mutate(std::string aText)
   {
-    constexpr std::size_t kDeep = 1000;
-    switch (Draw(5)) {
+    constexpr std::size_t kMaxNesting = 1000;
+    switch (RandomBelow(5)) {
       case 0:
-        return SpoilFields(aText);
+        return MutateField(aText);
       case 1:
-        aText[Draw(aText.size())] = static_cast<char>(Draw(256));
+        aText[RandomBelow(aText.size())] = static_cast<char>(RandomBelow(256));
         return aText;
       case 2:
-        return aText.substr(0, Draw(aText.size()));
+        return aText.substr(0, RandomBelow(aText.size()));
       case 3:
-        return std::string(Draw(kDeep), '[') + aText;
+        return std::string(RandomBelow(kMaxNesting), '[') + aText;
       default:
-        return aText.insert(Draw(aText.size()), aText);
+        return aText.insert(RandomBelow(aText.size()), aText);
     }
   }
 
-  /// Reads a text with every reader; none may throw.
+  /// Passes a text to every reader.
   void ReadAll(const std::string& aText)
   {
     metadata::StoreItem item;
     item.value_ = aText;
     item.key_ = "op/config";
-    (void)entries_.ReadDeclarations(item);
+    (void)storeCodec_.ReadDeclarations(item);
     item.key_ = "op/retire/" + aText.substr(0, 8);
-    (void)entries_.ReadRetirement(item);
+    (void)storeCodec_.ReadRetirement(item);
     item.key_ = "servers/i-1";
-    if (const auto record = entries_.ReadEndpoint(item)) {
+    if (const auto record = storeCodec_.ReadEndpoint(item)) {
       CHECK(record->slots_ > 0);
       CHECK_FALSE(record->service_.empty());
       CHECK(gateway::ParseAddress(record->address_));
     }
-    (void)requests_.ReadBatchJobContent(aText);
+    (void)requestCodec_.ReadBatchJobContent(aText);
     (void)gateway::DecodeHostRecord(aText);
     (void)batch::DecodeState(aText);
     (void)batch::DecodeResults(aText);
@@ -137,34 +138,34 @@
     (void)batch::DecodeLedger(aText);
   }
 
-  std::vector<std::string> whole_;
-  PlatformStoreCodec entries_;
-  RequestCodec requests_;
+  std::vector<std::string> validEntries_;
+  PlatformStoreCodec storeCodec_;
+  RequestCodec requestCodec_;
   std::mt19937_64 random_{ 20 };
 };
 
-// Every host ends at the same moment, and again after each start: one key in
-// the store holds what a reader didn't expect.
-// PUMICETURN_SPOILED_INPUTS sets how many texts are tried.
-TEST_CASE_METHOD(SpoiledEntriesFixture, "Entries_Spoiled_NoReaderThrows")
+// Guards against a malformed store entry that crashes every host at once.
+// PUMICETURN_SPOILED_INPUTS sets the number of inputs.
+TEST_CASE_METHOD(MalformedEntriesFixture,
+                 "StoreEntries_Malformed_NoReaderThrows")
 {
   std::size_t inputs = 5000;
   // NOLINTNEXTLINE(concurrency-mt-unsafe): no other thread runs here.
-  if (const char* wanted = std::getenv("PUMICETURN_SPOILED_INPUTS")) {
-    inputs = std::stoul(wanted);
+  if (const char* countText = std::getenv("PUMICETURN_SPOILED_INPUTS")) {
+    inputs = std::stoul(countText);
   }
-  for (const std::string& text : whole_) {
+  for (const std::string& text : validEntries_) {
     ReadAll(text);
   }
   for (std::size_t input = 0; input < inputs; ++input) {
-    std::string text = Spoil(whole_[Draw(whole_.size())]);
-    if (Draw(4) == 0 && !text.empty()) {
-      text = Spoil(std::move(text));
+    std::string text = Mutate(validEntries_[RandomBelow(validEntries_.size())]);
+    if (RandomBelow(4) == 0 && !text.empty()) {
+      text = Mutate(std::move(text));
     }
     try {
       ReadAll(text);
-    } catch (const std::exception& problem) {
-      FAIL("input " << input << ": " << problem.what() << ": " << text);
+    } catch (const std::exception& error) {
+      FAIL("input " << input << ": " << error.what() << ": " << text);
     }
   }
 }
--- a/Tests/Platform/PlatformSettingsTest.cpp
+++ b/Tests/Platform/PlatformSettingsTest.cpp
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE_METHOD(PlatformSettingsFixture,
-                 "PlatformSettings_NoCallers_IsAWorker")
+                 "PlatformSettings_NoCallerAddress_IsWorker")
 {
   const auto outcome = Read(std::string(kCommon) + "listen: {}\n");
   const auto* settings = std::get_if<PlatformSettings>(&outcome);
@@ -58,7 +58,8 @@
   CHECK(settings->gateway_.batchPreference_ == batch::BatchPreference::Worker);
 }
 
-TEST_CASE_METHOD(PlatformSettingsFixture, "PlatformSettings_Malformed_HasACode")
+TEST_CASE_METHOD(PlatformSettingsFixture,
+                 "PlatformSettings_Malformed_ReportsCode")
 {
   CHECK(CodeOf("node: [") == base::ResultCode::MalformedYaml);
   CHECK(CodeOf("node: n1") == base::ResultCode::MissingField);
--- a/Tests/PlatformPath/PathFixture.cpp
+++ b/Tests/PlatformPath/PathFixture.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// Base/Platform/configuration.json declares it.
+/// The key is declared in Base/Platform/configuration.json.
 constexpr std::string_view kKeyField = "Authorization: Bearer parish-key\r\n";
 
-/// @return the fields with a caller's key, unless they have one.
+/// @return the header fields, with a key prepended if they have none.
 std::string
-WithKey(const std::string& aFields)
+WithDefaultKey(const std::string& aFields)
 {
   const bool hasKey = aFields.find("Authorization") != std::string::npos;
   return hasKey ? aFields : std::string(kKeyField) + aFields;
@@ -41,7 +41,7 @@
     processes_.push_back(process);
   }
   for (const char* entry : { "entry-1", "entry-2" }) {
-    RunUntil([&] { return Look(entry, "/look-up/1")->status_ == 200; });
+    RunUntil([&] { return SendOnline(entry, "/look-up/1")->status_ == 200; });
   }
 }
 
@@ -63,32 +63,38 @@
                   const std::string& aFields,
                   const std::string& aBody)
 {
-  return SendTo(
-    Process(aProcess).address_, aMethod, aTarget, WithKey(aFields), aBody);
+  return SendTo(Process(aProcess).address_,
+                aMethod,
+                aTarget,
+                WithDefaultKey(aFields),
+                aBody);
 }
 
 std::unique_ptr<CallerCall>
-PathFixture::Ask(const std::string& aProcess,
-                 const std::string& aMethod,
-                 const std::string& aTarget,
-                 const std::string& aFields,
-                 const std::string& aBody)
+PathFixture::SendAndWait(const std::string& aProcess,
+                         const std::string& aMethod,
+                         const std::string& aTarget,
+                         const std::string& aFields,
+                         const std::string& aBody)
 {
-  return AskAt(
-    Process(aProcess).address_, aMethod, aTarget, WithKey(aFields), aBody);
+  return AskAt(Process(aProcess).address_,
+               aMethod,
+               aTarget,
+               WithDefaultKey(aFields),
+               aBody);
 }
 
 std::unique_ptr<CallerCall>
-PathFixture::Look(const std::string& aProcess, const std::string& aPath)
+PathFixture::SendOnline(const std::string& aProcess, const std::string& aPath)
 {
-  return Ask(
+  return SendAndWait(
     aProcess, "POST", aPath, "Attempt-Id: r1\r\nDeadline-Ms: 20000\r\n");
 }
 
 std::string
 PathFixture::ReadKey(const std::string& aKey)
 {
-  const auto call = Ask("store", "GET", "/api/kv-key?key=" + aKey);
+  const auto call = SendAndWait("store", "GET", "/api/kv-key?key=" + aKey);
   if (call->status_ != 200) {
     return {};
   }
@@ -105,7 +111,8 @@
   const json call = { { "expectedRev", json::array() },
                       { "puts", json::array({ put }) },
                       { "remove", json::array() } };
-  CHECK(Ask("store", "POST", "/api/kv-txn", {}, call.dump())->status_ == 200);
+  CHECK(SendAndWait("store", "POST", "/api/kv-txn", {}, call.dump())->status_ ==
+        200);
 }
 
 unsigned
@@ -122,58 +129,60 @@
                       { "body", base::EncodeBase64("prompt") },
                       { "tokens", 9 } });
   }
-  return Ask(aProcess,
-             "POST",
-             "/lots/1",
-             "Attempt-Id: " + aJob + "\r\n",
-             json{ { "items", std::move(items) } }.dump())
+  return SendAndWait(aProcess,
+                     "POST",
+                     "/lots/1",
+                     "Attempt-Id: " + aJob + "\r\n",
+                     json{ { "items", std::move(items) } }.dump())
     ->status_;
 }
 
 PathFixture::SpooledJob
 PathFixture::SubmitSpooledJob(const std::string& aName, std::size_t aItems)
 {
-  SpooledJob held;
-  int tries = 0;
-  // The entry host may not know of the workers yet, and takes a job itself.
+  SpooledJob spooled;
+  int attempts = 0;
+  // Retried, since an entry host that doesn't know the workers yet runs a job
+  // itself.
   RunUntil([&] {
-    held.job_ = aName + std::to_string(++tries);
-    CHECK(Submit("entry-1", held.job_, "/lots/hold-2", aItems) == 202);
-    return ReadKey("pumiceturn/lot/" + held.job_).find("worker-") !=
+    spooled.job_ = aName + std::to_string(++attempts);
+    CHECK(Submit("entry-1", spooled.job_, "/lots/hold-2", aItems) == 202);
+    return ReadKey("pumiceturn/lot/" + spooled.job_).find("worker-") !=
            std::string::npos;
   });
   RunUntil([&] {
-    const std::string state = ReadKey("pumiceturn/lot/" + held.job_);
+    const std::string state = ReadKey("pumiceturn/lot/" + spooled.job_);
     const std::string progress =
-      ReadKey("pumiceturn/data/" + held.job_ + "/progress");
+      ReadKey("pumiceturn/data/" + spooled.job_ + "/progress");
     const bool isFirst = state.find("worker-1") != std::string::npos;
-    held.owner_ = isFirst ? "worker-1" : "worker-2";
+    spooled.owner_ = isFirst ? "worker-1" : "worker-2";
     return progress.find("text-2") != std::string::npos;
   });
-  return held;
+  return spooled;
 }
 
 bool
-PathFixture::AreWholeAndDistinct(const json& aPage, std::size_t aItems)
+PathFixture::AreCompleteAndDistinct(const json& aPage, std::size_t aItems)
 {
   std::set<std::string> items;
-  bool areWhole = true;
+  bool areComplete = true;
   for (const json& result : aPage["results"]) {
     items.insert(result["id"].get<std::string>());
-    areWhole = areWhole && result["state"] == "completed" &&
-               result["output"] == WholeOutput();
+    areComplete = areComplete && result["state"] == "completed" &&
+                  result["output"] == WholeOutput();
   }
-  return areWhole && items.size() == aItems;
+  return areComplete && items.size() == aItems;
 }
 
 PathFixture::json
-PathFixture::WaitForAll(const std::string& aProcess,
-                        const std::string& aJob,
-                        std::size_t aCount)
+PathFixture::WaitForResults(const std::string& aProcess,
+                            const std::string& aJob,
+                            std::size_t aCount)
 {
   json page;
   RunUntil([&] {
-    const auto call = Ask(aProcess, "GET", "/api/lots/" + aJob + "?after=0");
+    const auto call =
+      SendAndWait(aProcess, "GET", "/api/lots/" + aJob + "?after=0");
     if (call->status_ != 200) {
       return false;
     }
--- a/Tests/PlatformPath/PathTest.cpp
+++ b/Tests/PlatformPath/PathTest.cpp
@@ -4,43 +4,45 @@
 
 namespace pumiceturn::adapter {
 
-TEST_CASE_METHOD(PathFixture, "Path_CalmStream_PassesUnchanged")
+TEST_CASE_METHOD(PathFixture, "Path_UndisturbedStream_PassesUnchanged")
 {
-  const auto call = Look("entry-1", "/look-up/1");
+  const auto call = SendOnline("entry-1", "/look-up/1");
   CHECK(call->status_ == 200);
   CHECK(call->seal_ == "seal");
   CHECK(call->body_ == WholeStream());
 }
 
-// A reader's text has a gap or a word twice: the server broke off in the middle
-// of an event, and another goes on.
-TEST_CASE_METHOD(PathFixture, "Path_StreamBreaksOff_GoesOnWithoutGapOrDouble")
+// Guards against missing or duplicate events when another server resumes a
+// stream that broke off within an event.
+TEST_CASE_METHOD(PathFixture,
+                 "Path_StreamBreaksOff_ResumesWithoutGapOrDuplicate")
 {
-  const auto call = Look("entry-2", "/look-up/break-3");
+  const auto call = SendOnline("entry-2", "/look-up/break-3");
   CHECK(call->status_ == 200);
   CHECK(call->body_ == WholeStream());
 }
 
-TEST_CASE_METHOD(PathFixture, "Path_UnsafeRequestBreaksOff_IsNotSentAgain")
+TEST_CASE_METHOD(PathFixture, "Path_UnsafeRequestBreaksOff_IsNotRetried")
 {
-  const auto call = Look("entry-1", "/booking/break-3");
+  const auto call = SendOnline("entry-1", "/booking/break-3");
   CHECK(call->body_ != WholeStream());
   CHECK(call->end_ != httpstream::CallOutcome::Complete);
 }
 
-TEST_CASE_METHOD(PathFixture, "Path_Job_IsAnsweredOnceAtEveryHost")
+TEST_CASE_METHOD(PathFixture, "Path_Job_HasSameResultsAtEveryHost")
 {
   CHECK(Submit("entry-1", "lot1", "/lots/1", 12) == 202);
   CHECK(Submit("entry-2", "lot1", "/lots/1", 12) == 202);
-  const json page = WaitForAll("entry-1", "lot1", 12);
-  CHECK(AreWholeAndDistinct(page, 12));
-  CHECK(WaitForAll("entry-2", "lot1", 12) == page);
-  CHECK(Ask("entry-2", "GET", "/api/items/lot1/lot1-3")->status_ != 503);
+  const json page = WaitForResults("entry-1", "lot1", 12);
+  CHECK(AreCompleteAndDistinct(page, 12));
+  CHECK(WaitForResults("entry-2", "lot1", 12) == page);
+  CHECK(SendAndWait("entry-2", "GET", "/api/items/lot1/lot1-3")->status_ !=
+        503);
 }
 
-TEST_CASE_METHOD(PathFixture, "Path_NewConfiguration_IsInForceAtEveryHost")
+TEST_CASE_METHOD(PathFixture, "Path_NewConfiguration_IsAppliedAtEveryHost")
 {
-  CHECK(Look("entry-1", "/fresh/1")->status_ == 404);
+  CHECK(SendOnline("entry-1", "/fresh/1")->status_ == 404);
   json configuration = json::parse(ReadKey("op/config"));
   configuration["version"] = configuration["version"].get<int>() + 3;
   json route = configuration["routes"][0];
@@ -49,16 +51,17 @@
   configuration["routes"].push_back(route);
   WriteKey("op/config", configuration.dump());
   for (const char* entry : { "entry-1", "entry-2" }) {
-    RunUntil([&] { return Look(entry, "/fresh/1")->status_ == 200; });
+    RunUntil([&] { return SendOnline(entry, "/fresh/1")->status_ == 200; });
   }
 }
 
-// A key that had been taken away still ran requests at one of the hosts.
-TEST_CASE_METHOD(PathFixture, "Path_KeyTakenAway_RunsNothingAtAnyHost")
+// Guards against a host that accepts requests with a revoked key.
+TEST_CASE_METHOD(PathFixture, "Path_KeyRevoked_IsRejectedAtEveryHost")
 {
-  const std::string former = "Authorization: Bearer parish-key-before\r\n";
+  const std::string oldKeyField = "Authorization: Bearer parish-key-before\r\n";
   const auto statusAt = [&](const char* aEntry) {
-    return Ask(aEntry, "POST", "/look-up/1", "Attempt-Id: r1\r\n" + former)
+    return SendAndWait(
+             aEntry, "POST", "/look-up/1", "Attempt-Id: r1\r\n" + oldKeyField)
       ->status_;
   };
   CHECK(statusAt("entry-1") == 200);
@@ -68,60 +71,63 @@
   WriteKey("op/config", configuration.dump());
   for (const char* entry : { "entry-1", "entry-2" }) {
     RunUntil([&] { return statusAt(entry) == 401; });
-    CHECK(Look(entry, "/look-up/1")->status_ == 200);
+    CHECK(SendOnline(entry, "/look-up/1")->status_ == 200);
   }
 }
 
-TEST_CASE_METHOD(PathFixture, "Path_BrokenCalls_AreAnsweredAndHarmNothing")
+TEST_CASE_METHOD(PathFixture,
+                 "Path_MalformedCalls_AreRejectedWithoutSideEffects")
 {
-  CHECK(Ask("entry-1", "POST", "/lots/1", "Attempt-Id: x\r\n", "{")->status_ ==
-        400);
-  CHECK(Ask("entry-1", "POST", "/nowhere", "Attempt-Id: x\r\n")->status_ ==
-        404);
-  CHECK(Look("entry-1", "/look-up/1")->body_ == WholeStream());
+  CHECK(SendAndWait("entry-1", "POST", "/lots/1", "Attempt-Id: x\r\n", "{")
+          ->status_ == 400);
+  CHECK(
+    SendAndWait("entry-1", "POST", "/nowhere", "Attempt-Id: x\r\n")->status_ ==
+    404);
+  CHECK(SendOnline("entry-1", "/look-up/1")->body_ == WholeStream());
 }
 
-// An item is listed twice: its worker stood still, the other took the job over,
-// and the first woke up with results of its own in hand.
-TEST_CASE_METHOD(PathFixture, "Path_WorkerFreezes_ItsLateResultsChangeNothing")
+// Guards against duplicate results from a suspended worker that resumes after
+// another worker has taken over its job.
+TEST_CASE_METHOD(PathFixture, "Path_WorkerSuspended_LateResultsAreIgnored")
 {
   constexpr std::size_t kItems = 4;
-  const SpooledJob held = SubmitSpooledJob("frozen", kItems);
-  CHECK(::kill(Process(held.owner_).id_, SIGSTOP) == 0);
-  const json page = WaitForAll("entry-2", held.job_, kItems);
-  CHECK(AreWholeAndDistinct(page, kItems));
-  CHECK(::kill(Process(held.owner_).id_, SIGCONT) == 0);
-  // Once it is registered again, it has read what became of its job.
+  const SpooledJob spooled = SubmitSpooledJob("frozen", kItems);
+  CHECK(::kill(Process(spooled.owner_).id_, SIGSTOP) == 0);
+  const json page = WaitForResults("entry-2", spooled.job_, kItems);
+  CHECK(AreCompleteAndDistinct(page, kItems));
+  CHECK(::kill(Process(spooled.owner_).id_, SIGCONT) == 0);
+  // Once it has registered again, it has read its job's current state.
   RunUntil([&] {
-    return !ReadKey("pumiceturn/host/" + held.owner_).empty() &&
-           ReadKey("pumiceturn/lot/" + held.job_).find("\"finished\":true") !=
-             std::string::npos;
+    return !ReadKey("pumiceturn/host/" + spooled.owner_).empty() &&
+           ReadKey("pumiceturn/lot/" + spooled.job_)
+               .find("\"finished\":true") != std::string::npos;
   });
-  CHECK(WaitForAll("entry-1", held.job_, kItems) == page);
+  CHECK(WaitForResults("entry-1", spooled.job_, kItems) == page);
 }
 
-// A job never ends, or an item is listed twice: its worker is killed while it
-// runs, and the other takes over when the registration lapses.
-TEST_CASE_METHOD(PathFixture, "Path_WorkerKilled_OtherEndsItsJob")
+// Guards against lost or duplicate results when a worker is killed and the
+// other takes over its job after its registration has expired.
+TEST_CASE_METHOD(PathFixture, "Path_WorkerKilled_OtherCompletesItsJob")
 {
   constexpr std::size_t kItems = 4;
-  const SpooledJob held = SubmitSpooledJob("killed", kItems);
-  CHECK(::kill(Process(held.owner_).id_, SIGKILL) == 0);
-  CHECK(AreWholeAndDistinct(WaitForAll("entry-2", held.job_, kItems), kItems));
+  const SpooledJob spooled = SubmitSpooledJob("killed", kItems);
+  CHECK(::kill(Process(spooled.owner_).id_, SIGKILL) == 0);
+  CHECK(AreCompleteAndDistinct(WaitForResults("entry-2", spooled.job_, kItems),
+                               kItems));
 }
 
-// A caller's answer is cut off, because its host is asked to stop.
-TEST_CASE_METHOD(PathFixture, "Path_EntryHostStops_OpenAnswerEndsFirst")
+// Guards against cutting off a response in progress when its host shuts down.
+TEST_CASE_METHOD(PathFixture, "Path_EntryHostStops_OpenResponseEndsFirst")
 {
-  const auto held = Send("entry-2",
+  const auto call = Send("entry-2",
                          "POST",
                          "/look-up/hold-2",
                          "Attempt-Id: r7\r\nDeadline-Ms: 2000\r\n");
-  RunUntil([&held] { return !held->body_.empty(); });
+  RunUntil([&call] { return !call->body_.empty(); });
   CHECK(::kill(Process("entry-2").id_, SIGTERM) == 0);
-  CHECK(Look("entry-1", "/look-up/1")->body_ == WholeStream());
-  RunUntil([&held] { return held->IsOver(); });
-  // Its registration goes with it, and the others know at once.
+  CHECK(SendOnline("entry-1", "/look-up/1")->body_ == WholeStream());
+  RunUntil([&call] { return call->IsOver(); });
+  // It deletes its registration, so that the others learn of it at once.
   RunUntil([this] { return ReadKey("pumiceturn/host/entry-2").empty(); });
 }
 
