--- a/Libraries/LibGateway/StoreTransport.cpp
+++ b/Libraries/LibGateway/StoreTransport.cpp
@@ -202,11 +202,12 @@
   call.erase(kTimeoutField);
   directClient_.Call(call, timeout, [this, aExchange](Result aResult) {
     RecordDirect(aResult);
-    if (aResult.end_ == httpstream::CallOutcome::NotConnected) {
+    if (aResult.outcome_ == httpstream::CallOutcome::NotConnected) {
       aExchange->Respond(
         httpstream::MakeResponse(httpstream::kStatusUnavailable, {}));
-    } else if (aResult.end_ != httpstream::CallOutcome::Complete) {
+    } else if (aResult.outcome_ != httpstream ::CallOutcome ::Complete) {
       // The abort shows the peer that the call's outcome is unknown.
+
       aExchange->Abort();
     } else {
       aExchange->Respond(
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -192,7 +192,7 @@
 // Guards against rejecting or counting a job twice after a lost response.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ResponseLost_JobCountsOnce")
 {
-  store_.SetBehaviour(StoreBehaviour::LosingWrites);
+  store_.SetBehaviour(StoreBehaviour::DroppingWriteResponses);
   const auto call =
     Send(entry_->callerPort_, "POST", "/lots/1", Fields("a"), JobBody(6, "a-"));
   RunUntil([this] { return !store_.Get("pumiceturn/lot/a").empty(); });
