--- a/Libraries/LibFleet/AdmissionControl.h
+++ b/Libraries/LibFleet/AdmissionControl.h
@@ -16,15 +16,17 @@
   std::string_view service_;
   std::string_view route_;
   /// Attempts in flight at the endpoint, including queued ones.
-  std::uint32_t running_ = 0;
+  std::uint32_t inFlight_ = 0;
   std::uint32_t slots_ = 1;
-  /// Target time to the first event; zero if the route declares none.
+  /// Target time to the response or a stream's first event; zero if the route
+  /// declares none.
   base::Duration objective_{ 0 };
   /// Timeout that the caller states; empty if it states none.
-  std::optional<base::Duration> clientTimeout_;
+  std::optional<base::Duration> callerTimeout_;
 };
 
-struct Admission
+/// Whether a request is admitted, and how long it is expected to queue.
+struct AdmissionDecision
 {
   base::Duration expectedWait_{ 0 }; ///< Expected time in the endpoint's queue.
   /// If set, the request is refused and the caller should retry after this
@@ -32,12 +34,12 @@
   std::optional<base::Duration> retryAfter_;
 };
 
-/// Refuses online requests that would wait too long in an engine's queue.
+/// Refuses online requests that would wait too long in an endpoint's queue.
 ///
-/// Engines serve in order of arrival, so in an overload without refusals every
-/// request is late, including those that arrive when the overload is nearly
-/// over. Refusals keep queues within the route's objective; a refused caller
-/// retries after about a second and is then queued.
+/// Endpoints serve in order of arrival, so in an overload without refusals
+/// every request is late, including those that arrive when the overload is
+/// nearly over. Refusals keep queues within the route's objective; a refused
+/// caller retries after about a second and is then queued.
 ///
 /// Random numbers are passed as arguments. Performs no I/O. Not thread-safe.
 class AdmissionControl
@@ -48,17 +50,17 @@
 
   /// Decides whether a request is admitted, before its first attempt.
   /// @param aRandom Uniform in [0, 1); spreads the retries of callers.
-  [[nodiscard]] Admission Check(const AdmissionRequest& aRequest,
-                                double aRandom);
+  [[nodiscard]] AdmissionDecision Check(const AdmissionRequest& aRequest,
+                                        double aRandom);
 
   /// @return how long a refused caller should wait before it retries.
   [[nodiscard]] static base::Duration RetryAfter(
-    std::optional<base::Duration> aClientTimeout,
+    std::optional<base::Duration> aCallerTimeout,
     double aRandom);
 
-  /// Drops the longest client timeout seen for each route. Called when another
-  /// configuration takes effect.
-  void ClearRoutes() { maxClientTimeout_.clear(); }
+  /// Drops the longest caller timeout seen for each route. Called when new
+  /// declarations take effect.
+  void ClearCallerTimeouts() { maxCallerTimeout_.clear(); }
 
 private:
   /// Exponential moving average of the time an attempt occupies a slot.
@@ -74,7 +76,7 @@
 
   std::unordered_map<std::string, SlotTime> slotTimes_; ///< By service.
   std::unordered_map<std::string, base::Duration>
-    maxClientTimeout_; ///< By route.
+    maxCallerTimeout_; ///< By route.
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/CallerAuthentication.cpp
+++ b/Libraries/LibFleet/CallerAuthentication.cpp
@@ -11,19 +11,19 @@
 
   Caller operator()(const NoCredential& /*aCredential*/) const
   {
-    return UnauthorisedCaller{ "no key" };
+    return UnauthenticatedCaller{ "no key" };
   }
 
   Caller operator()(const MalformedCredential& /*aCredential*/) const
   {
-    return UnauthorisedCaller{ "malformed key" };
+    return UnauthenticatedCaller{ "malformed key" };
   }
 
   Caller operator()(const base::TokenDigest& aKey) const
   {
     const Organisation* organisation = organisations_.FindByKey(aKey);
     if (organisation == nullptr) {
-      return age_.MayReject() ? Caller{ UnauthorisedCaller{ "unknown key" } }
+      return age_.MayReject() ? Caller{ UnauthenticatedCaller{ "unknown key" } }
                               : Caller{ UnconfirmedCaller{} };
     }
     return age_.MayAdmit() ? Caller{ AuthenticatedCaller{ organisation } }
--- a/Libraries/LibFleet/CallerAuthentication.h
+++ b/Libraries/LibFleet/CallerAuthentication.h
@@ -28,8 +28,8 @@
 {
   /// Time since the copy was last known to be complete; empty if it never was.
   std::optional<base::Duration> age_;
-  /// From this age on, a key found in the copy may have been revoked too long
-  /// ago, so it isn't admitted. Empty: keys are admitted at any age.
+  /// From this age on, keys found in the copy aren't admitted. Bounds how long
+  /// a revoked key still works. Empty: keys are admitted at any age.
   std::optional<base::Duration> maxAgeToAdmit_;
   /// From this age on, a key missing in the copy may have been added since, so
   /// it isn't rejected.
@@ -48,7 +48,8 @@
   }
 };
 
-/// The route needs no key; the caller isn't tied to an organisation.
+/// No key is needed, since the route admits anyone or no organisations are
+/// declared. The caller isn't tied to an organisation.
 struct AnonymousCaller
 {};
 
@@ -60,7 +61,7 @@
 };
 
 /// The caller has no valid key.
-struct UnauthorisedCaller
+struct UnauthenticatedCaller
 {
   std::string_view reason_; ///< For the log.
 };
@@ -71,7 +72,7 @@
 
 using Caller = std::variant<AnonymousCaller,
                             AuthenticatedCaller,
-                            UnauthorisedCaller,
+                            UnauthenticatedCaller,
                             UnconfirmedCaller>;
 
 /// Authenticates the caller of a request.
--- a/Libraries/LibFleet/CountPublisher.cpp
+++ b/Libraries/LibFleet/CountPublisher.cpp
@@ -11,7 +11,8 @@
 constexpr base::Duration kFullUpdateInterval{ std::chrono::milliseconds{
   100 } };
 
-/// Within this interval, hosts may choose the same free slot.
+/// Minimum time between updates. Hosts that choose within this time don't know
+/// of each other's choice and may take the same free slot.
 constexpr base::Duration kMinInterval{ std::chrono::milliseconds{ 10 } };
 
 /// Bounds the rate of datagrams that a host receives.
@@ -27,10 +28,11 @@
 }
 
 std::optional<CountUpdate>
-CountPublisher::Next(std::span<const PeerCount> aCounts, base::Instant aNow)
+CountPublisher::Next(std::span<const EndpointCounts> aCounts,
+                     base::Instant aNow)
 {
-  std::map<std::string, PeerCount> current;
-  for (const PeerCount& count : aCounts) {
+  std::map<std::string, EndpointCounts> current;
+  for (const EndpointCounts& count : aCounts) {
     current.emplace(count.endpoint_, count);
   }
   CountUpdate update;
--- a/Libraries/LibFleet/CountPublisher.h
+++ b/Libraries/LibFleet/CountPublisher.h
@@ -18,14 +18,14 @@
   /// If true, these are all counts and any endpoint that isn't listed has none;
   /// otherwise only counts that changed.
   bool isFull_ = false;
-  std::vector<PeerCount> counts_;
+  std::vector<EndpointCounts> counts_;
 };
 
 /// Decides when a host sends its in-flight counts to its peers.
 ///
-/// Changes are sent immediately, since two hosts that don't know of each
-/// other's latest request choose the same free slot. All counts are sent
-/// periodically, since datagrams get lost.
+/// Changes are sent with the next call of Next(), since two hosts that don't
+/// know of each other's latest request choose the same free slot. All counts
+/// are sent periodically, since datagrams get lost.
 ///
 /// The time is passed as an argument. Performs no I/O. Not thread-safe.
 class CountPublisher
@@ -40,11 +40,11 @@
   ///        any.
   /// @return the update to send; empty if none is due.
   [[nodiscard]] std::optional<CountUpdate> Next(
-    std::span<const PeerCount> aCounts,
+    std::span<const EndpointCounts> aCounts,
     base::Instant aNow);
 
 private:
-  std::map<std::string, PeerCount> published_; ///< By endpoint.
+  std::map<std::string, EndpointCounts> published_; ///< By endpoint.
   std::optional<base::Instant> lastFullUpdateAt_;
 };
 
--- a/Libraries/LibFleet/Declarations.h
+++ b/Libraries/LibFleet/Declarations.h
@@ -10,7 +10,8 @@
 
 namespace pumiceturn::fleet {
 
-/// How a request may be retried after an attempt that may have been executed.
+/// Kind of a request. Determines whether it may be retried after an attempt
+/// that may have been executed.
 enum class RequestKind : std::uint8_t
 {
   Idempotent,    ///< May be executed more than once.
@@ -35,7 +36,7 @@
   RequestKind kind_ = RequestKind::NonIdempotent;
   bool isResumable_ = false; ///< A stream may resume at another endpoint.
   std::vector<RouteTarget> targets_;
-  /// Endpoints tried for one request of the caller.
+  /// Maximum number of endpoints tried for one request of the caller.
   std::uint32_t maxAttempts_ = 1;
   base::Duration timeout_{ std::chrono::seconds{ 15 } };
   /// Target time to the response, or to a stream's first event; zero if none is
@@ -45,8 +46,8 @@
   base::Duration dueAfter_{ 0 };
   /// Time after which a job's item may be abandoned.
   base::Duration giveUpAfter_{ 0 };
-  /// Maximum number of tokens that an organisation's accepted batch items may
-  /// have waiting at a time; zero: unlimited.
+  /// Maximum number of tokens in an organisation's batch items that were
+  /// accepted and still wait to run; zero: unlimited.
   std::uint64_t waitingTokenCap_ = 0;
   bool allowsAnonymous_ = false; ///< Callers don't need a key.
 };
@@ -78,13 +79,14 @@
   base::Duration idleTimeout_{ std::chrono::seconds{ 15 } };
 };
 
-/// One version of the complete configuration.
+/// One version of the declared routes, limits and organisations.
 struct Declarations
 {
   std::uint64_t version_ = 0;
   std::vector<Route> routes_;
   CallerLimits limits_;
-  /// If empty, callers don't need keys.
+  /// Without a list, callers don't need keys; with an empty one, no key is
+  /// valid.
   std::optional<std::vector<Organisation>> organisations_;
 };
 
@@ -93,7 +95,7 @@
 struct EndpointIncarnation
 {
   std::string id_;
-  std::int64_t startedAtMs_ = 0; ///< Unix time of the start; 0: not said.
+  std::int64_t startedAtMs_ = 0; ///< Unix time of the start; 0: unknown.
 
   bool operator==(const EndpointIncarnation&) const = default;
 };
@@ -107,7 +109,7 @@
   std::string failureDomain_;
   std::uint32_t slots_ = 1;
   bool isDraining_ = false;
-  std::int64_t startedAtMs_ = 0; ///< Unix time of its start; 0: not said.
+  std::int64_t startedAtMs_ = 0; ///< Unix time of its start; 0: unknown.
 
   [[nodiscard]] EndpointIncarnation Incarnation() const
   {
--- a/Libraries/LibFleet/EndpointTable.cpp
+++ b/Libraries/LibFleet/EndpointTable.cpp
@@ -10,21 +10,24 @@
 
 /// How strongly endpoints with more free slots are preferred. All hosts see the
 /// same counts, which are 10 to 100 ms old: if each chose the emptiest
-/// endpoint, all requests of that time would meet there.
+/// endpoint, all requests until the next update would go to it.
 constexpr double kFreeSlotsExponent = 2.0;
 
-/// Weight of an endpoint without a free slot, relative to 1 with one. It
-/// decreases with the number of requests queued there.
+/// Weight of an endpoint whose slots are all taken and that has no queue; with
+/// one free slot the weight is 1.
 constexpr double kFullWeight = 1e-4;
+/// How strongly the weight decreases with the number of attempts queued.
 constexpr double kQueueExponent = 3.0;
 
 /// Factor on the weight of an endpoint that failed recently: it is chosen only
 /// if all others fail too.
 constexpr double kAvoidedWeight = 1e-9;
 
+/// Bounds the shift; with the default limits, maxAvoidance_ is reached by then.
 constexpr std::uint32_t kMaxDoublings = 3;
 
-/// How long a replaced id is kept; late heartbeats arrive within seconds.
+/// How long it is remembered that an endpoint's process was replaced; far
+/// longer than late heartbeats take (seconds).
 constexpr std::chrono::minutes kReplacedRetention{ 10 };
 
 } // namespace
@@ -150,11 +153,11 @@
   const auto failed = std::count_if(aEndpoint.peers_.begin(),
                                     aEndpoint.peers_.end(),
                                     [this, aNow](const auto& aPeer) {
-                                      return aPeer.second.hasFailed_ &&
+                                      return aPeer.second.isAvoided_ &&
                                              aNow - aPeer.second.recordedAt_ <=
                                                limits_.peerCountLifetime_;
                                     });
-  return failed >= limits_.failedPeersToAvoid_;
+  return failed >= limits_.minPeersReportingFailure_;
 }
 
 double
@@ -278,7 +281,7 @@
     }
   }
   choice.endpoint_ = best.endpoint_->record_;
-  choice.running_ = best.counts_.Total();
+  choice.inFlight_ = best.counts_.Total();
   return choice;
 }
 
@@ -324,8 +327,8 @@
   }
   InFlightCounts& own = endpoint->own_;
   std::uint32_t& count = aWork == WorkClass::Online ? own.online_ : own.batch_;
-  // An endpoint that was dropped and registered again begins at zero while
-  // older attempts there still end.
+  // An endpoint that was dropped and registered again starts at zero,
+  // although earlier attempts may still be in flight there.
   count -= count > 0 ? 1 : 0;
 }
 
@@ -398,7 +401,7 @@
 
 void
 EndpointTable::SetPeerCounts(const std::string& aPeer,
-                             std::span<const PeerCount> aCounts,
+                             std::span<const EndpointCounts> aCounts,
                              base::Instant aNow)
 {
   std::unordered_set<std::string>& known = endpointsByPeer_[aPeer];
@@ -413,26 +416,26 @@
 
 void
 EndpointTable::UpdatePeerCounts(const std::string& aPeer,
-                                std::span<const PeerCount> aCounts,
+                                std::span<const EndpointCounts> aCounts,
                                 base::Instant aNow)
 {
-  for (const PeerCount& count : aCounts) {
+  for (const EndpointCounts& count : aCounts) {
     if (Endpoint* endpoint = Find({ count.endpoint_, count.startedAtMs_ })) {
-      endpoint->peers_[aPeer] = { count.counts_, count.hasFailed_, aNow };
+      endpoint->peers_[aPeer] = { count.counts_, count.isAvoided_, aNow };
       endpointsByPeer_[aPeer].insert(count.endpoint_);
     }
   }
 }
 
-std::vector<PeerCount>
+std::vector<EndpointCounts>
 EndpointTable::OwnCounts(base::Instant aNow) const
 {
-  std::vector<PeerCount> counts;
+  std::vector<EndpointCounts> counts;
   for (const auto& [id, endpoint] : endpoints_) {
-    const bool hasFailed = endpoint.avoidedUntil_ > aNow;
-    if (endpoint.own_.Total() > 0 || hasFailed) {
+    const bool isAvoided = endpoint.avoidedUntil_ > aNow;
+    if (endpoint.own_.Total() > 0 || isAvoided) {
       counts.push_back(
-        { id, endpoint.own_, hasFailed, endpoint.record_.startedAtMs_ });
+        { id, endpoint.own_, isAvoided, endpoint.record_.startedAtMs_ });
     }
   }
   return counts;
--- a/Libraries/LibFleet/EndpointTable.h
+++ b/Libraries/LibFleet/EndpointTable.h
@@ -32,15 +32,16 @@
   bool operator==(const InFlightCounts&) const = default;
 };
 
-/// Counts that one host reports for one endpoint.
-struct PeerCount
+/// In-flight counts of one host for one endpoint, and whether it avoids it.
+struct EndpointCounts
 {
   std::string endpoint_;
   InFlightCounts counts_;
-  bool hasFailed_ = false; ///< The host avoids the endpoint after failures.
-  std::int64_t startedAtMs_ = 0; ///< Of the endpoint's process; Unix ms.
+  bool isAvoided_ = false; ///< The host avoids the endpoint after failures.
+  /// Unix time of the process's start; 0: unknown.
+  std::int64_t startedAtMs_ = 0;
 
-  bool operator==(const PeerCount&) const = default;
+  bool operator==(const EndpointCounts&) const = default;
 };
 
 /// A chosen endpoint, with the figures behind the choice for the log.
@@ -48,7 +49,7 @@
 {
   EndpointRecord endpoint_;
   /// Attempts known at the endpoint before this one.
-  std::uint32_t running_ = 0;
+  std::uint32_t inFlight_ = 0;
   std::uint32_t candidates_ = 0;
   /// All slots are taken, and a batch attempt there must be preempted.
   bool preemptsBatch_ = false;
@@ -78,25 +79,25 @@
 /// The endpoints of all services, and the attempts that this host and its peers
 /// have in flight at each.
 ///
-/// Engines admit in order of arrival and have no priorities, so batch is held
-/// back here: a batch attempt starts only where slots are free beyond a
-/// headroom, and is cancelled (and resumed elsewhere) when online work needs
-/// its slot.
+/// Endpoints serve attempts in order of arrival and have no priorities, so
+/// batch is held back here: a batch attempt starts only where slots are free
+/// beyond a headroom, and is cancelled (and resumed elsewhere) when online work
+/// needs its slot.
 ///
-/// All state of an endpoint belongs to one process of it (EndpointIncarnation).
-/// Updates that refer to an earlier process are ignored, in whatever order they
-/// arrive. Used on the event thread only.
+/// All state of an endpoint belongs to one of its processes
+/// (EndpointIncarnation). Updates that refer to an earlier process are ignored,
+/// in whatever order they arrive. Used on the event thread only.
 class EndpointTable
 {
 public:
   struct Limits
   {
     /// Slots that batch leaves free at each endpoint for online requests that
-    /// arrive before the next exchange of counts.
+    /// arrive before the next update of the counts.
     std::uint32_t batchHeadroom_ = 1;
 
-    /// Age after which a peer's counts are ignored. A peer that is silent for
-    /// ten exchanges is stopped or cut off.
+    /// Age after which a peer's counts are ignored. A peer that sent nothing
+    /// for ten full updates (one each 100 ms) has stopped or is cut off.
     base::Duration peerCountLifetime_{ std::chrono::milliseconds{ 1000 } };
 
     /// How long an endpoint is avoided after a failed connection or a broken
@@ -104,24 +105,26 @@
     base::Duration firstAvoidance_{ std::chrono::milliseconds{ 400 } };
     base::Duration maxAvoidance_{ std::chrono::milliseconds{ 3200 } };
 
-    /// Time without new batch attempts at an endpoint after a preemption there.
-    /// Cancelling an attempt wastes the processing of its whole prompt, and
-    /// bursts of online requests last seconds.
+    /// Time without new batch attempts at an endpoint after a preemption there,
+    /// renewed by each preemption. Avoids starting batch in slots that a burst
+    /// of online requests is about to take: cancelling an attempt wastes the
+    /// processing of its whole prompt.
     base::Duration pauseAfterPreemption_{ std::chrono::milliseconds{ 300 } };
 
     /// Number of peers that must report failures of an endpoint for this host
     /// to avoid it. A single peer may itself be cut off from a working
     /// endpoint.
-    std::uint32_t failedPeersToAvoid_ = 2;
+    std::uint32_t minPeersReportingFailure_ = 2;
 
     /// How long an endpoint stays in use after the store's recovery if its
-    /// registration vanished in the outage; running endpoints register again
-    /// within about 2 s.
+    /// registration lapsed in the outage. Covers one heartbeat (1.2 s),
+    /// with which a running endpoint registers again, and the time until this
+    /// host reads the change.
     base::Duration removalGrace_{ std::chrono::milliseconds{ 1900 } };
 
-    /// Time after which the registration of an ended process has lapsed or was
-    /// replaced: three heartbeats of 1.2 s, and up to 1.2 s until the mirror
-    /// reads it.
+    /// Time within which the registration of an ended process lapses or is
+    /// replaced: three heartbeats of 1.2 s, and up to 1.2 s until this
+    /// host reads the change.
     base::Duration registrationTimeout_{ std::chrono::milliseconds{ 4900 } };
 
     /// Factor on the weight of an endpoint in another failure domain, since
@@ -177,32 +180,32 @@
   /// Records that another process answered at the endpoint's address.
   ///
   /// The registration may stay in the store for seconds, and a late heartbeat
-  /// may restore it, with no attempts and so attractive to every host. The id
-  /// is used again only with a later start.
+  /// may restore it. The endpoint would appear idle, and all hosts would choose
+  /// it. The id is accepted again only from a process with a later start time.
   void RecordReplaced(const EndpointIncarnation& aEndpoint, base::Instant aNow);
 
-  /// @return whether the endpoint's process is known to have survived a moment:
-  ///         an attempt that had begun before was active since, or the same
-  ///         process is still registered when the registration of an ended one
-  ///         would have lapsed. An attempt that began later may belong to the
-  ///         endpoint's next process.
+  /// @return whether the endpoint's process is known to have been running after
+  ///         aMoment: bytes of an attempt that began before aMoment arrived
+  ///         after it, or the same process is still registered more than
+  ///         registrationTimeout_ later. An attempt that began after aMoment
+  ///         may belong to the endpoint's next process.
   [[nodiscard]] bool HasSurvived(const std::string& aId,
                                  base::Instant aMoment,
                                  base::Instant aNow) const;
 
   /// Replaces the counts of a peer; endpoints that aren't listed have none.
   void SetPeerCounts(const std::string& aPeer,
-                     std::span<const PeerCount> aCounts,
+                     std::span<const EndpointCounts> aCounts,
                      base::Instant aNow);
 
   /// Updates the counts of a peer that are listed; the others stay.
   void UpdatePeerCounts(const std::string& aPeer,
-                        std::span<const PeerCount> aCounts,
+                        std::span<const EndpointCounts> aCounts,
                         base::Instant aNow);
 
   /// @return this host's attempts and failures at each endpoint that has any,
   ///         to send to the peers.
-  [[nodiscard]] std::vector<PeerCount> OwnCounts(base::Instant aNow) const;
+  [[nodiscard]] std::vector<EndpointCounts> OwnCounts(base::Instant aNow) const;
 
   /// Records that a batch attempt of this host was preempted. None is started
   /// there for pauseAfterPreemption_, as the burst that took its slot is likely
@@ -210,8 +213,8 @@
   void RecordPreemption(const std::string& aId, base::Instant aNow);
 
   /// Records that a peer was asked to preempt a batch attempt. Counts it as
-  /// ended until the peer's next update, so that the next request chooses
-  /// another one.
+  /// ended until the peer's next update, so that the next request doesn't count
+  /// on the same batch attempt.
   void AssumePreemption(const std::string& aId, const std::string& aPeer);
 
   /// @param aRandom Uniform in [0, 1); rounds the share.
@@ -231,7 +234,7 @@
   struct PeerEntry
   {
     InFlightCounts counts_;
-    bool hasFailed_ = false;
+    bool isAvoided_ = false;
     base::Instant recordedAt_;
   };
   struct Best
@@ -248,7 +251,7 @@
     std::uint32_t failures_ = 0;
     base::Instant avoidedUntil_;
     std::optional<base::Instant> removalDueAt_;
-    base::Instant registeredAt_; ///< When this process of it became known.
+    base::Instant registeredAt_; ///< When the current process became known.
     base::Instant lastActivityAt_;
     /// Start of the attempt that was last active.
     base::Instant activeAttemptStartedAt_;
@@ -261,8 +264,8 @@
     base::Instant recordedAt_;
   };
 
-  /// @return the endpoint, or nullptr if that process of it isn't known or
-  ///         isn't the latest.
+  /// @return the endpoint, or nullptr unless the given process is its
+  ///         current one.
   [[nodiscard]] Endpoint* Find(const EndpointIncarnation& aEndpoint);
 
   [[nodiscard]] InFlightCounts CountsOf(const Endpoint& aEndpoint,
@@ -277,7 +280,7 @@
                                 const InFlightCounts& aCounts,
                                 base::Instant aNow) const;
   /// @return the weight for preempting batch at an endpoint. Zero if online
-  ///         work alone fills the slots, since the engine would serve the
+  ///         work alone fills the slots, since the endpoint would serve the
   ///         waiting online requests first.
   [[nodiscard]] static double PreemptionWeight(const Endpoint& aEndpoint,
                                                const InFlightCounts& aCounts);
--- a/Libraries/LibFleet/EventSplitter.h
+++ b/Libraries/LibFleet/EventSplitter.h
@@ -23,11 +23,12 @@
 public:
   void Append(std::string_view aBytes) { buffer_.append(aBytes); }
 
-  /// @return the next complete event, valid until the next call; empty if more
-  ///         bytes are needed.
+  /// @return the next complete event, valid until the next call of Append(),
+  ///         Next() or Clear(); empty if more bytes are needed.
   [[nodiscard]] std::optional<StreamEvent> Next();
 
-  /// @return the number of buffered bytes that don't form a complete event yet.
+  /// @return the number of buffered bytes that Next() has not returned; once it
+  ///         returns empty, the size of the partial event.
   [[nodiscard]] std::size_t Remainder() const
   {
     return buffer_.size() - readOffset_;
--- a/Libraries/LibFleet/OrganisationTable.h
+++ b/Libraries/LibFleet/OrganisationTable.h
@@ -17,7 +17,8 @@
 {
 public:
   /// Replaces all organisations.
-  /// @param aOrganisations If empty, callers don't need keys.
+  /// @param aOrganisations Without a list, callers don't need keys; with an
+  ///        empty one, no key is valid.
   void Install(std::optional<std::vector<Organisation>> aOrganisations);
 
   /// @return whether organisations are declared, so that callers need a key.
--- a/Libraries/LibFleet/PeerReachability.cpp
+++ b/Libraries/LibFleet/PeerReachability.cpp
@@ -83,7 +83,7 @@
 }
 
 std::optional<std::string>
-PeerReachability::RelayTo(const std::string& aPeer, base::Instant aNow) const
+PeerReachability::RelayFor(const std::string& aPeer, base::Instant aNow) const
 {
   const auto peer = peers_.find(aPeer);
   if (peer == peers_.end() || IsReachable(aPeer, aNow) ||
@@ -112,7 +112,7 @@
   const std::string& randomRelay = reachable[draw(aRandom)];
   std::map<std::string, std::vector<std::string>> byRelay;
   for (const std::string& name : silent) {
-    byRelay[RelayTo(name, aNow).value_or(randomRelay)].push_back(name);
+    byRelay[RelayFor(name, aNow).value_or(randomRelay)].push_back(name);
   }
   std::vector<RelayRequest> requests;
   requests.reserve(byRelay.size());
--- a/Libraries/LibFleet/PeerReachability.h
+++ b/Libraries/LibFleet/PeerReachability.h
@@ -21,9 +21,9 @@
 /// Tracks which peers this host receives messages from, and finds relays for
 /// the others.
 ///
-/// If only some hosts are cut off from each other, both sides would count each
-/// other's attempts as zero: batch would start in slots that online work
-/// occupies, and preemption requests would be lost.
+/// Without relays, two hosts that are cut off from each other, but not from the
+/// rest, would count each other's attempts as zero: batch would start in slots
+/// that online work occupies, and preemption requests would be lost.
 ///
 /// Time and random numbers are passed as arguments. Performs no I/O. Not
 /// thread-safe.
@@ -74,10 +74,11 @@
     base::Instant aNow,
     std::mt19937_64& aRandom) const;
 
-  /// @return the peer that relays to an unreachable peer; empty if that peer is
-  ///         reachable directly or through nobody.
-  [[nodiscard]] std::optional<std::string> RelayTo(const std::string& aPeer,
-                                                   base::Instant aNow) const;
+  /// @return the host through which an unreachable peer can be reached: the one
+  ///         that relayed its last message. Empty if the peer is reachable
+  ///         directly or no relay is known.
+  [[nodiscard]] std::optional<std::string> RelayFor(const std::string& aPeer,
+                                                    base::Instant aNow) const;
 
 private:
   struct Peer
--- a/Libraries/LibFleet/RateAccounts.cpp
+++ b/Libraries/LibFleet/RateAccounts.cpp
@@ -7,21 +7,24 @@
 
 namespace {
 
-/// Share of the available requests below which hosts must query first. What
-/// they admit by themselves before they receive this must fit into the
-/// remainder.
+/// Hosts must query first if fewer requests are available than this share of
+/// the bucket's capacity, or of the requests per window if these are fewer.
+/// Until they receive the response that says so, they admit requests without a
+/// query, which the available ones must cover.
 constexpr double kQueryFirstThreshold = 0.3;
 
 /// How long hosts query first after each response that requires it.
 constexpr std::chrono::milliseconds kQueryFirstDuration{ 2000 };
 
-/// Shares of the tolerance. A window that contains a restart may hold the
-/// bucket's capacity, the rate, and the initial credit.
+/// Shares of the tolerance that are added to the bucket's capacity, and given
+/// to a new owner as initial credit. A window in which the owner restarts may
+/// admit both in addition to the limit, so their sum must not exceed 1.
 constexpr double kBucketToleranceShare = 0.4;
 constexpr double kInitialToleranceShare = 0.25;
 
-/// Share of the tolerance used while some hosts are unreachable: what they
-/// admit isn't known, and half of the fleet or more may be down.
+/// Share of the tolerance that is added to the limit while some hosts are
+/// unreachable, since half of the fleet or more may be down and leave its share
+/// of the limit unused. The rest is kept, as it isn't known what they admit.
 constexpr double kPartitionToleranceShare = 0.5;
 
 /// Decay time of the count of refused requests.
@@ -29,13 +32,13 @@
 
 constexpr std::chrono::seconds kMaxRetryAfter{ 5 };
 
-/// Seconds of the rate by which credit may be overdrawn, so that a burst that
+/// Maximum debt of an account, in seconds of its rate, so that a burst that
 /// was reported late doesn't block an organisation for long.
 constexpr double kMaxDebtSeconds = 2.0;
 
-/// An account that was not used for this time may have had another owner
-/// meanwhile.
-constexpr std::chrono::seconds kMaxUnusedTime{ 1 };
+/// If an account was last used longer than this before the reachable hosts
+/// changed, it may have had another owner meanwhile.
+constexpr std::chrono::seconds kMinUnusedForOtherOwner{ 1 };
 
 constexpr std::chrono::minutes kIdleTimeout{ 1 };
 
@@ -72,82 +75,86 @@
     std::max((aLimit.burst_ + kBucketToleranceShare * tolerated) * aShare, 1.0);
   allowance.initialCredit_ =
     std::min(kInitialToleranceShare * tolerated * aShare, allowance.capacity_);
-  allowance.window_ = std::max((allowed + extra) * aShare, 1.0);
+  allowance.requestsPerWindow_ = std::max((allowed + extra) * aShare, 1.0);
   return allowance;
 }
 
-RateAccounts::Bucket&
+RateAccounts::Account&
 RateAccounts::Refill(const std::string& aOrganisation,
                      const Allowance& aAllowance,
                      const RateLimitMembership& aMembers,
                      base::Instant aNow)
 {
-  const auto [found, isNew] = buckets_.try_emplace(aOrganisation);
-  Bucket& bucket = found->second;
+  const auto [found, isNew] = accounts_.try_emplace(aOrganisation);
+  Account& account = found->second;
   const base::Instant changedAt = aMembers.ChangedAt();
   // Another host may have owned the account until the reachable hosts changed,
   // and what it admitted isn't known.
-  const bool hadOtherOwner = bucket.refilledAt_ + kMaxUnusedTime < changedAt;
+  const bool hadOtherOwner =
+    account.refilledAt_ + kMinUnusedForOtherOwner < changedAt;
   if (isNew || hadOtherOwner) {
-    bucket.credit_ = aAllowance.initialCredit_;
-    bucket.refilledAt_ = std::min(changedAt, aNow);
+    account.credit_ = aAllowance.initialCredit_;
+    account.refilledAt_ = std::min(changedAt, aNow);
   }
-  const base::Duration passed = aNow - bucket.refilledAt_;
-  bucket.credit_ =
-    std::min(bucket.credit_ + aAllowance.rate_ * ToSeconds(passed),
+  const base::Duration passed = aNow - account.refilledAt_;
+  account.credit_ =
+    std::min(account.credit_ + aAllowance.rate_ * ToSeconds(passed),
              aAllowance.capacity_);
-  bucket.recentRefusals_ *=
+  account.recentRefusals_ *=
     std::exp(-ToSeconds(passed) / ToSeconds(base::Duration(kRefusalDecayTime)));
-  bucket.refilledAt_ = aNow;
-  AdvanceWindow(bucket, aNow);
-  return bucket;
+  account.refilledAt_ = aNow;
+  AdvanceWindow(account, aNow);
+  return account;
 }
 
 void
-RateAccounts::AdvanceWindow(Bucket& aBucket, base::Instant aNow) const
+RateAccounts::AdvanceWindow(Account& aAccount, base::Instant aNow) const
 {
   const base::Duration slice = tolerance_.window_ / kSlices;
   const std::int64_t currentSlice = aNow.time_since_epoch() / slice;
-  const auto count = static_cast<std::int64_t>(aBucket.requestsBySlice_.size());
+  const auto count =
+    static_cast<std::int64_t>(aAccount.requestsBySlice_.size());
   const std::int64_t oldest = currentSlice - count;
-  for (std::int64_t index = std::max(aBucket.slice_, oldest);
+  for (std::int64_t index = std::max(aAccount.slice_, oldest);
        index < currentSlice;
        ++index) {
     double& sliceRequests =
-      aBucket.requestsBySlice_[static_cast<std::size_t>((index + 1) % count)];
-    aBucket.requestsInWindow_ -= sliceRequests;
+      aAccount.requestsBySlice_[static_cast<std::size_t>((index + 1) % count)];
+    aAccount.requestsInWindow_ -= sliceRequests;
     sliceRequests = 0.0;
   }
-  aBucket.slice_ = currentSlice;
+  aAccount.slice_ = currentSlice;
 }
 
 void
-RateAccounts::Debit(Bucket& aBucket, double aRequests)
+RateAccounts::Debit(Account& aAccount, double aRequests)
 {
-  const auto count = static_cast<std::int64_t>(aBucket.requestsBySlice_.size());
-  aBucket.credit_ -= aRequests;
-  aBucket.requestsBySlice_[static_cast<std::size_t>(aBucket.slice_ % count)] +=
+  const auto count =
+    static_cast<std::int64_t>(aAccount.requestsBySlice_.size());
+  aAccount.credit_ -= aRequests;
+  aAccount
+    .requestsBySlice_[static_cast<std::size_t>(aAccount.slice_ % count)] +=
     aRequests;
-  aBucket.requestsInWindow_ += aRequests;
+  aAccount.requestsInWindow_ += aRequests;
 }
 
 void
-RateAccounts::Charge(Bucket& aBucket,
-                     const std::string& aHost,
-                     const RateReport& aReport)
+RateAccounts::ApplyTotals(Account& aAccount,
+                          const std::string& aHost,
+                          const RateReport& aReport)
 {
-  Account& account = aBucket.accounts_[aHost];
-  if (account.id_ != aReport.account_) {
-    account = { aReport.account_, 0, 0 };
+  HostTotals& totals = aAccount.totals_[aHost];
+  if (totals.seriesId_ != aReport.seriesId_) {
+    totals = { aReport.seriesId_, 0, 0 };
   }
   // Totals never decrease: a lower one is from an older message.
-  if (aReport.admitted_ > account.admitted_) {
-    Debit(aBucket, static_cast<double>(aReport.admitted_ - account.admitted_));
-    account.admitted_ = aReport.admitted_;
+  if (aReport.admitted_ > totals.admitted_) {
+    Debit(aAccount, static_cast<double>(aReport.admitted_ - totals.admitted_));
+    totals.admitted_ = aReport.admitted_;
   }
-  if (aReport.refunded_ > account.refunded_) {
-    Debit(aBucket, -static_cast<double>(aReport.refunded_ - account.refunded_));
-    account.refunded_ = aReport.refunded_;
+  if (aReport.refunded_ > totals.refunded_) {
+    Debit(aAccount, -static_cast<double>(aReport.refunded_ - totals.refunded_));
+    totals.refunded_ = aReport.refunded_;
   }
 }
 
@@ -159,33 +166,34 @@
                            base::Instant aNow)
 {
   const Allowance allowance = AllowanceFor(aLimit, aMembers.Share());
-  Bucket& bucket = Refill(aReport.organisation_, allowance, aMembers, aNow);
-  Charge(bucket, aHost, aReport);
-  bucket.credit_ = std::clamp(
-    bucket.credit_, -kMaxDebtSeconds * allowance.rate_, allowance.capacity_);
+  Account& account = Refill(aReport.organisation_, allowance, aMembers, aNow);
+  ApplyTotals(account, aHost, aReport);
+  account.credit_ = std::clamp(
+    account.credit_, -kMaxDebtSeconds * allowance.rate_, allowance.capacity_);
   RateResponse response;
   response.organisation_ = aReport.organisation_;
-  response.account_ = aReport.account_;
+  response.seriesId_ = aReport.seriesId_;
   response.query_ = aReport.query_;
   if (aReport.query_ != 0) {
-    response.isGranted_ = AvailableRequests(bucket, allowance) >= 1.0;
+    response.isGranted_ = AvailableRequests(account, allowance) >= 1.0;
     if (response.isGranted_) {
-      Debit(bucket, 1.0);
+      Debit(account, 1.0);
     } else {
-      bucket.recentRefusals_ += 1.0;
+      account.recentRefusals_ += 1.0;
     }
   }
-  const double available = AvailableRequests(bucket, allowance);
+  const double available = AvailableRequests(account, allowance);
   if (available <
       std::max(1.0,
                kQueryFirstThreshold *
-                 std::min(allowance.capacity_, allowance.window_))) {
+                 std::min(allowance.capacity_, allowance.requestsPerWindow_))) {
     response.queryFirstFor_ = kQueryFirstDuration;
   }
   if (available < 1.0) {
-    response.noCreditFor_ = TimeToCredit(bucket, allowance);
+    response.noCreditFor_ = TimeToCredit(account, allowance);
     response.retryAfter_ = std::clamp<base::Duration>(
-      FromSeconds(bucket.recentRefusals_ / std::max(allowance.rate_, kMinRate)),
+      FromSeconds(account.recentRefusals_ /
+                  std::max(allowance.rate_, kMinRate)),
       response.noCreditFor_,
       kMaxRetryAfter);
   }
@@ -193,29 +201,30 @@
 }
 
 double
-RateAccounts::AvailableRequests(const Bucket& aBucket,
+RateAccounts::AvailableRequests(const Account& aAccount,
                                 const Allowance& aAllowance)
 {
-  return std::min(aBucket.credit_,
-                  aAllowance.window_ - aBucket.requestsInWindow_);
+  return std::min(aAccount.credit_,
+                  aAllowance.requestsPerWindow_ - aAccount.requestsInWindow_);
 }
 
 base::Duration
-RateAccounts::TimeToCredit(const Bucket& aBucket,
+RateAccounts::TimeToCredit(const Account& aAccount,
                            const Allowance& aAllowance) const
 {
   const double rate = std::max(aAllowance.rate_, kMinRate);
-  const base::Duration byBucket = FromSeconds((1.0 - aBucket.credit_) / rate);
+  const base::Duration byBucket = FromSeconds((1.0 - aAccount.credit_) / rate);
   // Slices leave the window one by one, oldest first.
   const base::Duration slice = tolerance_.window_ / kSlices;
-  const auto count = static_cast<std::int64_t>(aBucket.requestsBySlice_.size());
-  double inWindow = aBucket.requestsInWindow_;
+  const auto count =
+    static_cast<std::int64_t>(aAccount.requestsBySlice_.size());
+  double inWindow = aAccount.requestsInWindow_;
   base::Duration byWindow{ 0 };
   for (std::int64_t ahead = 1;
-       ahead <= count && aAllowance.window_ - inWindow < 1.0;
+       ahead <= count && aAllowance.requestsPerWindow_ - inWindow < 1.0;
        ++ahead) {
-    inWindow -= aBucket.requestsBySlice_[static_cast<std::size_t>(
-      (aBucket.slice_ + ahead) % count)];
+    inWindow -= aAccount.requestsBySlice_[static_cast<std::size_t>(
+      (aAccount.slice_ + ahead) % count)];
     byWindow += slice;
   }
   return std::clamp<base::Duration>(
@@ -225,7 +234,7 @@
 void
 RateAccounts::Expire(base::Instant aNow)
 {
-  std::erase_if(buckets_, [aNow](const auto& aEntry) {
+  std::erase_if(accounts_, [aNow](const auto& aEntry) {
     return aNow - aEntry.second.refilledAt_ > kIdleTimeout;
   });
 }
--- a/Libraries/LibFleet/RateAccounts.h
+++ b/Libraries/LibFleet/RateAccounts.h
@@ -22,14 +22,15 @@
   double slack_ = 0.0;   ///< Additional requests in each window.
 };
 
-/// Rate accounts of the organisations that this host owns, for all hosts.
+/// The rate accounts that this host owns. Each counts an organisation's
+/// requests at all hosts.
 ///
-/// Two things bound the requests that may run: the number admitted in the last
-/// window, in which they may arrive in any rhythm, and a credit bucket that
-/// fills at the organisation's rate. The bucket limits what a new owner, which
-/// doesn't know the window, adds to what was admitted before.
+/// Requests are bounded twice: by the number admitted in the last window,
+/// however they are distributed in it, and by a credit bucket that fills at the
+/// organisation's rate. A new owner doesn't know how many requests were
+/// admitted in the window; the bucket bounds what it admits in addition.
 ///
-/// While credit is plentiful, hosts admit requests by themselves and report
+/// While credit is plentiful, hosts admit requests without a query and report
 /// them afterwards; when it runs low, the owner requires a query first.
 /// The time is passed as an argument. Performs no I/O. Not thread-safe.
 class RateAccounts
@@ -50,19 +51,20 @@
   /// Drops accounts that were not used for kIdleTimeout.
   void Expire(base::Instant aNow);
 
-  [[nodiscard]] std::size_t Count() const { return buckets_.size(); }
+  [[nodiscard]] std::size_t Count() const { return accounts_.size(); }
 
 private:
-  struct Account
+  /// Totals that one host reported.
+  struct HostTotals
   {
-    std::uint64_t id_ = 0;
+    std::uint64_t seriesId_ = 0;
     std::uint64_t admitted_ = 0;
     std::uint64_t refunded_ = 0;
   };
   /// Number of slices of the window by which requests are counted.
   static constexpr std::size_t kSlices = 20;
 
-  struct Bucket
+  struct Account
   {
     double credit_ = 0.0;
     /// Requests by slice, including the current one.
@@ -71,7 +73,7 @@
     std::int64_t slice_ = 0;        ///< Current slice, counted from the epoch.
     double recentRefusals_ = 0.0;   ///< Recently refused requests, decaying.
     base::Instant refilledAt_;
-    std::unordered_map<std::string, Account> accounts_; ///< By host.
+    std::unordered_map<std::string, HostTotals> totals_; ///< By host.
   };
 
   /// The part of a limit that the reachable hosts may use.
@@ -81,31 +83,31 @@
     double capacity_ = 0.0; ///< Capacity of the bucket, in requests.
     /// Credit of an owner that doesn't know the account's history.
     double initialCredit_ = 0.0;
-    double window_ = 0.0; ///< Requests allowed in one window.
+    double requestsPerWindow_ = 0.0; ///< Requests allowed in one window.
   };
 
   [[nodiscard]] Allowance AllowanceFor(const RateLimit& aLimit,
                                        double aShare) const;
-  Bucket& Refill(const std::string& aOrganisation,
-                 const Allowance& aAllowance,
-                 const RateLimitMembership& aMembers,
-                 base::Instant aNow);
-  void AdvanceWindow(Bucket& aBucket, base::Instant aNow) const;
-  static void Debit(Bucket& aBucket, double aRequests);
-  static void Charge(Bucket& aBucket,
-                     const std::string& aHost,
-                     const RateReport& aReport);
+  Account& Refill(const std::string& aOrganisation,
+                  const Allowance& aAllowance,
+                  const RateLimitMembership& aMembers,
+                  base::Instant aNow);
+  void AdvanceWindow(Account& aAccount, base::Instant aNow) const;
+  static void Debit(Account& aAccount, double aRequests);
+  static void ApplyTotals(Account& aAccount,
+                          const std::string& aHost,
+                          const RateReport& aReport);
 
   /// @return the number of requests that may be admitted now.
-  [[nodiscard]] static double AvailableRequests(const Bucket& aBucket,
+  [[nodiscard]] static double AvailableRequests(const Account& aAccount,
                                                 const Allowance& aAllowance);
 
   /// @return the time until a request may be admitted again.
-  [[nodiscard]] base::Duration TimeToCredit(const Bucket& aBucket,
+  [[nodiscard]] base::Duration TimeToCredit(const Account& aAccount,
                                             const Allowance& aAllowance) const;
 
   RateTolerance tolerance_;
-  std::unordered_map<std::string, Bucket> buckets_; ///< By organisation.
+  std::unordered_map<std::string, Account> accounts_; ///< By organisation.
 };
 
 } // namespace pumiceturn::fleet
--- a/Libraries/LibFleet/RateLimitMembership.cpp
+++ b/Libraries/LibFleet/RateLimitMembership.cpp
@@ -9,14 +9,14 @@
 void
 RateLimitMembership::Update(std::span<const Member> aOthers, base::Instant aNow)
 {
-  std::vector<AccountHost> reachable;
-  std::size_t admittingCount = admits_ ? 1 : 0;
-  std::size_t registeredCount = admittingCount;
+  std::vector<RankedHost> reachable;
+  std::size_t reachableCount = admits_ ? 1 : 0;
+  std::size_t registeredCount = reachableCount;
   for (const Member& member : aOthers) {
     registeredCount += member.admits_ ? 1 : 0;
     if (member.isReachable_) {
       reachable.emplace_back(!member.admits_, member.host_);
-      admittingCount += member.admits_ ? 1 : 0;
+      reachableCount += member.admits_ ? 1 : 0;
     }
   }
   std::sort(reachable.begin(), reachable.end());
@@ -34,7 +34,7 @@
     registrationCounts_.pop_front();
   }
   count_ = std::max<std::size_t>(registrationCounts_.front().count_, 1);
-  share_ = static_cast<double>(admittingCount) / static_cast<double>(count_);
+  share_ = static_cast<double>(reachableCount) / static_cast<double>(count_);
 }
 
 const std::string&
--- a/Libraries/LibFleet/RateLimitMembership.h
+++ b/Libraries/LibFleet/RateLimitMembership.h
@@ -24,9 +24,9 @@
   {
     std::string host_;
     bool isReachable_ = false;
-    /// Whether the host admits requests. Hosts that don't only own accounts,
-    /// and are preferred as owners: they have more processor time and restart
-    /// less often.
+    /// Whether the host admits requests. A host that admits none only owns
+    /// accounts. Such hosts are preferred as owners, since they have more
+    /// processor time and restart less often.
     bool admits_ = true;
   };
 
@@ -53,9 +53,9 @@
   ///         use. Hosts that are cut off from them use the rest.
   [[nodiscard]] double Share() const { return share_; }
 
-  /// @return the number of hosts that may be admitting requests, including this
-  ///         one.
-  [[nodiscard]] std::size_t Count() const { return count_; }
+  /// @return the largest number of registered hosts that admit requests
+  ///         within kRetention; at least 1.
+  [[nodiscard]] std::size_t AdmittingCount() const { return count_; }
 
   /// @return when the set of reachable hosts last changed.
   [[nodiscard]] base::Instant ChangedAt() const { return changedAt_; }
@@ -69,14 +69,14 @@
     std::size_t count_ = 1;
   };
 
-  /// Whether a host only owns accounts, and its name.
-  using AccountHost = std::pair<bool, std::string>;
+  /// Whether a host only owns accounts (preferred as owner), and its name.
+  using RankedHost = std::pair<bool, std::string>;
 
   std::string ownName_;
   bool admits_;
-  std::vector<AccountHost> reachable_; ///< Sorted; excludes this host.
+  std::vector<RankedHost> reachable_; ///< Sorted; excludes this host.
   std::deque<RegistrationCount>
-    registrationCounts_; ///< Recent counts, in falling order.
+    registrationCounts_; ///< Counts within kRetention, descending.
   std::size_t count_ = 1;
   double share_ = 1.0;
   base::Instant changedAt_{};
--- a/Libraries/LibFleet/RateLimiter.cpp
+++ b/Libraries/LibFleet/RateLimiter.cpp
@@ -41,21 +41,21 @@
 }
 
 RateLimiter::Usage&
-RateLimiter::Find(const Organisation& aOrganisation,
-                  base::Instant aNow,
-                  std::mt19937_64& aRandom)
+RateLimiter::UsageFor(const Organisation& aOrganisation,
+                      base::Instant aNow,
+                      std::mt19937_64& aRandom)
 {
   Usage& usage = usages_[aOrganisation.name_];
   const std::string& owner = members_.OwnerOf(aOrganisation.name_);
   if (usage.owner_ != owner) {
-    // The account at the new owner begins with the requests that were not
-    // reported yet.
+    // The series of reports to the new owner begins with the requests that were
+    // not reported yet.
     const std::uint64_t unreported =
       usage.admitted_ + usage.refunded_ - usage.reported_;
     const base::Instant queryUntil = usage.queryUntil_;
     usage = {};
     usage.owner_ = owner;
-    usage.account_ = std::max<std::uint64_t>(aRandom(), 1);
+    usage.seriesId_ = std::max<std::uint64_t>(aRandom(), 1);
     usage.admitted_ = unreported;
     usage.queryUntil_ = queryUntil;
     usage.reportedAt_ = aNow;
@@ -63,9 +63,9 @@
   usage.usedAt_ = aNow;
   usage.limit_ = aOrganisation.limit_;
   const double unreported = kUnreportedShare * aOrganisation.limit_.burst_ /
-                            static_cast<double>(members_.Count());
-  usage.reportAfter_ =
-    static_cast<std::uint64_t>(std::clamp(unreported, 1.0, kMaxUnreported));
+                            static_cast<double>(members_.AdmittingCount());
+  usage.maxUnreported_ =
+    static_cast<std::uint64_t>(std::clamp(maxUnreported, 1.0, kMaxUnreported));
   return usage;
 }
 
@@ -73,7 +73,7 @@
 RateLimiter::MakeReport(const std::string& aOrganisation, const Usage& aUsage)
 {
   return {
-    aOrganisation, aUsage.account_, aUsage.admitted_, aUsage.refunded_, 0
+    aOrganisation, aUsage.seriesId_, aUsage.admitted_, aUsage.refunded_, 0
   };
 }
 
@@ -85,7 +85,7 @@
   if (!aOrganisation.limit_.IsSet()) {
     return RateAdmitted{};
   }
-  Usage& usage = Find(aOrganisation, aNow, aRandom);
+  Usage& usage = UsageFor(aOrganisation, aNow, aRandom);
   if (aNow < usage.noCreditUntil_) {
     return RateRefused{ usage.retryAfter_, "no credit" };
   }
@@ -93,7 +93,7 @@
   const std::uint64_t unreported =
     usage.admitted_ + usage.refunded_ - usage.reported_;
   if (!isOwner && aNow >= usage.queryUntil_ &&
-      unreported < usage.reportAfter_) {
+      unreported < usage.maxUnreported_) {
     ++usage.admitted_;
     return RateAdmitted{};
   }
@@ -115,7 +115,7 @@
   Usage& usage = usages_[aOrganisation.name_];
   usage.usedAt_ = aNow;
   usage.limit_ = aOrganisation.limit_;
-  const double hosts = static_cast<double>(members_.Count());
+  const double hosts = static_cast<double>(members_.AdmittingCount());
   const RateLimit& limit = aOrganisation.limit_;
   if (usage.localCreditAt_ != base::Instant{}) {
     const double passed =
@@ -135,7 +135,7 @@
   return RateRefused{ std::chrono::duration_cast<base::Duration>(
                         std::chrono::duration<double>(
                           std::min(seconds, kMaxRetryAfterSeconds))),
-                      "keeper silent" };
+                      "no response from the account's owner" };
 }
 
 void
@@ -161,7 +161,8 @@
 RateLimiter::HandleResponse(const RateResponse& aResponse, base::Instant aNow)
 {
   const auto usage = usages_.find(aResponse.organisation_);
-  if (usage != usages_.end() && usage->second.account_ == aResponse.account_) {
+  if (usage != usages_.end() &&
+      usage->second.seriesId_ == aResponse.seriesId_) {
     RecordResponse(usage->second, aResponse, aNow);
   }
   if (aResponse.query_ == 0) {
@@ -193,7 +194,7 @@
   for (auto& [organisation, usage] : usages_) {
     const std::uint64_t total = usage.admitted_ + usage.refunded_;
     const std::uint64_t unreported = total - usage.reported_;
-    if (unreported == 0 || (unreported < usage.reportAfter_ &&
+    if (unreported == 0 || (unreported < usage.maxUnreported_ &&
                             aNow - usage.reportedAt_ < kMaxReportDelay)) {
       continue;
     }
--- a/Libraries/LibFleet/RateLimiter.h
+++ b/Libraries/LibFleet/RateLimiter.h
@@ -26,7 +26,7 @@
 struct RateRefused
 {
   base::Duration retryAfter_{ 0 };
-  std::string_view decidedBy_; ///< For the log.
+  std::string_view reason_; ///< Why or by whom it was refused, for the log.
 };
 
 /// The owner of the organisation's account must be queried first.
@@ -44,8 +44,8 @@
 /// One host owns each organisation's account. While credit is plentiful, hosts
 /// admit requests immediately and report them within a fraction of a second.
 /// Near the limit, or with more unreported requests than a small part of the
-/// burst, they query the owner before each request. Hosts report only
-/// organisations in use, to one owner each.
+/// burst, they query the owner before each request. Hosts send reports
+/// only for organisations in use, each to one owner.
 ///
 /// Hosts that can't reach each other keep separate accounts, with a share of
 /// the limit according to their number. Time and random numbers are passed as
@@ -89,8 +89,9 @@
     const Organisation& aOrganisation,
     base::Instant aNow);
 
-  /// Applies the reports to own accounts.
-  /// @return the other reports that are due, with the owner to send each to.
+  /// Makes the reports that are due, and applies those for accounts that this
+  /// host owns.
+  /// @return those for other owners, with the owner to send each to.
   [[nodiscard]] std::vector<std::pair<std::string, RateReport>>
   CollectDueReports(base::Instant aNow);
 
@@ -105,12 +106,13 @@
   {
     RateLimit limit_; ///< Limit as last declared.
     std::string owner_;
-    std::uint64_t account_ = 0;
+    std::uint64_t seriesId_ = 0;
     std::uint64_t admitted_ = 0;
     std::uint64_t refunded_ = 0;
     /// Value of admitted_ + refunded_ in the last report.
     std::uint64_t reported_ = 0;
-    std::uint64_t reportAfter_ = 1;
+    /// Number of unreported requests from which a report is due.
+    std::uint64_t maxUnreported_ = 1;
     base::Instant reportedAt_;
     base::Instant usedAt_;
     base::Instant queryUntil_;
@@ -120,9 +122,9 @@
     base::Instant localCreditAt_;
   };
 
-  Usage& Find(const Organisation& aOrganisation,
-              base::Instant aNow,
-              std::mt19937_64& aRandom);
+  Usage& UsageFor(const Organisation& aOrganisation,
+                  base::Instant aNow,
+                  std::mt19937_64& aRandom);
   [[nodiscard]] static RateReport MakeReport(const std::string& aOrganisation,
                                              const Usage& aUsage);
   void RecordResponse(Usage& aUsage,
--- a/Libraries/LibFleet/RateMessages.h
+++ b/Libraries/LibFleet/RateMessages.h
@@ -8,17 +8,21 @@
 namespace pumiceturn::fleet {
 
 /// Report of a host to the owner of an organisation's account. Holds totals
-/// since the account began, so that a lost, duplicated or late message does no
-/// harm.
+/// since the start of the host's series of reports, so that a lost, duplicated
+/// or late message does no harm.
 struct RateReport
 {
   std::string organisation_;
-  /// Random id, chosen when a host starts to report to an owner.
-  std::uint64_t account_ = 0;
-  std::uint64_t admitted_ = 0; ///< Requests that the host admitted by itself.
-  /// Admitted by any host, but certainly not executed.
+  /// Random id of the host's series of reports to this owner. The owner
+  /// counts a new series from zero.
+  std::uint64_t seriesId_ = 0;
+  /// Requests that the host admitted without the owner's grant.
+  std::uint64_t admitted_ = 0;
+  /// Requests admitted at the host, with or without a grant, that were
+  /// certainly not executed.
   std::uint64_t refunded_ = 0;
-  /// Id of a query whether one more request may be admitted; 0: no query.
+  /// Id of the query that the report makes: whether one more request may be
+  /// admitted. 0: no query.
   std::uint64_t query_ = 0;
 
   bool operator==(const RateReport&) const = default;
@@ -28,11 +32,11 @@
 struct RateResponse
 {
   std::string organisation_;
-  std::uint64_t account_ = 0;
+  std::uint64_t seriesId_ = 0;
   std::uint64_t query_ = 0; ///< Query that is answered; 0: none.
   bool isGranted_ = false;
-  /// How long the host must query the owner before each request of the
-  /// organisation.
+  /// Time for which the host must query the owner before it admits a request of
+  /// the organisation.
   base::Duration queryFirstFor_{ 0 };
   /// Time until there may be credit again; the host sends no query before that.
   base::Duration noCreditFor_{ 0 };
--- a/Libraries/LibFleet/RouteTable.h
+++ b/Libraries/LibFleet/RouteTable.h
@@ -10,7 +10,8 @@
 
 namespace pumiceturn::fleet {
 
-/// Finds the route of a request. The version never decreases. Used on the event
+/// Finds the route of a request in the declarations installed last.
+/// Declarations of an older version are never installed. Used on the event
 /// thread only.
 class RouteTable
 {
--- a/Libraries/LibFleet/SuspectTable.h
+++ b/Libraries/LibFleet/SuspectTable.h
@@ -15,7 +15,8 @@
 {
   std::uint64_t content_ = 0; ///< Hash of the request's content.
   std::string endpoint_;
-  /// It began when another broken attempt for this content was known.
+  /// The attempt's host knew of another broken attempt for this content when it
+  /// began.
   bool isRetry_ = false;
   base::Instant brokeAt_;
 };
@@ -25,22 +26,25 @@
 /// them, and each retry costs an endpoint and all its other attempts.
 ///
 /// Endpoints also crash for other reasons, several at once, and break attempts
-/// of frequent contents. Therefore attempts that began without knowledge of
-/// another crash count as one. An attempt counts only if its endpoint did not
-/// survive, and not if the content was answered since. Not thread-safe.
+/// of frequent requests with the same content. Therefore attempts that began
+/// without knowledge of another crash count as one. An attempt counts only if
+/// its endpoint did not survive, and not if a request with this content has
+/// been answered since. Not thread-safe.
 class SuspectTable
 {
 public:
-  /// Number of successive crashes after which a content is refused.
+  /// Number of successive crashes after which requests with the same content
+  /// are refused.
   static constexpr std::size_t kCrashesToRefuse = 3;
 
   /// How long a broken attempt is kept.
   static constexpr base::Duration kRetention{ std::chrono::seconds{ 60 } };
 
-  /// Maximum number of contents kept.
+  /// Maximum number of different request contents kept.
   static constexpr std::size_t kMaxContents = 512;
 
-  /// Returns whether an endpoint's process was still running after a moment.
+  /// Returns whether an endpoint's process was still running after the time
+  /// aMoment.
   using HasSurvived =
     std::function<bool(const std::string& aEndpoint, base::Instant aMoment)>;
 
@@ -48,10 +52,11 @@
   /// each endpoint and content is kept.
   void RecordBroken(const SuspectAttempt& aAttempt);
 
-  /// Records that an endpoint answered a content.
+  /// Records that an endpoint answered a request with this content.
   void RecordAnswered(std::uint64_t aContent, base::Instant aNow);
 
-  /// @return whether an attempt that begins now is a retry after a crash.
+  /// @return whether broken attempts for this content are known, so that an
+  ///         attempt that begins now is a retry.
   [[nodiscard]] bool IsSuspect(std::uint64_t aContent) const;
 
   [[nodiscard]] bool IsEmpty() const { return contents_.empty(); }
--- a/Libraries/LibGateway/AccessControl.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -112,7 +112,7 @@
       return CallerName{ aKnown.organisation_->name_ };
     }
     std::optional<CallerName> operator()(
-      const fleet::UnauthorisedCaller& aRefused) const
+      const fleet::UnauthenticatedCaller& aRefused) const
     {
       Log(aRefused.reason_);
       exchange_.Respond(accessControl_.shared_.codec_.MakeUnauthorised());
@@ -264,7 +264,7 @@
               { "organisation", aOrganisation.name_ },
               { "rate", aOrganisation.limit_.ratePerSecond_ },
               { "burst", aOrganisation.limit_.burst_ },
-              { "decided_by", aRefusal.decidedBy_ },
+              { "decided_by", aRefusal.reason_ },
               { "share", shared_.rateLimiter_.Share() },
               { "come_back_ms", base::ToMs(aRefusal.retryAfter_) } });
   shared_.metrics_
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -34,7 +34,7 @@
           const std::string& aKey)
 {
   for (const metadata::StoreItem& item : aResponse.current_) {
-    if (item.key_ == aKey && item.revision_ != 0 && !item.removed_) {
+    if (item.key_ == aKey && item.revision_ != 0 && !item.isRemoved_) {
       return batch::DecodeState(item.value_).value_or(batch::BatchJobState{});
     }
   }
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -119,7 +119,7 @@
     }
     return;
   }
-  if (aItem.removed_ || !storeCodec_.IsDeclarations(aItem.key_)) {
+  if (aItem.isRemoved_ || !storeCodec_.IsDeclarations(aItem.key_)) {
     return;
   }
   auto declarations = storeCodec_.ReadDeclarations(aItem);
@@ -136,7 +136,7 @@
   if (!shared_.routes_.Install(std::move(*declarations))) {
     return;
   }
-  shared_.admission_.ClearRoutes();
+  shared_.admission_.ClearCallerTimeouts();
   callerListener_.SetLimits(limits);
   base::Log(kDeclarationsInForce,
             { { "version", shared_.routes_.Version() },
@@ -150,7 +150,7 @@
 {
   const base::Instant now = base::MonotonicNow();
   const std::string id = aItem.key_.substr(layout_.endpointPrefix_.size());
-  if (aItem.removed_) {
+  if (aItem.isRemoved_) {
     shared_.endpoints_.Remove(id, health_.RecoveredAt(now), now);
     shared_.pool_.RemoveServer(id);
     base::Log(kEndpointChanged,
@@ -195,7 +195,7 @@
 void
 Gateway::OnBatchJobKey(const metadata::StoreItem& aItem)
 {
-  if (aItem.removed_) {
+  if (aItem.isRemoved_) {
     jobs_.Remove(aItem.key_);
     return;
   }
@@ -216,7 +216,7 @@
 {
   const std::string host = aItem.key_.substr(layout_.hostPrefix_.size());
   const base::Instant now = base::MonotonicNow();
-  if (aItem.removed_) {
+  if (aItem.isRemoved_) {
     hosts_.Remove(host, now);
     peers_.RemovePeer(host);
     OnHostsChanged();
--- a/Libraries/LibGateway/LedgerChange.cpp
+++ b/Libraries/LibGateway/LedgerChange.cpp
@@ -34,7 +34,7 @@
                      aResponse.current_.end(),
                      [&aKey](const auto& aItem) {
                        return aItem.key_ == aKey && aItem.revision_ != 0 &&
-                              !aItem.removed_;
+                              !aItem.isRemoved_;
                      });
 }
 
--- a/Libraries/LibGateway/OnlineProxy.cpp
+++ b/Libraries/LibGateway/OnlineProxy.cpp
@@ -213,10 +213,10 @@
     return true;
   }
   const fleet::AdmissionRequest request{
-    aChoice.endpoint_.service_, route_.name_,      aChoice.running_,
+    aChoice.endpoint_.service_, route_.name_,      aChoice.inFlight_,
     aChoice.endpoint_.slots_,   route_.objective_, call_.clientTimeout_
   };
-  const fleet::Admission admission =
+  const fleet::AdmissionDecision admission =
     shared_.admission_.Check(request, NextRandom(shared_.random_));
   expectedWait_ = admission.expectedWait_;
   // A request that was sent once isn't rejected: the rejection would be late.
@@ -227,7 +227,7 @@
             { { "request", call_.requestId_ },
               { "route", route_.name_ },
               { "endpoint", aChoice.endpoint_.id_ },
-              { "running", aChoice.running_ },
+              { "running", aChoice.inFlight_ },
               { "candidates", aChoice.candidates_ },
               { "wait_ms", base::ToMs(admission.expectedWait_) },
               { "objective_ms", base::ToMs(route_.objective_) },
@@ -247,7 +247,7 @@
             { { "request", call_.requestId_ },
               { "route", route_.name_ },
               { "endpoint", aChoice.endpoint_.id_ },
-              { "running", aChoice.running_ },
+              { "running", aChoice.inFlight_ },
               { "candidates", aChoice.candidates_ },
               { "preempts", aChoice.preemptsBatch_ },
               { "attempt", triedEndpoints_.size() + 1 },
--- a/Libraries/LibGateway/PeerMessenger.cpp
+++ b/Libraries/LibGateway/PeerMessenger.cpp
@@ -110,11 +110,11 @@
     return;
   }
   json rows = json::array();
-  for (const fleet::PeerCount& count : update->counts_) {
+  for (const fleet::EndpointCounts& count : update->counts_) {
     rows.push_back({ count.endpoint_,
                      count.counts_.online_,
                      count.counts_.batch_,
-                     count.hasFailed_,
+                     count.isAvoided_,
                      count.startedAtMs_ });
   }
   json content = { { "host", ownName_ } };
@@ -273,7 +273,7 @@
 {
   // If this datagram is lost, the peer preempts at its next tick.
   json content = { { "host", ownName_ }, { "yield", aEndpoint } };
-  const auto relay = reachability_.RelayTo(aPeer, base::MonotonicNow());
+  const auto relay = reachability_.RelayFor(aPeer, base::MonotonicNow());
   if (relay) {
     content["to"] = aPeer;
   }
@@ -298,10 +298,10 @@
       }));
 }
 
-std::vector<fleet::PeerCount>
+std::vector<fleet::EndpointCounts>
 PeerMessenger::ReadCounts(const json& aRows)
 {
-  std::vector<fleet::PeerCount> counts;
+  std::vector<fleet::EndpointCounts> counts;
   for (const json& row : aRows) {
     counts.push_back(
       { row.at(0).get<std::string>(),
--- a/Libraries/LibGateway/PeerMessenger.h
+++ b/Libraries/LibGateway/PeerMessenger.h
@@ -119,7 +119,7 @@
   void Relay(const std::string& aHost,
              const nlohmann::json& aMessage,
              base::Instant aNow);
-  [[nodiscard]] static std::vector<fleet::PeerCount> ReadCounts(
+  [[nodiscard]] static std::vector<fleet::EndpointCounts> ReadCounts(
     const nlohmann::json& aRows);
   void HandleSuspects(const nlohmann::json& aRows);
   [[nodiscard]] nlohmann::json SuspectRows() const;
--- a/Libraries/LibGateway/RateCodec.cpp
+++ b/Libraries/LibGateway/RateCodec.cpp
@@ -30,7 +30,7 @@
 EncodeRateReport(const fleet::RateReport& aReport)
 {
   return { { "name", aReport.organisation_ },
-           { "account", aReport.account_ },
+           { "account", aReport.seriesId_ },
            { "admitted", aReport.admitted_ },
            { "returned", aReport.refunded_ },
            { "question", aReport.query_ } };
@@ -50,7 +50,7 @@
 EncodeRateResponse(const fleet::RateResponse& aResponse)
 {
   return { { "name", aResponse.organisation_ },
-           { "account", aResponse.account_ },
+           { "account", aResponse.seriesId_ },
            { "question", aResponse.query_ },
            { "granted", aResponse.isGranted_ },
            { "ask_first", base::ToMs(aResponse.queryFirstFor_) },
@@ -63,7 +63,7 @@
 {
   fleet::RateResponse response;
   response.organisation_ = aRow.at("name").get<std::string>();
-  response.account_ = aRow.at("account").get<std::uint64_t>();
+  response.seriesId_ = aRow.at("account").get<std::uint64_t>();
   response.query_ = aRow.at("question").get<std::uint64_t>();
   response.isGranted_ = aRow.at("granted").get<bool>();
   response.queryFirstFor_ = DecodeTime(aRow.at("ask_first"));
--- a/Libraries/LibGateway/StoreMirrors.cpp
+++ b/Libraries/LibGateway/StoreMirrors.cpp
@@ -126,7 +126,7 @@
                   { "follows", follows },
                   { "may_follow", ownState_.mayFollow_ },
                   { "age_ms", base::ToMs(mirrored.mirror_->View().age_) },
-                  { "revision", mirrored.mirror_->View().followed_ } });
+                  { "revision", mirrored.mirror_->View().followedRevision_ } });
       mirrored.mirror_->SetFollows(follows);
     }
   }
--- a/Libraries/LibGateway/StoreReport.cpp
+++ b/Libraries/LibGateway/StoreReport.cpp
@@ -36,8 +36,8 @@
 json
 EncodeView(const metadata::MirrorView& aView)
 {
-  return { { "change", aView.lastChange_ },
-           { "followed", aView.followed_ },
+  return { { "change", aView.lastChangeRevision_ },
+           { "followed", aView.followedRevision_ },
            { "age", base::ToMs(aView.age_) },
            { "complete", ToMicroseconds(aView.completeAsOf_) } };
 }
@@ -79,7 +79,7 @@
            { "value",
              json::binary({ aItem.value_.begin(), aItem.value_.end() }) },
            { "revision", aItem.revision_ },
-           { "removed", aItem.removed_ } };
+           { "removed", aItem.isRemoved_ } };
 }
 
 metadata::StoreItem
@@ -90,7 +90,7 @@
   const auto& value = aRow.at("value").get_binary();
   item.value_.assign(value.begin(), value.end());
   item.revision_ = aRow.at("revision").get<std::uint64_t>();
-  item.removed_ = aRow.at("removed").get<bool>();
+  item.isRemoved_ = aRow.at("removed").get<bool>();
   return item;
 }
 
--- a/Libraries/LibMetadata/HostLease.cpp
+++ b/Libraries/LibMetadata/HostLease.cpp
@@ -39,17 +39,17 @@
 void
 HostLease::RecordCall(StoreStatus aStatus, base::Instant aMadeAt)
 {
-  const bool isAnswered =
+  const bool hasResponse =
     aStatus == StoreStatus::Ok || aStatus == StoreStatus::NotFound;
   // A call that timed out shows that the outage began no later than the call.
-  health_.RecordCall(isAnswered, isAnswered ? base::MonotonicNow() : aMadeAt);
+  health_.RecordCall(hasResponse, hasResponse ? base::MonotonicNow() : aMadeAt);
 }
 
 void
 HostLease::Grant()
 {
   const base::Instant madeAt = base::MonotonicNow();
-  const auto onReply = [this, madeAt](LeaseResponse aResponse) {
+  const auto onResponse = [this, madeAt](LeaseResponse aResponse) {
     RecordCall(aResponse.status_, madeAt);
     if (isEnded_) {
       return;
@@ -61,7 +61,7 @@
     lease_ = aResponse.lease_;
     Register();
   };
-  client_.GrantLease(options_.lifetime_, lifetime_.Guard(onReply));
+  client_.GrantLease(options_.lifetime_, lifetime_.Guard(onResponse));
 }
 
 void
@@ -69,7 +69,7 @@
 {
   Transaction transaction;
   transaction.writes_.push_back({ options_.key_, options_.value_, lease_ });
-  const auto onReply = [this](const TransactionResponse& aResponse) {
+  const auto onResponse = [this](const TransactionResponse& aResponse) {
     if (isEnded_) {
       return;
     }
@@ -85,14 +85,14 @@
     base::Log(kLeaseGranted, { { "lease", lease_ } });
     Schedule(options_.renewalInterval_, &HostLease::Renew);
   };
-  client_.Commit(transaction, lifetime_.Guard(onReply));
+  client_.Commit(transaction, lifetime_.Guard(onResponse));
 }
 
 void
 HostLease::Renew()
 {
   const base::Instant madeAt = base::MonotonicNow();
-  const auto onReply = [this, madeAt](LeaseResponse aResponse) {
+  const auto onResponse = [this, madeAt](LeaseResponse aResponse) {
     RecordCall(aResponse.status_, madeAt);
     if (isEnded_) {
       return;
@@ -111,7 +111,7 @@
     Schedule(isOk ? options_.renewalInterval_ : base::Duration(kRetryPause),
              &HostLease::Renew);
   };
-  client_.RenewLease(lease_, lifetime_.Guard(onReply));
+  client_.RenewLease(lease_, lifetime_.Guard(onResponse));
 }
 
 void
--- a/Libraries/LibMetadata/HostLease.h
+++ b/Libraries/LibMetadata/HostLease.h
@@ -14,9 +14,9 @@
 namespace pumiceturn::metadata {
 
 /// Registers this host in the store under a lease, so that other hosts notice
-/// when it starts and ends. If the lease lapses because the host is paused or
-/// the store is unavailable, the host registers again. A host that follows no
-/// prefix detects outages of the store by its renewals. Used on the event
+/// when it starts and ends. If the lease lapses because the host is suspended
+/// or the store is unavailable, the host registers again. A host that follows
+/// no prefix detects outages of the store by its renewals. Used on the event
 /// thread only.
 class HostLease
 {
--- a/Libraries/LibMetadata/MirrorDelta.h
+++ b/Libraries/LibMetadata/MirrorDelta.h
@@ -12,15 +12,15 @@
 struct MirrorView
 {
   /// Revision of the newest relevant change in the copy.
-  std::uint64_t lastChange_ = 0;
-  /// The copy includes all changes up to this revision; there are no relevant
-  /// ones after lastChange_.
-  std::uint64_t followed_ = 0;
+  std::uint64_t lastChangeRevision_ = 0;
+  /// The copy includes all changes up to this revision; none of those after
+  /// lastChangeRevision_ is relevant (see PrefixMirror::ChangeHandler).
+  std::uint64_t followedRevision_ = 0;
   /// Time since the store last confirmed this to the host directly.
   base::Duration age_{};
-  /// The copy includes all changes made before this moment, which is when the
-  /// call to the store that showed it was made. On the clock of the host that
-  /// holds the copy.
+  /// The copy includes all changes made before this time: the start of the
+  /// store call that confirmed it, on the clock of the host that holds the
+  /// copy.
   base::BootInstant completeAsOf_{};
 };
 
--- a/Libraries/LibMetadata/PeerClocks.h
+++ b/Libraries/LibMetadata/PeerClocks.h
@@ -13,8 +13,9 @@
 ///
 /// Both clocks advance while a machine is suspended, so a message that waited
 /// in a socket doesn't make its contents look recent. The difference of the
-/// clocks is taken from the message that was fastest in the last seconds. The
-/// time is passed as an argument. Performs no I/O. Not thread-safe.
+/// clocks is taken from the fastest message of the current and the previous
+/// window (kWindow). The time is passed as an argument. Performs no I/O. Not
+/// thread-safe.
 class PeerClocks
 {
 public:
--- a/Libraries/LibMetadata/PrefixMirror.cpp
+++ b/Libraries/LibMetadata/PrefixMirror.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// A host that only checks whether its copy is complete doesn't wait for
-/// changes.
-constexpr std::chrono::milliseconds kNoWait{ 1 };
+/// Maximum duration of a watch by which a host only checks whether its copy is
+/// complete.
+constexpr std::chrono::milliseconds kCheckWait{ 1 };
 
 } // namespace
 
@@ -45,7 +45,7 @@
 {
   phase_ = Phase::Reading;
   if (aAfter.empty()) {
-    pages_.clear();
+    readItems_.clear();
     readRevision_.reset();
     readStartedAt_ = base::BootNow();
   }
@@ -70,10 +70,10 @@
     readRevision_ = aResponse.storeRevision_;
   }
   for (StoreItem& item : aResponse.items_) {
-    pages_.push_back(std::move(item));
+    readItems_.push_back(std::move(item));
   }
-  if (aResponse.isTruncated_ && !pages_.empty()) {
-    ReadPage(pages_.back().key_);
+  if (aResponse.isTruncated_ && !readItems_.empty()) {
+    ReadPage(readItems_.back().key_);
     return;
   }
   FinishReading();
@@ -83,17 +83,17 @@
 PrefixMirror::FinishReading()
 {
   std::unordered_set<std::string> present;
-  for (const StoreItem& item : pages_) {
+  for (const StoreItem& item : readItems_) {
     present.insert(item.key_);
   }
-  std::vector<StoreItem> read = std::exchange(pages_, {});
+  std::vector<StoreItem> read = std::exchange(readItems_, {});
   for (const auto& [key, revision] : revisions_) {
     if (!present.contains(key)) {
       read.push_back({ key, {}, *readRevision_, true });
     }
   }
   const std::size_t count = present.size();
-  const std::uint64_t previousChange = View().lastChange_;
+  const std::uint64_t previousChange = View().lastChangeRevision_;
   std::vector<StoreItem> changes;
   for (StoreItem& item : read) {
     if (Apply(item)) {
@@ -119,20 +119,20 @@
   const auto known = revisions_.find(aItem.key_);
   const bool isKnown = known != revisions_.end();
   const bool isNew =
-    isKnown ? aItem.revision_ > known->second : !aItem.removed_;
+    isKnown ? aItem.revision_ > known->second : !aItem.isRemoved_;
   if (!isNew) {
     return false;
   }
-  if (aItem.removed_) {
+  if (aItem.isRemoved_) {
     revisions_.erase(known);
   } else {
     revisions_[aItem.key_] = aItem.revision_;
   }
-  const bool matters = onChange_(aItem);
-  if (matters) {
+  const bool isRelevant = onChange_(aItem);
+  if (isRelevant) {
     tracker_.RecordChange(aItem.revision_);
   }
-  return matters;
+  return isRelevant;
 }
 
 void
@@ -207,12 +207,12 @@
   if (outcome == ReportOutcome::Gap) {
     CatchUp(aCatchUpAfter);
   }
-  if (outcome != ReportOutcome::Current) {
+  if (outcome != ReportOutcome::Usable) {
     return;
   }
-  const std::uint64_t followed = tracker_.Followed();
+  const std::uint64_t followedRevision = tracker_.FollowedRevision();
   for (const StoreItem& item : aDelta.items_) {
-    if (item.revision_ > followed) {
+    if (item.revision_ > followedRevision) {
       (void)Apply(item);
     }
   }
@@ -231,20 +231,20 @@
 void
 PrefixMirror::Watch()
 {
-  phase_ = Phase::Calling;
+  phase_ = Phase::Watching;
   if (!follows_) {
     base::Log(kCopyChecked,
               { { "prefix", options_.prefix_ },
                 { "missed_change", isCatchingUp_ },
                 { "age_ms", base::ToMs(View().age_) },
-                { "revision", tracker_.Followed() } });
+                { "revision", tracker_.FollowedRevision() } });
   }
   isCatchingUp_ = false;
   const base::BootInstant requestedAt = base::BootNow();
   client_.Watch(
     options_.prefix_,
-    tracker_.Followed(),
-    follows_ ? options_.maxWatchWait_ : base::Duration(kNoWait),
+    tracker_.FollowedRevision(),
+    follows_ ? options_.maxWatchWait_ : base::Duration(kCheckWait),
     lifetime_.Guard([this, requestedAt](const WatchResponse& aResponse) {
       OnWatch(aResponse, requestedAt);
     }));
@@ -254,27 +254,27 @@
 PrefixMirror::OnWatch(const WatchResponse& aResponse,
                       base::BootInstant aRequestedAt)
 {
-  const bool isAnswered = aResponse.status_ == StoreStatus::Ok ||
-                          aResponse.status_ == StoreStatus::HistoryLost;
-  health_.RecordCall(isAnswered, base::MonotonicNow());
+  const bool hasResponse = aResponse.status_ == StoreStatus::Ok ||
+                           aResponse.status_ == StoreStatus::HistoryLost;
+  health_.RecordCall(hasResponse, base::MonotonicNow());
   if (aResponse.status_ == StoreStatus::HistoryLost) {
     Restart();
     return;
   }
-  if (!isAnswered) {
+  if (!hasResponse) {
     phase_ = Phase::Waiting;
     Schedule(options_.retryPause_, &PrefixMirror::Watch);
     return;
   }
-  const std::uint64_t followed = tracker_.Followed();
-  const std::uint64_t previousChange = View().lastChange_;
+  const std::uint64_t followedRevision = tracker_.FollowedRevision();
+  const std::uint64_t previousChange = View().lastChangeRevision_;
   std::vector<StoreItem> changes;
   for (const StoreItem& item : aResponse.events_) {
-    if (item.revision_ > followed && Apply(item)) {
+    if (item.revision_ > followedRevision && Apply(item)) {
       changes.push_back(item);
     }
   }
-  tracker_.RecordAnswer(
+  tracker_.RecordResponse(
     aResponse.storeRevision_, aRequestedAt, base::BootNow());
   ForwardChanges(previousChange, std::move(changes));
   if (follows_ && !aResponse.events_.empty()) {
--- a/Libraries/LibMetadata/PrefixMirror.h
+++ b/Libraries/LibMetadata/PrefixMirror.h
@@ -22,8 +22,8 @@
 /// follows the changes, and reads the prefix again if the store has dropped its
 /// history.
 ///
-/// Each call to the store is counted and charged, so only few hosts follow it
-/// by watches; they send the changes to the others (SetFollows, ApplyDelta,
+/// Each call to the store is counted and charged, so only a few hosts watch the
+/// prefix; they send the changes to the others (SetFollows, ApplyDelta,
 /// ApplyView). A host whose copy was not confirmed for a while queries the
 /// store itself. Used on the event thread only.
 class PrefixMirror
@@ -81,15 +81,15 @@
   /// @param aCatchUpAfter As for ApplyView().
   void ApplyDelta(const MirrorDelta& aDelta, base::Duration aCatchUpAfter);
 
-  /// Called after this host did not run for a while: the store is queried
+  /// Called after this host was suspended: the store is queried
   /// before reports of peers are used again.
   void MarkStale();
 
   /// @return whether the prefix was read completely at least once.
   [[nodiscard]] bool IsComplete() const { return isComplete_; }
 
-  /// @return the latest time of which the copy is known to include all changes;
-  ///         empty before the first read.
+  /// @return the latest time such that the copy is known to include all changes
+  ///         made before it; empty before the first read.
   [[nodiscard]] std::optional<base::BootInstant> CompleteAsOf() const
   {
     return tracker_.CompleteAsOf();
@@ -104,9 +104,9 @@
 private:
   enum class Phase : std::uint8_t
   {
-    Reading, ///< Reading the whole prefix.
-    Waiting, ///< Waiting for the next call.
-    Calling, ///< A watch is in progress.
+    Reading,  ///< Reading the whole prefix.
+    Waiting,  ///< Waiting for the next call.
+    Watching, ///< A watch is in progress.
   };
 
   void ReadPage(const std::string& aAfter);
@@ -135,7 +135,7 @@
   boost::asio::steady_timer timer_;
   ViewTracker tracker_;
   std::unordered_map<std::string, std::uint64_t> revisions_;
-  std::vector<StoreItem> pages_; ///< Items of the current read so far.
+  std::vector<StoreItem> readItems_; ///< Items of the current read so far.
   std::optional<std::uint64_t> readRevision_;
   base::BootInstant readStartedAt_;
   Phase phase_ = Phase::Reading;
--- a/Libraries/LibMetadata/StoreClient.h
+++ b/Libraries/LibMetadata/StoreClient.h
@@ -28,7 +28,8 @@
   std::string value_;
   /// Revision of its last change; 0: the key doesn't exist.
   std::uint64_t revision_ = 0;
-  bool removed_ = false; ///< Set only in the events of a watch.
+  /// The key was removed; never set in a RangeResponse.
+  bool isRemoved_ = false;
 };
 
 struct RangeResponse
@@ -95,7 +96,7 @@
                      Callback<RangeResponse> aCallback) = 0;
 
   /// Waits until a key under the prefix changes after a revision.
-  /// @param aMaxWait Time after which the call returns without a change.
+  /// @param aMaxWait Time after which the call completes without a change.
   virtual void Watch(const std::string& aPrefix,
                      std::uint64_t aAfterRevision,
                      base::Duration aMaxWait,
--- a/Libraries/LibMetadata/StoreHealth.cpp
+++ b/Libraries/LibMetadata/StoreHealth.cpp
@@ -5,15 +5,15 @@
 namespace pumiceturn::metadata {
 
 void
-StoreHealth::RecordCall(bool aIsAnswered, base::Instant aNow)
+StoreHealth::RecordCall(bool aHasResponse, base::Instant aNow)
 {
-  if (!aIsAnswered && !isLost_) {
+  if (!aHasResponse && !isLost_) {
     isLost_ = true;
     lostAt_ = aNow;
     base::Log(kStoreLost);
-  } else if (aIsAnswered && isLost_) {
+  } else if (aHasResponse && isLost_) {
     isLost_ = false;
-    answeredAgainAt_ = aNow;
+    respondedAgainAt_ = aNow;
     if (aNow - lostAt_ >= kMinOutage) {
       recoveredAt_ = aNow;
     }
@@ -31,7 +31,7 @@
 bool
 StoreHealth::WasLostWithin(base::Duration aWindow, base::Instant aNow) const
 {
-  return isLost_ || (answeredAgainAt_ && aNow - *answeredAgainAt_ < aWindow);
+  return isLost_ || (respondedAgainAt_ && aNow - *respondedAgainAt_ < aWindow);
 }
 
 } // namespace pumiceturn::metadata
--- a/Libraries/LibMetadata/StoreHealth.h
+++ b/Libraries/LibMetadata/StoreHealth.h
@@ -11,16 +11,17 @@
 class StoreHealth
 {
 public:
-  /// Records the result of a call, and logs when the store is lost or regained.
-  void RecordCall(bool aIsAnswered, base::Instant aNow);
+  /// Records the result of a call, and logs when the store stops responding or
+  /// responds again.
+  void RecordCall(bool aHasResponse, base::Instant aNow);
 
   [[nodiscard]] bool IsLost() const { return isLost_; }
 
-  /// Minimum time without a response that counts as an outage. Registrations
-  /// lapse in an outage; a host that mistook a single lost response for one
-  /// would keep using endpoints that have left. The call after a failed one is
-  /// answered within half a second, and outages in which registrations lapse
-  /// last longer than two heartbeats of the endpoints (2.4 s).
+  /// Minimum time without a response that counts as an outage, in which
+  /// registrations may lapse. A host that took a single lost response for an
+  /// outage would keep using endpoints that have ended. The call after a failed
+  /// one gets a response within half a second; registrations lapse only in
+  /// outages of more than two heartbeats of the endpoints (2.4 s).
   static constexpr base::Duration kMinOutage{ std::chrono::milliseconds{
     1000 } };
 
@@ -38,7 +39,7 @@
   base::Instant lostAt_{};
   std::optional<base::Instant> recoveredAt_; ///< End of the last outage.
   /// First response after the last failed call.
-  std::optional<base::Instant> answeredAgainAt_;
+  std::optional<base::Instant> respondedAgainAt_;
 };
 
 } // namespace pumiceturn::metadata
--- a/Libraries/LibMetadata/StorePath.cpp
+++ b/Libraries/LibMetadata/StorePath.cpp
@@ -7,7 +7,7 @@
 bool
 StorePath::RecordDirect(PathOutcome aOutcome)
 {
-  if (aOutcome == PathOutcome::Served || state_ != State::Open) {
+  if (aOutcome == PathOutcome::Served || state_ != State::Working) {
     return false;
   }
   state_ = State::InDoubt;
@@ -19,7 +19,7 @@
 {
   const bool wasLost = state_ == State::Lost;
   const bool isServed = aOutcome == PathOutcome::Served;
-  state_ = isServed ? State::Open : State::Lost;
+  state_ = isServed ? State::Working : State::Lost;
   if (isServed && wasLost) {
     base::Log(kStorePathRegained);
   } else if (!isServed && !wasLost) {
--- a/Libraries/LibMetadata/StorePath.h
+++ b/Libraries/LibMetadata/StorePath.h
@@ -18,9 +18,10 @@
 /// Tracks whether this host's direct path to the store works, and whether peers
 /// may be asked to relay calls. Performs no I/O. Not thread-safe.
 ///
-/// The store may reject some hosts and serve the others. Such a host would lose
-/// its registration within seconds, and with it the jobs it runs. A single
-/// failed call isn't enough, as responses get lost; a probe decides.
+/// The store may reject some hosts and serve the others. A rejected host would
+/// lose its registration within seconds, and with it the jobs it runs, so its
+/// calls are relayed by peers. As single responses get lost, the path counts as
+/// lost only after a probe has failed too.
 class StorePath
 {
 public:
@@ -53,12 +54,12 @@
 private:
   enum class State : std::uint8_t
   {
-    Open,
+    Working,
     InDoubt, ///< A call failed, and a probe is in progress.
     Lost,
   };
 
-  State state_ = State::Open;
+  State state_ = State::Working;
   int peersFailed_ = 0;
   base::Instant askPeersAfter_{};
 };
--- a/Libraries/LibMetadata/ViewTracker.cpp
+++ b/Libraries/LibMetadata/ViewTracker.cpp
@@ -16,13 +16,13 @@
                         base::BootInstant aNow)
 {
   RecordComplete(aRequestedAt);
-  // Which items of a first read are changes for other hosts isn't known: for an
-  // older copy, any of them may be.
-  if (followed_ == 0) {
-    lastChange_ = aRevision;
+  // In a first read it isn't known which items other hosts lack: a host with an
+  // older copy may lack any of them.
+  if (followedRevision_ == 0) {
+    lastChangeRevision_ = aRevision;
   }
-  followed_ = std::max(followed_, aRevision);
-  answeredAt_ = aNow;
+  followedRevision_ = std::max(followedRevision_, aRevision);
+  respondedAt_ = aNow;
   confirmedAt_ = aNow;
   markedStaleAt_.reset();
 }
@@ -30,21 +30,21 @@
 void
 ViewTracker::RecordChange(std::uint64_t aRevision)
 {
-  lastChange_ = std::max(lastChange_, aRevision);
+  lastChangeRevision_ = std::max(lastChangeRevision_, aRevision);
 }
 
 void
-ViewTracker::RecordAnswer(std::uint64_t aRevision,
-                          base::BootInstant aRequestedAt,
-                          base::BootInstant aNow)
+ViewTracker::RecordResponse(std::uint64_t aRevision,
+                            base::BootInstant aRequestedAt,
+                            base::BootInstant aNow)
 {
   RecordComplete(aRequestedAt);
-  followed_ = std::max(followed_, aRevision);
+  followedRevision_ = std::max(followedRevision_, aRevision);
   if (markedStaleAt_ && aRequestedAt < *markedStaleAt_) {
     return;
   }
   markedStaleAt_.reset();
-  answeredAt_ = aNow;
+  respondedAt_ = aNow;
   confirmedAt_ = aNow;
 }
 
@@ -54,18 +54,18 @@
   if (markedStaleAt_) {
     return ReportOutcome::Ignored;
   }
-  if (aView.lastChange_ > followed_) {
+  if (aView.lastChangeRevision_ > followedRevision_) {
     return ReportOutcome::Gap;
   }
   // A peer that is behind knows nothing of later changes.
-  if (aView.followed_ < followed_) {
+  if (aView.followedRevision_ < followedRevision_) {
     return ReportOutcome::Ignored;
   }
-  followed_ = aView.followed_;
-  lastChange_ = aView.lastChange_;
+  followedRevision_ = aView.followedRevision_;
+  lastChangeRevision_ = aView.lastChangeRevision_;
   confirmedAt_ = std::max(confirmedAt_, aNow - aView.age_);
   RecordComplete(aView.completeAsOf_);
-  return ReportOutcome::Current;
+  return ReportOutcome::Usable;
 }
 
 ReportOutcome
@@ -74,16 +74,16 @@
   if (markedStaleAt_) {
     return ReportOutcome::Ignored;
   }
-  if (aDelta.previousChange_ > followed_) {
+  if (aDelta.previousChange_ > followedRevision_) {
     return ReportOutcome::Gap;
   }
-  return ReportOutcome::Current;
+  return ReportOutcome::Usable;
 }
 
 void
 ViewTracker::RecordDelta(const MirrorView& aView, base::BootInstant aNow)
 {
-  followed_ = std::max(followed_, aView.followed_);
+  followedRevision_ = std::max(followedRevision_, aView.followedRevision_);
   (void)ApplyView(aView, aNow);
 }
 
@@ -102,9 +102,9 @@
 MirrorView
 ViewTracker::View(base::BootInstant aNow) const
 {
-  return { lastChange_,
-           followed_,
-           aNow - answeredAt_,
+  return { lastChangeRevision_,
+           followedRevision_,
+           aNow - respondedAt_,
            completeAsOf_.value_or(base::BootInstant{}) };
 }
 
--- a/Libraries/LibMetadata/ViewTracker.h
+++ b/Libraries/LibMetadata/ViewTracker.h
@@ -12,7 +12,7 @@
 enum class ReportOutcome : std::uint8_t
 {
   Ignored, ///< The report can't be used.
-  Current, ///< The copy includes all changes that the report refers to.
+  Usable,  ///< The report follows on from the copy without a gap.
   Gap,     ///< The copy lacks a change: the store must be queried.
 };
 
@@ -39,23 +39,23 @@
   /// Records a response of the store to this host.
   /// @param aRevision The copy is complete up to this revision.
   /// @param aRequestedAt When the call was made.
-  void RecordAnswer(std::uint64_t aRevision,
-                    base::BootInstant aRequestedAt,
-                    base::BootInstant aNow);
+  void RecordResponse(std::uint64_t aRevision,
+                      base::BootInstant aRequestedAt,
+                      base::BootInstant aNow);
 
   /// Applies the reported state of a peer's copy.
   ReportOutcome ApplyView(const MirrorView& aView, base::BootInstant aNow);
 
   /// Checks whether a peer's changes follow on from the copy without a gap.
-  /// @return Current if the caller should apply those after Followed() and then
-  ///         call RecordDelta().
+  /// @return Usable if the caller should apply those after FollowedRevision()
+  ///         and then call RecordDelta().
   [[nodiscard]] ReportOutcome CheckDelta(const MirrorDelta& aDelta) const;
 
   /// Records that the changes of a peer were applied.
   void RecordDelta(const MirrorView& aView, base::BootInstant aNow);
 
-  /// Called after this host did not run for a while. Messages that wait to be
-  /// read may be as old, so only a call made from now on confirms the copy.
+  /// Called after this host was suspended. Messages still to be read may have
+  /// been sent before that, so only a call made from now on confirms the copy.
   void MarkStale(base::BootInstant aNow);
 
   /// @return whether the store confirmed the copy within aLifetime.
@@ -68,9 +68,9 @@
     return confirmedAt_ + aLifetime;
   }
 
-  /// @return the latest time of which the copy is known to include all changes,
-  ///         regardless of delays of responses or messages since; empty before
-  ///         the first read.
+  /// @return the latest time such that the copy is known to include all changes
+  ///         made before it, however late the response or message arrived that
+  ///         showed this; empty before the first read.
   [[nodiscard]] std::optional<base::BootInstant> CompleteAsOf() const
   {
     return completeAsOf_;
@@ -82,16 +82,19 @@
   ///         read.
   [[nodiscard]] MirrorView View(base::BootInstant aNow) const;
 
-  [[nodiscard]] std::uint64_t Followed() const { return followed_; }
+  [[nodiscard]] std::uint64_t FollowedRevision() const
+  {
+    return followedRevision_;
+  }
 
 private:
   void RecordComplete(base::BootInstant aMoment);
 
-  std::uint64_t lastChange_ = 0;
-  std::uint64_t followed_ = 0;
+  std::uint64_t lastChangeRevision_ = 0;
+  std::uint64_t followedRevision_ = 0;
   base::BootInstant confirmedAt_{};
   /// Time of the store's last response to this host.
-  base::BootInstant answeredAt_{};
+  base::BootInstant respondedAt_{};
   std::optional<base::BootInstant> completeAsOf_;
   std::optional<base::BootInstant> markedStaleAt_;
 };
--- a/Tests/LibFleet/AdmissionControlTest.cpp
+++ b/Tests/LibFleet/AdmissionControlTest.cpp
@@ -9,23 +9,23 @@
 class AdmissionControlFixture
 {
 protected:
-  static constexpr double kHalf = 0.5;
+  static constexpr double kRandom = 0.5;
 
   /// Records attempts of 800 ms; with 8 slots, one is freed every 100 ms.
   void RecordSlotTimes()
   {
-    for (int run = 0; run < 50; ++run) {
+    for (int attempt = 0; attempt < 50; ++attempt) {
       control_.RecordSlotTime("llm", milliseconds(800));
     }
   }
 
-  Admission Check(
-    std::uint32_t aRunning,
-    std::optional<base::Duration> aClientTimeout = milliseconds(5000))
+  AdmissionDecision Check(
+    std::uint32_t aInFlight,
+    std::optional<base::Duration> aCallerTimeout = milliseconds(5000))
   {
     return control_.Check(
-      { "llm", "route", aRunning, 8, milliseconds(300), aClientTimeout },
-      kHalf);
+      { "llm", "route", aInFlight, 8, milliseconds(300), aCallerTimeout },
+      kRandom);
   }
 
   AdmissionControl control_;
@@ -39,7 +39,7 @@
   RecordSlotTimes();
   CHECK_FALSE(Check(7).retryAfter_);
   CHECK_FALSE(Check(8).retryAfter_);
-  const Admission late = Check(10);
+  const AdmissionDecision late = Check(10);
   CHECK(late.expectedWait_ == milliseconds(300));
   REQUIRE(late.retryAfter_);
   CHECK(*late.retryAfter_ > milliseconds(900));
@@ -53,7 +53,7 @@
   RecordSlotTimes();
   REQUIRE(Check(12).retryAfter_);
   CHECK_FALSE(Check(12, milliseconds(3600)).retryAfter_);
-  control_.ClearRoutes();
+  control_.ClearCallerTimeouts();
   CHECK(Check(12, milliseconds(3600)).retryAfter_);
 }
 
@@ -72,7 +72,7 @@
 {
   RecordSlotTimes();
   CHECK_FALSE(
-    control_.Check({ "llm", "r", 30, 8, {}, milliseconds(5000) }, kHalf)
+    control_.Check({ "llm", "r", 30, 8, {}, milliseconds(5000) }, kRandom)
       .retryAfter_);
 }
 
@@ -80,7 +80,7 @@
                  "AdmissionControl_SlotTimeGrows_ExpectedWaitGrows")
 {
   RecordSlotTimes();
-  for (int run = 0; run < 100; ++run) {
+  for (int attempt = 0; attempt < 100; ++attempt) {
     control_.RecordSlotTime("llm", milliseconds(1600));
   }
   CHECK(Check(8).expectedWait_ > milliseconds(190));
@@ -88,11 +88,11 @@
 
 // Guards against refused callers that all retry at the same moment.
 TEST_CASE_METHOD(AdmissionControlFixture,
-                 "AdmissionControl_RetryAfter_IsSpreadWithinClientTimeout")
+                 "AdmissionControl_RetryAfter_IsSpreadWithinCallerTimeout")
 {
-  const base::Duration clientTimeout = milliseconds(3000);
-  const auto soonest = AdmissionControl::RetryAfter(clientTimeout, 0.0);
-  const auto latest = AdmissionControl::RetryAfter(clientTimeout, 0.999);
+  const base::Duration callerTimeout = milliseconds(3000);
+  const auto soonest = AdmissionControl::RetryAfter(callerTimeout, 0.0);
+  const auto latest = AdmissionControl::RetryAfter(callerTimeout, 0.999);
   CHECK(soonest >= milliseconds(500));
   CHECK(latest - soonest >= milliseconds(300));
   CHECK(latest <= milliseconds(1000));
--- a/Tests/LibFleet/CallerAuthenticationTest.cpp
+++ b/Tests/LibFleet/CallerAuthenticationTest.cpp
@@ -57,9 +57,9 @@
 TEST_CASE_METHOD(CallerAuthenticationFixture,
                  "CallerAuthentication_NoValidKey_IsUnauthorised")
 {
-  CHECK(HasResult<UnauthorisedCaller>(Key("a3")));
-  CHECK(HasResult<UnauthorisedCaller>(NoCredential{}));
-  CHECK(HasResult<UnauthorisedCaller>(MalformedCredential{}));
+  CHECK(HasResult<UnauthenticatedCaller>(Key("a3")));
+  CHECK(HasResult<UnauthenticatedCaller>(NoCredential{}));
+  CHECK(HasResult<UnauthenticatedCaller>(MalformedCredential{}));
 }
 
 // Guards against admitting a revoked key at a host whose copy is outdated.
@@ -91,14 +91,14 @@
 }
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerAuthentication_OpenRoute_NeedsNoKey")
+                 "CallerAuthentication_RouteAllowsAnonymous_NeedsNoKey")
 {
   CHECK(std::holds_alternative<AnonymousCaller>(
     AuthenticateCaller(organisations_, Key("a3"), false, age_)));
 }
 
 TEST_CASE_METHOD(CallerAuthenticationFixture,
-                 "CallerAuthentication_NoneDeclared_NeedsNoKey")
+                 "CallerAuthentication_NoOrganisationsDeclared_NeedsNoKey")
 {
   organisations_.Install(std::nullopt);
   CHECK(HasResult<AnonymousCaller>(NoCredential{}));
@@ -109,8 +109,8 @@
                  "CallerAuthentication_EmptyList_AdmitsNobody")
 {
   organisations_.Install(std::vector<Organisation>{});
-  CHECK(HasResult<UnauthorisedCaller>(NoCredential{}));
-  CHECK(HasResult<UnauthorisedCaller>(Key("a1")));
+  CHECK(HasResult<UnauthenticatedCaller>(NoCredential{}));
+  CHECK(HasResult<UnauthenticatedCaller>(Key("a1")));
 }
 
 // Load: 32,000 organisations.
--- a/Tests/LibFleet/CountPublisherTest.cpp
+++ b/Tests/LibFleet/CountPublisherTest.cpp
@@ -15,12 +15,13 @@
            milliseconds(aMilliseconds);
   }
 
-  static PeerCount Online(const std::string& aEndpoint, std::uint32_t aRuns)
+  static EndpointCounts Online(const std::string& aEndpoint,
+                               std::uint32_t aAttempts)
   {
-    return { aEndpoint, { aRuns, 0 }, false };
+    return { aEndpoint, { aAttempts, 0 }, false };
   }
 
-  std::optional<CountUpdate> Next(std::vector<PeerCount> aCounts, int aNow)
+  std::optional<CountUpdate> Next(std::vector<EndpointCounts> aCounts, int aNow)
   {
     return publisher_.Next(aCounts, At(aNow));
   }
@@ -28,7 +29,7 @@
   CountPublisher publisher_;
 };
 
-// Guards against late updates, with which two hosts choose the same free slot.
+// Guards against late updates, which let two hosts choose the same free slot.
 TEST_CASE_METHOD(CountPublisherFixture,
                  "CountPublisher_AttemptStarts_IsSentWithNextUpdate")
 {
@@ -42,7 +43,7 @@
   CHECK(change->counts_ == std::vector{ Online("b", 3) });
 }
 
-// Guards against peers that keep avoiding an endpoint after its last attempt
+// Guards against peers that keep counting an attempt at an endpoint after it
 // ended.
 TEST_CASE_METHOD(CountPublisherFixture,
                  "CountPublisher_LastAttemptEnds_SendsZero")
--- a/Tests/LibFleet/EndpointTableTest.cpp
+++ b/Tests/LibFleet/EndpointTableTest.cpp
@@ -32,7 +32,7 @@
 
   void Start(const std::string& aId, WorkClass aWork, int aCount)
   {
-    for (int run = 0; run < aCount; ++run) {
+    for (int attempt = 0; attempt < aCount; ++attempt) {
       table_.CountStart({ aId }, aWork);
     }
   }
@@ -43,7 +43,7 @@
 };
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_OneEndpointIsFull_TakesTheOther")
+                 "EndpointTable_OneEndpointIsFull_ChoosesTheOther")
 {
   Add("full");
   Add("free");
@@ -60,8 +60,8 @@
                  "EndpointTable_SeveralHaveFreeSlots_RequestsAreSpread")
 {
   Add("emptiest");
-  Add("emptier");
-  Start("emptier", WorkClass::Online, 1);
+  Add("fuller");
+  Start("fuller", WorkClass::Online, 1);
   constexpr int kRounds = 1000;
   int emptiest = 0;
   for (int round = 0; round < kRounds; ++round) {
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_DrainingEndpoint_GetsNothing")
+                 "EndpointTable_DrainingEndpoint_IsNotChosen")
 {
   Add("leaving", "a", true);
   CHECK_FALSE(Choose(WorkClass::Online));
@@ -129,7 +129,7 @@
   Add("one");
   Start("one", WorkClass::Batch, 3);
   CHECK(table_.BatchToPreempt("one", now_, 0.5) == 0);
-  const std::vector<PeerCount> counts = { { "one", { 3, 0 } } };
+  const std::vector<EndpointCounts> counts = { { "one", { 3, 0 } } };
   table_.SetPeerCounts("peer", counts, now_);
   CHECK(table_.BatchToPreempt("one", now_, 0.0) == 2);
   table_.SetPeerCounts("peer", {}, now_);
@@ -141,7 +141,7 @@
 {
   Add("one");
   Start("one", WorkClass::Batch, 2);
-  const std::vector<PeerCount> counts = { { "one", { 2, 2 } } };
+  const std::vector<EndpointCounts> counts = { { "one", { 2, 2 } } };
   table_.SetPeerCounts("peer", counts, now_);
   CHECK(table_.BatchToPreempt("one", now_, 0.5) == 1);
 }
@@ -155,7 +155,7 @@
   Add("with-batch");
   Start("online-only", WorkClass::Online, 4);
   Start("with-batch", WorkClass::Online, 2);
-  const std::vector<PeerCount> counts = { { "with-batch", { 1, 1 } } };
+  const std::vector<EndpointCounts> counts = { { "with-batch", { 1, 1 } } };
   table_.SetPeerCounts("peer", counts, now_);
   const auto choice = Choose(WorkClass::Online);
   REQUIRE(choice);
@@ -163,17 +163,17 @@
   CHECK(choice->preemptsBatch_);
   CHECK(choice->preemptedPeer_ == "peer");
   table_.AssumePreemption("with-batch", "peer");
-  CHECK(Choose(WorkClass::Online)->running_ == 3);
+  CHECK(Choose(WorkClass::Online)->inFlight_ == 3);
 }
 
 // Guards against every host losing a request to the same broken endpoint.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_TwoPeersFailed_EndpointIsAvoidedHereToo")
+                 "EndpointTable_TwoPeersReportFailure_EndpointIsAvoided")
 {
   Add("bad");
   Add("good");
   Start("good", WorkClass::Online, 4);
-  const std::vector<PeerCount> failed = { { "bad", {}, true } };
+  const std::vector<EndpointCounts> failed = { { "bad", {}, true } };
   table_.SetPeerCounts("peer-1", failed, now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "bad");
   table_.SetPeerCounts("peer-2", failed, now_);
@@ -187,14 +187,14 @@
   CHECK(table_.OwnCounts(now_).empty());
   table_.RecordFailure({ "bad" }, now_);
   REQUIRE(table_.OwnCounts(now_).size() == 1);
-  CHECK(table_.OwnCounts(now_).front().hasFailed_);
+  CHECK(table_.OwnCounts(now_).front().isAvoided_);
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_SilentPeer_CountsAreIgnored")
 {
   Add("one");
-  const std::vector<PeerCount> counts = { { "one", { 4, 0 } } };
+  const std::vector<EndpointCounts> counts = { { "one", { 4, 0 } } };
   table_.SetPeerCounts("peer", counts, now_);
   CHECK_FALSE(Choose(WorkClass::Batch));
   now_ += 2s;
@@ -230,11 +230,11 @@
 // Guards against dropping running endpoints whose registrations lapsed in an
 // outage of the store.
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_VanishedAfterOutage_StaysForRemovalGrace")
+                 "EndpointTable_RemovedAfterOutage_StaysForRemovalGrace")
 {
   Add("one");
-  const base::Instant returned = now_;
-  table_.Remove("one", returned, now_ + 100ms);
+  const base::Instant recoveredAt = now_;
+  table_.Remove("one", recoveredAt, now_ + 100ms);
   CHECK(Choose(WorkClass::Online));
   CHECK(table_.Expire(now_ + 1s).empty());
   CHECK(table_.Expire(now_ + 2s) == std::vector<std::string>{ "one" });
@@ -242,7 +242,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_VanishedWithoutOutage_IsDropped")
+                 "EndpointTable_RemovedWithoutOutage_IsDropped")
 {
   Add("one");
   table_.Remove("one", std::nullopt, now_);
@@ -260,7 +260,7 @@
 }
 
 TEST_CASE_METHOD(EndpointTableFixture,
-                 "EndpointTable_RegisteredAfterTimeout_HasSurvived")
+                 "EndpointTable_StillRegisteredAfterTimeout_HasSurvived")
 {
   Add("one");
   CHECK_FALSE(table_.HasSurvived("one", now_, now_ + 4s));
@@ -291,14 +291,14 @@
                  "EndpointTable_RestartsUnderItsId_FormerStateIsDropped")
 {
   AddStarted("one", 100);
-  for (int run = 0; run < 4; ++run) {
+  for (int attempt = 0; attempt < 4; ++attempt) {
     table_.CountStart({ "one", 100 }, WorkClass::Online);
   }
-  const PeerCount ofPeer{ "one", { 3, 0 }, true, 100 };
-  table_.SetPeerCounts("peer", std::span(&ofPeer, 1), now_);
+  const EndpointCounts peerCounts{ "one", { 3, 0 }, true, 100 };
+  table_.SetPeerCounts("peer", std::span(&peerCounts, 1), now_);
   table_.RecordFailure({ "one", 100 }, now_);
   CHECK(AddStarted("one", 200) == RegistrationOutcome::Restarted);
-  CHECK(Choose(WorkClass::Online)->running_ == 0);
+  CHECK(Choose(WorkClass::Online)->inFlight_ == 0);
   CHECK(table_.OwnCounts(now_).empty());
 }
 
@@ -310,10 +310,10 @@
   AddStarted("one", 200);
   table_.CountStart({ "one", 200 }, WorkClass::Online);
   table_.CountEnd({ "one", 100 }, WorkClass::Online);
-  CHECK(Choose(WorkClass::Online)->running_ == 1);
-  const PeerCount ofPeer{ "one", { 3, 0 }, false, 100 };
-  table_.UpdatePeerCounts("peer", std::span(&ofPeer, 1), now_);
-  CHECK(Choose(WorkClass::Online)->running_ == 1);
+  CHECK(Choose(WorkClass::Online)->inFlight_ == 1);
+  const EndpointCounts peerCounts{ "one", { 3, 0 }, false, 100 };
+  table_.UpdatePeerCounts("peer", std::span(&peerCounts, 1), now_);
+  CHECK(Choose(WorkClass::Online)->inFlight_ == 1);
   CHECK(AddStarted("one", 100) == RegistrationOutcome::Outdated);
   CHECK(Choose(WorkClass::Online)->endpoint_.startedAtMs_ == 200);
   table_.RecordReplaced({ "one", 100 }, now_);
@@ -345,11 +345,11 @@
   CHECK_FALSE(Choose(WorkClass::Online));
   CHECK_FALSE(table_.IsUsable("one"));
   Add("one");
-  CHECK(Choose(WorkClass::Online)->running_ == 1);
+  CHECK(Choose(WorkClass::Online)->inFlight_ == 1);
 }
 
-// Guards against preempting batch at an engine that would serve waiting online
-// requests first.
+// Guards against preempting batch at an endpoint that would serve waiting
+// online requests first.
 TEST_CASE_METHOD(EndpointTableFixture,
                  "EndpointTable_OnlineIsQueued_PreemptsBatchElsewhere")
 {
@@ -373,16 +373,16 @@
 {
   Add("one");
   Add("two");
-  const std::vector<PeerCount> all = { { "one", { 4, 0 }, false },
-                                       { "two", { 3, 0 }, false } };
+  const std::vector<EndpointCounts> all = { { "one", { 4, 0 }, false },
+                                            { "two", { 3, 0 }, false } };
   table_.SetPeerCounts("peer", all, now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "two");
-  const std::vector<PeerCount> changed = { { "one", { 3, 0 }, false },
-                                           { "two", { 4, 0 }, false } };
+  const std::vector<EndpointCounts> changed = { { "one", { 3, 0 }, false },
+                                                { "two", { 4, 0 }, false } };
   table_.UpdatePeerCounts("peer", std::span(changed).first(1), now_);
   table_.UpdatePeerCounts("peer", std::span(changed).last(1), now_);
   CHECK(Choose(WorkClass::Online)->endpoint_.id_ == "one");
-  CHECK(Choose(WorkClass::Online)->running_ == 3);
+  CHECK(Choose(WorkClass::Online)->inFlight_ == 3);
 }
 
 } // namespace pumiceturn::fleet
--- a/Tests/LibFleet/EventSplitterTest.cpp
+++ b/Tests/LibFleet/EventSplitterTest.cpp
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE_METHOD(EventSplitterFixture,
-                 "EventSplitter_FieldBeforeId_IsKeptInTheBytes")
+                 "EventSplitter_FieldBeforeId_IsKeptInRaw")
 {
   splitter_.Append("weight-versions: 3\nid: 1\ndata: x\n\n");
   const auto event = splitter_.Next();
--- a/Tests/LibFleet/PeerReachabilityTest.cpp
+++ b/Tests/LibFleet/PeerReachabilityTest.cpp
@@ -43,7 +43,7 @@
 {
   AdvanceWithout("", milliseconds(1000));
   CHECK(RelayRequests().empty());
-  CHECK_FALSE(reachability_.RelayTo("worker", now_));
+  CHECK_FALSE(reachability_.RelayFor("worker", now_));
 }
 
 // Guards against losing counts and preemption requests between hosts that are
@@ -56,10 +56,10 @@
   REQUIRE(requests.size() == 1);
   CHECK(requests[0].peers_ == std::vector<std::string>{ "worker" });
   CHECK(requests[0].relay_ != "worker");
-  CHECK_FALSE(reachability_.RelayTo("worker", now_));
+  CHECK_FALSE(reachability_.RelayFor("worker", now_));
 
   reachability_.RecordRelayed("worker", "other", now_);
-  CHECK(reachability_.RelayTo("worker", now_) == "other");
+  CHECK(reachability_.RelayFor("worker", now_) == "other");
   for (int round = 0; round < 10; ++round) {
     CHECK(RelayRequests()[0].relay_ == "other");
   }
@@ -73,7 +73,7 @@
   reachability_.RecordRelayed("worker", "other", now_);
   now_ += milliseconds(400);
   reachability_.RecordActivity("relay", now_);
-  CHECK_FALSE(reachability_.RelayTo("worker", now_));
+  CHECK_FALSE(reachability_.RelayFor("worker", now_));
   const auto requests = RelayRequests();
   REQUIRE(requests.size() == 1);
   CHECK(requests[0].relay_ == "relay");
@@ -87,7 +87,7 @@
   reachability_.RecordRelayed("worker", "other", now_);
   AdvanceWithout("", milliseconds(10));
   CHECK(RelayRequests().empty());
-  CHECK_FALSE(reachability_.RelayTo("worker", now_));
+  CHECK_FALSE(reachability_.RelayFor("worker", now_));
 }
 
 TEST_CASE_METHOD(PeerReachabilityFixture,
--- a/Tests/LibFleet/RateLimiterTest.cpp
+++ b/Tests/LibFleet/RateLimiterTest.cpp
@@ -169,7 +169,7 @@
       return;
     }
     messages_.push_back({ now_ + 1ms, aFrom.name_, aTo, aMessage });
-    if (Draw(doubledShare_)) {
+    if (Draw(duplicatedShare_)) {
       messages_.push_back({ now_ + 5ms, aFrom.name_, aTo, aMessage });
     }
   }
@@ -255,7 +255,7 @@
   base::Instant downAt_{ 0s };
   std::mt19937_64 random_{ 7 };
   double lossShare_ = 0.0;
-  double doubledShare_ = 0.0;
+  double duplicatedShare_ = 0.0;
   Organisation organisation_;
   std::vector<Host> hosts_;
   std::deque<Sent> messages_;
@@ -283,7 +283,7 @@
   Advance(5s, 18);
   Advance(10s, 130);
   CHECK(static_cast<double>(MaxInWindow()) <= Bound());
-  // At least about the rate for 15 s.
+  // 5 s at 18 a second, 10 s at the limit of 30, and the burst of 30.
   CHECK(admitted_.size() >= 420);
 }
 
@@ -291,9 +291,10 @@
 {
   BuildFleet(20, { 30, 30 });
   lossShare_ = 0.1;
-  doubledShare_ = 0.1;
+  duplicatedShare_ = 0.1;
   Advance(15s, 130);
   CHECK(static_cast<double>(MaxInWindow()) <= Bound());
+  // Less than 15 s at the limit of 30 a second, as messages get lost.
   CHECK(admitted_.size() >= 380);
 }
 
@@ -318,7 +319,7 @@
   CHECK(static_cast<double>(MaxInWindow()) <= Bound());
 }
 
-// Guards against an unenforced or blocked limit after the owner of the account
+// Guards against admitting all or no requests after the owner of the account
 // is lost.
 TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_OwnerIsLost_AnotherTakesOver")
 {
@@ -333,6 +334,7 @@
   const std::size_t before = admitted_.size();
   Advance(5s, 130);
   CHECK(static_cast<double>(MaxInWindow()) <= Bound());
+  // Two thirds of 5 s at the limit of 30 a second.
   CHECK(admitted_.size() - before >= 100);
 }
 
@@ -350,7 +352,8 @@
 }
 
 // Load: 400 hosts, one organisation within its limit and then far beyond it.
-TEST_CASE_METHOD(RateFleetFixture, "RateLimiter_400Hosts_BoundAndService")
+TEST_CASE_METHOD(RateFleetFixture,
+                 "RateLimiter_400Hosts_BoundHoldsAndLimitIsUsed")
 {
   BuildFleet(400, { 200, 200 });
   Advance(3s, 120);
@@ -358,6 +361,7 @@
   const std::size_t before = admitted_.size();
   Advance(6s, 900);
   CHECK(static_cast<double>(MaxInWindow()) <= Bound());
+  // A little less than 6 s at the limit of 200 a second.
   CHECK(admitted_.size() - before >= 1100);
 }
 
@@ -388,7 +392,7 @@
   CHECK(limiter.AccountCount() == 0);
 }
 
-// Guards against a retry time before which there can't be credit.
+// Guards against telling a caller to retry before there can be credit.
 TEST_CASE("RateLimiter_Refused_ReturnsTimeToCredit")
 {
   RateLimiter limiter("host", true, {});
--- a/Tests/LibFleet/RouteTableTest.cpp
+++ b/Tests/LibFleet/RouteTableTest.cpp
@@ -30,7 +30,7 @@
 };
 
 TEST_CASE_METHOD(RouteTableFixture,
-                 "RouteTable_TwoPrefixesMatch_TakesTheLonger")
+                 "RouteTable_TwoPrefixesMatch_FindsTheLonger")
 {
   REQUIRE(table_.Install(MakeDeclarations(
     1, { MakeRoute("short", "/a/"), MakeRoute("long", "/a/b/") })));
@@ -52,7 +52,8 @@
   CHECK(table_.Find("a.example", "/n/x") != nullptr);
 }
 
-TEST_CASE_METHOD(RouteTableFixture, "RouteTable_WeightedTargets_AreSplit")
+TEST_CASE_METHOD(RouteTableFixture,
+                 "RouteTable_WeightedTargets_RequestsAreSplit")
 {
   Route route = MakeRoute("split", "/s/");
   route.targets_ = { { "large", 90.0 }, { "small", 10.0 } };
--- a/Tests/LibFleet/SuspectTableTest.cpp
+++ b/Tests/LibFleet/SuspectTableTest.cpp
@@ -17,11 +17,12 @@
            std::chrono::milliseconds(aMilliseconds);
   }
 
-  /// Records an attempt that begins now, knowing earlier crashes, and breaks.
-  void Break(const std::string& aEndpoint, int aBroke)
+  /// Records an attempt that began after the crashes recorded so far and broke
+  /// at aBrokeAtMs.
+  void Break(const std::string& aEndpoint, int aBrokeAtMs)
   {
     table_.RecordBroken(
-      { kContent, aEndpoint, table_.IsSuspect(kContent), At(aBroke) });
+      { kContent, aEndpoint, table_.IsSuspect(kContent), At(aBrokeAtMs) });
   }
 
   bool IsRefused(int aNow)
@@ -36,7 +37,8 @@
   std::set<std::string> alive_;
 };
 
-// Guards against a request that crashes each server of a service in succession.
+// Guards against a request that crashes each endpoint of a service in
+// succession.
 TEST_CASE_METHOD(SuspectTableFixture, "SuspectTable_CrashAfterCrash_IsRefused")
 {
   Break("a", 10);
@@ -46,8 +48,8 @@
   CHECK(IsRefused(60));
 }
 
-// Guards against refusing a frequent content because several servers crashed at
-// once for other reasons.
+// Guards against refusing frequent requests with the same content because
+// several endpoints crashed at once for other reasons.
 TEST_CASE_METHOD(SuspectTableFixture,
                  "SuspectTable_SimultaneousCrashes_CountOnce")
 {
--- a/Tests/LibMetadata/FollowerFleetTest.cpp
+++ b/Tests/LibMetadata/FollowerFleetTest.cpp
@@ -13,7 +13,7 @@
 
 /// A fleet of hosts on virtual time, some of which follow one prefix. The store
 /// changes periodically; reports are lost at the rate lossShare_.
-class FollowedPrefixFixture
+class FollowerFleetFixture
 {
 protected:
   static constexpr base::Duration kStep = 100ms;
@@ -30,12 +30,12 @@
     ViewTracker tracker_;
   };
 
-  FollowedPrefixFixture()
+  FollowerFleetFixture()
   {
     for (std::size_t index = 0; index < kHosts; ++index) {
       const std::string name = "host" + std::to_string(index);
       hosts_.push_back({ name, true, FollowerSelector(name), {} });
-      hosts_.back().tracker_.RecordRead(revision_, boot_, boot_);
+      hosts_.back().tracker_.RecordRead(revision_, bootNow_, bootNow_);
     }
     Advance(1s);
     calls_ = 0;
@@ -51,7 +51,7 @@
   void Step()
   {
     now_ += kStep;
-    boot_ += kStep;
+    bootNow_ += kStep;
     if (++steps_ % kStepsPerChange == 0) {
       ++revision_;
     }
@@ -61,7 +61,7 @@
       }
       const bool follows =
         host.selector_.IsFollower("p/", { true, false }, now_);
-      if (follows || !host.tracker_.IsConfirmed(kFreshnessLifetime, boot_)) {
+      if (follows || !host.tracker_.IsConfirmed(kFreshnessLifetime, bootNow_)) {
         CallStore(host);
       }
       Report(host, follows);
@@ -72,34 +72,34 @@
   {
     ++calls_;
     aHost.tracker_.RecordChange(revision_);
-    aHost.tracker_.RecordAnswer(revision_, boot_, boot_);
+    aHost.tracker_.RecordResponse(revision_, bootNow_, bootNow_);
   }
 
   void Report(const Host& aSender, bool aFollows)
   {
     for (Host& receiver : hosts_) {
-      if (&receiver == &aSender || !receiver.isUp_ || IsLost()) {
+      if (&receiver == &aSender || !receiver.isUp_ || DrawLoss()) {
         continue;
       }
       receiver.selector_.RecordPeer(aSender.name_, { true, false }, now_);
       if (!aFollows) {
         continue;
       }
-      const MirrorView view = aSender.tracker_.View(boot_);
+      const MirrorView view = aSender.tracker_.View(bootNow_);
       // Each change is sent once; later reports only state the sender's
       // revision.
       const bool isNextChange =
-        view.lastChange_ == receiver.tracker_.Followed() + 1;
-      if (isNextChange && !IsLost()) {
-        receiver.tracker_.RecordDelta(view, boot_);
-      } else if (receiver.tracker_.ApplyView(view, boot_) ==
+        view.lastChangeRevision_ == receiver.tracker_.FollowedRevision() + 1;
+      if (isNextChange && !DrawLoss()) {
+        receiver.tracker_.RecordDelta(view, bootNow_);
+      } else if (receiver.tracker_.ApplyView(view, bootNow_) ==
                  ReportOutcome::Gap) {
         CallStore(receiver);
       }
     }
   }
 
-  bool IsLost()
+  bool DrawLoss()
   {
     return lossShare_ > 0.0 && std::bernoulli_distribution(lossShare_)(random_);
   }
@@ -108,7 +108,8 @@
   {
     std::size_t behind = 0;
     for (const Host& host : hosts_) {
-      behind += host.isUp_ && host.tracker_.Followed() < revision_ ? 1 : 0;
+      behind +=
+        host.isUp_ && host.tracker_.FollowedRevision() < revision_ ? 1 : 0;
     }
     return behind;
   }
@@ -125,7 +126,7 @@
   }
 
   base::Instant now_{ std::chrono::hours(1) };
-  base::BootInstant boot_{ std::chrono::hours(2) };
+  base::BootInstant bootNow_{ std::chrono::hours(2) };
   std::mt19937_64 random_{ 1 };
   double lossShare_ = 0.0;
   std::uint64_t revision_ = 10;
@@ -135,8 +136,8 @@
 };
 
 // Guards against calls to the store that grow with the number of idle hosts.
-TEST_CASE_METHOD(FollowedPrefixFixture,
-                 "FollowedPrefix_400HostsIdle_OneHostCalls")
+TEST_CASE_METHOD(FollowerFleetFixture,
+                 "FollowerFleet_400HostsIdle_OneHostCalls")
 {
   Advance(20s);
   // One call of the follower in each step.
@@ -146,11 +147,13 @@
 
 // Guards against repeated calls of hosts that lack a change after datagrams
 // were lost.
-TEST_CASE_METHOD(FollowedPrefixFixture,
-                 "FollowedPrefix_DatagramsLost_OnlyOutdatedHostsCall")
+TEST_CASE_METHOD(FollowerFleetFixture,
+                 "FollowerFleet_DatagramsLost_OnlyOutdatedHostsCall")
 {
   lossShare_ = 0.1;
   Advance(20s);
+  // One call of the follower in each step, and for each change one call of each
+  // host that lost it: at most a quarter of the hosts.
   const std::size_t changes = 10;
   CHECK(calls_ <= 200 + changes * kHosts / 4);
   Advance(kStep * 3);
@@ -159,14 +162,15 @@
 
 // Guards against a fleet that queries the store all at once, or not at all,
 // after its follower is lost.
-TEST_CASE_METHOD(FollowedPrefixFixture,
-                 "FollowedPrefix_FollowerLost_FewCallsAndNobodyBehind")
+TEST_CASE_METHOD(FollowerFleetFixture,
+                 "FollowerFleet_FollowerLost_FewCallsAndNobodyBehind")
 {
   Host* follower = Follower();
   REQUIRE(follower != nullptr);
   follower->isUp_ = false;
   Advance(2s);
   CHECK(HostsBehind() == 0);
+  // Twice the calls of one follower in each of the 20 steps.
   CHECK(calls_ <= 40);
   CHECK(Follower() != nullptr);
 }
--- a/Tests/LibMetadata/FollowerSelectorTest.cpp
+++ b/Tests/LibMetadata/FollowerSelectorTest.cpp
@@ -14,11 +14,11 @@
 using namespace std::chrono_literals;
 
 /// Hosts that report their state to each other every 100 ms.
-class FollowerFleetFixture
+class FollowerSelectorFixture
 {
 protected:
   static constexpr base::Duration kReportInterval = 100ms;
-  static constexpr std::size_t kWorkers = 12;
+  static constexpr std::size_t kPreferredHosts = 12;
 
   struct Host
   {
@@ -32,7 +32,7 @@
     for (std::size_t index = 0; index < aCount; ++index) {
       const std::string name = "host" + std::to_string(index);
       hosts_.push_back(
-        { name, { true, index < kWorkers }, FollowerSelector(name) });
+        { name, { true, index < kPreferredHosts }, FollowerSelector(name) });
     }
   }
 
@@ -76,8 +76,8 @@
     [](const std::string&, const std::string&) { return true; };
 };
 
-TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerSelector_400HostsReachable_OneWorkerFollows")
+TEST_CASE_METHOD(FollowerSelectorFixture,
+                 "FollowerSelector_400HostsReachable_OnePreferredHostFollows")
 {
   AddHosts(400);
   Advance(300ms);
@@ -86,7 +86,7 @@
   CHECK(Find(*followers.begin()).state_.isPreferred_);
 }
 
-TEST_CASE_METHOD(FollowerFleetFixture,
+TEST_CASE_METHOD(FollowerSelectorFixture,
                  "FollowerSelector_SeveralPrefixes_AreSpreadOverHosts")
 {
   AddHosts(400);
@@ -98,16 +98,16 @@
   CHECK(followers.size() >= 3);
 }
 
-TEST_CASE_METHOD(FollowerFleetFixture,
-                 "FollowerSelector_NoPeerReachable_FollowsItself")
+TEST_CASE_METHOD(FollowerSelectorFixture,
+                 "FollowerSelector_NoPeerReachable_OwnHostFollows")
 {
   AddHosts(1);
   CHECK(Followers("lots/").size() == 1);
 }
 
 // Guards against a fleet that keeps waiting for a follower that is down or
-// frozen.
-TEST_CASE_METHOD(FollowerFleetFixture,
+// suspended.
+TEST_CASE_METHOD(FollowerSelectorFixture,
                  "FollowerSelector_FollowerIsSilent_OneOtherFollows")
 {
   AddHosts(400);
@@ -119,7 +119,7 @@
   };
   Advance(900ms);
   auto followers = Followers("lots/");
-  // The frozen host still considers itself the only one.
+  // The suspended host still considers itself the only one.
   CHECK(followers.erase(lost) == 1);
   CHECK(followers.size() == 1);
 
@@ -129,7 +129,7 @@
 }
 
 // Guards against stale copies at all hosts when the store rejects the follower.
-TEST_CASE_METHOD(FollowerFleetFixture,
+TEST_CASE_METHOD(FollowerSelectorFixture,
                  "FollowerSelector_FollowerLosesTheStore_AnotherFollows")
 {
   AddHosts(40);
@@ -143,7 +143,7 @@
 }
 
 // Guards against a half of a partitioned fleet without a follower.
-TEST_CASE_METHOD(FollowerFleetFixture,
+TEST_CASE_METHOD(FollowerSelectorFixture,
                  "FollowerSelector_FleetSplit_EachHalfHasAFollower")
 {
   AddHosts(40);
--- a/Tests/LibMetadata/PeerClocksTest.cpp
+++ b/Tests/LibMetadata/PeerClocksTest.cpp
@@ -24,7 +24,7 @@
   /// @return a time of this host on the peer's clock.
   [[nodiscard]] base::BootInstant PeerTime(base::BootInstant aMoment) const
   {
-    return aMoment - ahead_;
+    return aMoment - peerBehindBy_;
   }
 
   [[nodiscard]] std::optional<base::Duration> ErrorAt(
@@ -34,7 +34,7 @@
     return local ? std::optional(*local - aMoment) : std::nullopt;
   }
 
-  base::Duration ahead_ = 10min;
+  base::Duration peerBehindBy_ = 10min;
   std::uint64_t incarnation_ = 1;
   base::BootInstant now_{ 24h };
   PeerClocks clocks_;
@@ -47,7 +47,7 @@
 }
 
 // Guards against taking delayed messages for recent ones after a host was
-// frozen.
+// suspended.
 TEST_CASE_METHOD(PeerClocksFixture,
                  "PeerClocks_MessagesDelayed_ErrorStaysLatency")
 {
@@ -69,7 +69,7 @@
                  "PeerClocks_PeerStartsOnOtherMachine_Adapts")
 {
   ReceiveMessages(10);
-  ahead_ = -3h;
+  peerBehindBy_ = -3h;
   incarnation_ = 2;
   ReceiveMessages(1);
   CHECK_FALSE(ErrorAt(now_));
@@ -77,10 +77,11 @@
   CHECK(ErrorAt(now_ - 1s) == kLatency);
 }
 
-TEST_CASE_METHOD(PeerClocksFixture, "PeerClocks_ClocksDrift_Follows")
+TEST_CASE_METHOD(PeerClocksFixture,
+                 "PeerClocks_ClocksDrift_DifferenceIsUpdated")
 {
   ReceiveMessages(200);
-  ahead_ += 20ms;
+  peerBehindBy_ += 20ms;
   ReceiveMessages(250);
   CHECK(ErrorAt(now_ - 1s) == kLatency);
 }
--- a/Tests/LibMetadata/PrefixMirrorTest.cpp
+++ b/Tests/LibMetadata/PrefixMirrorTest.cpp
@@ -25,7 +25,7 @@
     mirror_.emplace(
       context_, store_, health_, options, [this](const StoreItem& aItem) {
         ++changes_;
-        if (aItem.removed_) {
+        if (aItem.isRemoved_) {
           copy_.erase(aItem.key_);
         } else {
           copy_[aItem.key_] = aItem.value_;
@@ -37,18 +37,18 @@
     mirror_->Start();
   }
 
-  void AnswerRange(std::vector<StoreItem> aItems,
-                   std::uint64_t aRevision,
-                   bool aIsTruncated = false)
+  void RespondToRange(std::vector<StoreItem> aItems,
+                      std::uint64_t aRevision,
+                      bool aIsTruncated = false)
   {
     FakeStore::Pop(store_.ranges_)
       .second({ StoreStatus::Ok, std::move(aItems), aIsTruncated, aRevision });
     Run();
   }
 
-  void AnswerWatch(StoreStatus aStatus,
-                   std::vector<StoreItem> aEvents = {},
-                   std::uint64_t aRevision = 0)
+  void RespondToWatch(StoreStatus aStatus,
+                      std::vector<StoreItem> aEvents = {},
+                      std::uint64_t aRevision = 0)
   {
     FakeStore::Pop(store_.watches_)
       .callback_({ aStatus, std::move(aEvents), aRevision });
@@ -87,15 +87,15 @@
 TEST_CASE_METHOD(PrefixMirrorFixture,
                  "PrefixMirror_SeveralPages_AreReadInOrder")
 {
-  AnswerRange({ { "p/a", "1", 3 } }, 5, true);
+  RespondToRange({ { "p/a", "1", 3 } }, 5, true);
   REQUIRE(store_.ranges_.size() == 1);
   CHECK(store_.ranges_.front().first == "p/a");
   CHECK_FALSE(mirror_->IsComplete());
-  AnswerRange({ { "p/b", "2", 4 } }, 9);
+  RespondToRange({ { "p/b", "2", 4 } }, 9);
   CHECK(mirror_->IsComplete());
   CHECK(copy_.size() == 2);
-  // The watch starts at the first page's revision, as no page shows later
-  // changes to it.
+  // The watch starts at the first page's revision, since later changes to keys
+  // of that page are in no other page.
   REQUIRE(store_.watches_.size() == 1);
   CHECK(store_.watches_.front().after_ == 5);
 }
@@ -105,33 +105,33 @@
 TEST_CASE_METHOD(PrefixMirrorFixture,
                  "PrefixMirror_HistoryLost_ReadsAgainAndDropsRemovedKeys")
 {
-  AnswerRange({ { "p/a", "1", 3 }, { "p/b", "2", 4 } }, 5);
-  AnswerWatch(StoreStatus::HistoryLost);
-  AnswerRange({ { "p/b", "3", 8 } }, 9);
+  RespondToRange({ { "p/a", "1", 3 }, { "p/b", "2", 4 } }, 5);
+  RespondToWatch(StoreStatus::HistoryLost);
+  RespondToRange({ { "p/b", "3", 8 } }, 9);
   CHECK(copy_ == std::map<std::string, std::string>{ { "p/b", "3" } });
   CHECK(store_.watches_.front().after_ == 9);
 }
 
 TEST_CASE_METHOD(PrefixMirrorFixture, "PrefixMirror_EventsRepeat_ApplyOnce")
 {
-  AnswerRange({ { "p/a", "1", 3 } }, 5);
-  AnswerWatch(StoreStatus::Ok, { { "p/a", "2", 6 } }, 6);
-  AnswerWatch(StoreStatus::Ok, { { "p/a", "1", 3 } }, 6);
+  RespondToRange({ { "p/a", "1", 3 } }, 5);
+  RespondToWatch(StoreStatus::Ok, { { "p/a", "2", 6 } }, 6);
+  RespondToWatch(StoreStatus::Ok, { { "p/a", "1", 3 } }, 6);
   CHECK(copy_["p/a"] == "2");
   CHECK(changes_ == 2);
-  AnswerWatch(StoreStatus::Ok, { { "p/a", "", 7, true } }, 7);
+  RespondToWatch(StoreStatus::Ok, { { "p/a", "", 7, true } }, 7);
   CHECK(copy_.empty());
 }
 
 TEST_CASE_METHOD(PrefixMirrorFixture,
                  "PrefixMirror_WatchFails_ContinuesAtSameRevision")
 {
-  AnswerRange({}, 5);
-  AnswerWatch(StoreStatus::Unknown);
+  RespondToRange({}, 5);
+  RespondToWatch(StoreStatus::Unknown);
   REQUIRE(store_.watches_.size() == 1);
   CHECK(store_.watches_.front().after_ == 5);
   CHECK(health_.IsLost());
-  AnswerWatch(StoreStatus::Ok, {}, 5);
+  RespondToWatch(StoreStatus::Ok, {}, 5);
   CHECK_FALSE(health_.IsLost());
 }
 
@@ -143,7 +143,7 @@
   PeerUpdatedMirrorFixture()
     : MirrorFixture(std::chrono::hours(1))
   {
-    AnswerRange({ { "p/a", "1", 3 } }, 5);
+    RespondToRange({ { "p/a", "1", 3 } }, 5);
   }
 
   /// Applies a report of a peer that the store has just responded to.
@@ -171,7 +171,7 @@
   ApplyView(9, 12);
   REQUIRE(store_.watches_.size() == 1);
   CHECK(store_.watches_.front().after_ == 5);
-  AnswerWatch(StoreStatus::Ok, { { "p/a", "2", 9 } }, 12);
+  RespondToWatch(StoreStatus::Ok, { { "p/a", "2", 9 } }, 12);
   CHECK(copy_["p/a"] == "2");
   ApplyView(9, 13);
   CHECK(store_.watches_.empty());
@@ -187,29 +187,29 @@
   REQUIRE(store_.watches_.size() == 1);
   mirror_->ApplyDelta({ 5, { 9, 9, {} }, { { "p/a", "", 9, true } } }, {});
   CHECK(copy_.empty());
-  AnswerWatch(StoreStatus::Ok, { { "p/a", "2", 7 } }, 8);
+  RespondToWatch(StoreStatus::Ok, { { "p/a", "2", 7 } }, 8);
   CHECK(copy_.empty());
   REQUIRE(store_.watches_.size() == 1);
   CHECK(store_.watches_.front().after_ == 9);
 }
 
 TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
-                 "PrefixMirror_FollowerGetsChanges_ForwardsRelevantOnes")
+                 "PrefixMirror_FollowerReceivesChanges_ForwardsRelevantOnes")
 {
   mirror_->SetFollows(true);
   Run();
-  AnswerWatch(StoreStatus::Ok, { { "p/a", kHeartbeat, 6 } }, 6);
+  RespondToWatch(StoreStatus::Ok, { { "p/a", kHeartbeat, 6 } }, 6);
   CHECK(forwarded_.empty());
-  CHECK(mirror_->View().lastChange_ == 5);
-  CHECK(mirror_->View().followed_ == 6);
-  AnswerWatch(
+  CHECK(mirror_->View().lastChangeRevision_ == 5);
+  CHECK(mirror_->View().followedRevision_ == 6);
+  RespondToWatch(
     StoreStatus::Ok, { { "p/a", kHeartbeat, 7 }, { "p/b", "new", 8 } }, 9);
   REQUIRE(forwarded_.size() == 1);
   CHECK(forwarded_.front().previousChange_ == 5);
   REQUIRE(forwarded_.front().items_.size() == 1);
   CHECK(forwarded_.front().items_.front().key_ == "p/b");
-  CHECK(forwarded_.front().view_.lastChange_ == 8);
-  CHECK(forwarded_.front().view_.followed_ == 9);
+  CHECK(forwarded_.front().view_.lastChangeRevision_ == 8);
+  CHECK(forwarded_.front().view_.followedRevision_ == 9);
 }
 
 // Guards against all hosts reading a whole prefix because the follower had to
@@ -221,23 +221,24 @@
   Run();
   FakeStore::Pop(store_.watches_)
     .callback_({ StoreStatus::HistoryLost, {}, 0 });
-  AnswerRange({ { "p/b", "new", 8 } }, 9);
+  RespondToRange({ { "p/b", "new", 8 } }, 9);
   REQUIRE(forwarded_.size() == 1);
   CHECK(forwarded_.front().previousChange_ == 5);
   CHECK(forwarded_.front().items_.size() == 2);
-  CHECK(forwarded_.front().view_.lastChange_ == 9);
+  CHECK(forwarded_.front().view_.lastChangeRevision_ == 9);
   CHECK(copy_ == std::map<std::string, std::string>{ { "p/b", "new" } });
 }
 
-// Guards against relying on peers' earlier reports after this host was frozen.
+// Guards against relying on peers' earlier reports after this host was
+// suspended.
 TEST_CASE_METHOD(PeerUpdatedMirrorFixture,
-                 "PrefixMirror_MarkedStale_QueriesStoreBeforePeersCount")
+                 "PrefixMirror_MarkedStale_QueriesStoreBeforeUsingReports")
 {
   mirror_->MarkStale();
   Run();
   REQUIRE(store_.watches_.size() == 1);
   ApplyView(5, 8);
-  AnswerWatch(StoreStatus::Ok, {}, 9);
+  RespondToWatch(StoreStatus::Ok, {}, 9);
   CHECK(store_.watches_.empty());
 }
 
--- a/Tests/LibMetadata/StoreHealthTest.cpp
+++ b/Tests/LibMetadata/StoreHealthTest.cpp
@@ -9,10 +9,10 @@
 class StoreHealthFixture
 {
 protected:
-  void Call(bool aIsAnswered, int aAfterMs)
+  void Call(bool aHasResponse, int aAfterMs)
   {
     now_ += milliseconds(aAfterMs);
-    health_.RecordCall(aIsAnswered, now_);
+    health_.RecordCall(aHasResponse, now_);
   }
 
   StoreHealth health_;
@@ -20,7 +20,7 @@
 };
 
 // Guards against taking a single failed call for an outage and so keeping
-// engines that have left.
+// endpoints that have ended.
 TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_SingleFailedCall_IsNoOutage")
 {
   Call(true, 0);
@@ -32,7 +32,8 @@
   CHECK_FALSE(health_.RecoveredAt(now_));
 }
 
-// Guards against dropping all engines whose registrations lapsed in an outage.
+// Guards against dropping all endpoints whose registrations lapsed in an
+// outage.
 TEST_CASE_METHOD(StoreHealthFixture,
                  "StoreHealth_UnavailableForSeconds_IsOutage")
 {
@@ -52,15 +53,15 @@
 {
   Call(false, 0);
   Call(true, 3000);
-  const base::Instant returned = now_;
+  const base::Instant recoveredAt = now_;
   Call(false, 300);
-  CHECK(health_.RecoveredAt(now_) == returned);
+  CHECK(health_.RecoveredAt(now_) == recoveredAt);
   Call(true, 200);
-  CHECK(health_.RecoveredAt(now_) == returned);
+  CHECK(health_.RecoveredAt(now_) == recoveredAt);
 }
 
-// Guards against denying a job that was accepted in an outage and isn't in the
-// store yet.
+// Guards against reporting as unknown a job that was accepted in an outage and
+// isn't in the store yet.
 TEST_CASE_METHOD(StoreHealthFixture, "StoreHealth_RecentlyLost_IsReported")
 {
   Call(true, 0);
--- a/Tests/LibMetadata/StorePathTest.cpp
+++ b/Tests/LibMetadata/StorePathTest.cpp
@@ -56,7 +56,8 @@
 
 // Guards against multiplied calls through peers while the store is down for all
 // hosts.
-TEST_CASE_METHOD(StorePathFixture, "StorePath_PeersFailToo_ArePaused")
+TEST_CASE_METHOD(StorePathFixture,
+                 "StorePath_PeersFailToo_AreNotAskedForAWhile")
 {
   LoseDirectPath();
   for (int peer = 0; peer < StorePath::kMaxPeersAsked; ++peer) {
--- a/Tests/LibMetadata/ViewTrackerTest.cpp
+++ b/Tests/LibMetadata/ViewTrackerTest.cpp
@@ -33,70 +33,71 @@
   tracker_.RecordRead(10, Now(), Now());
   Advance(900ms);
   CHECK(tracker_.ApplyView(View(10, 14, 300ms), Now()) ==
-        ReportOutcome::Current);
-  CHECK(tracker_.Followed() == 14);
+        ReportOutcome::Usable);
+  CHECK(tracker_.FollowedRevision() == 14);
   Advance(600ms);
   CHECK(tracker_.IsConfirmed(kFreshnessLifetime, Now()));
   Advance(200ms);
   CHECK_FALSE(tracker_.IsConfirmed(kFreshnessLifetime, Now()));
 }
 
-// Guards against a missed change that later reports, which only state a
-// revision, seem to confirm.
+// Guards against overlooking a missed change because later reports, which state
+// only a revision, seem to confirm the copy.
 TEST_CASE_METHOD(ViewTrackerFixture, "ViewTracker_ChangeMissed_IsGap")
 {
   tracker_.RecordRead(10, Now(), Now());
   CHECK(tracker_.ApplyView(View(12, 15), Now()) == ReportOutcome::Gap);
-  CHECK(tracker_.Followed() == 10);
+  CHECK(tracker_.FollowedRevision() == 10);
   CHECK(tracker_.CheckDelta({ 12, View(16, 16), {} }) == ReportOutcome::Gap);
   tracker_.RecordChange(12);
-  tracker_.RecordAnswer(15, Now(), Now());
-  CHECK(tracker_.ApplyView(View(12, 15), Now()) == ReportOutcome::Current);
+  tracker_.RecordResponse(15, Now(), Now());
+  CHECK(tracker_.ApplyView(View(12, 15), Now()) == ReportOutcome::Usable);
 }
 
-TEST_CASE_METHOD(ViewTrackerFixture, "ViewTracker_DeltasInOrder_AreCurrent")
+TEST_CASE_METHOD(ViewTrackerFixture, "ViewTracker_DeltasInOrder_AreUsable")
 {
   tracker_.RecordRead(10, Now(), Now());
   const MirrorDelta delta{ 10, View(13, 14), {} };
-  CHECK(tracker_.CheckDelta(delta) == ReportOutcome::Current);
+  CHECK(tracker_.CheckDelta(delta) == ReportOutcome::Usable);
   tracker_.RecordChange(13);
   tracker_.RecordDelta(delta.view_, Now());
-  CHECK(tracker_.Followed() == 14);
-  CHECK(tracker_.CheckDelta({ 13, View(20, 20), {} }) ==
-        ReportOutcome::Current);
+  CHECK(tracker_.FollowedRevision() == 14);
+  CHECK(tracker_.CheckDelta({ 13, View(20, 20), {} }) == ReportOutcome::Usable);
 }
 
-// Guards against reverting to the outdated view of a follower that was frozen.
+// Guards against reverting to the outdated view of a follower that was
+// suspended.
 TEST_CASE_METHOD(ViewTrackerFixture, "ViewTracker_PeerIsBehind_IsIgnored")
 {
   tracker_.RecordRead(20, Now(), Now());
   Advance(900ms);
   CHECK(tracker_.ApplyView(View(12, 15), Now()) == ReportOutcome::Ignored);
-  CHECK(tracker_.Followed() == 20);
+  CHECK(tracker_.FollowedRevision() == 20);
   tracker_.RecordDelta(View(15, 15), Now());
-  CHECK(tracker_.Followed() == 20);
+  CHECK(tracker_.FollowedRevision() == 20);
   Advance(200ms);
   CHECK_FALSE(tracker_.IsConfirmed(kFreshnessLifetime, Now()));
 }
 
 // Guards against confirming a copy by messages that waited while this host was
-// frozen.
+// suspended.
 TEST_CASE_METHOD(ViewTrackerFixture,
                  "ViewTracker_MarkedStale_OnlyALaterCallConfirms")
 {
   tracker_.RecordRead(10, Now(), Now());
-  const base::BootInstant beforeFreeze = Now();
+  const base::BootInstant beforeSuspension = Now();
   Advance(5s);
   tracker_.MarkStale(Now());
   CHECK(tracker_.ApplyView(View(10, 10), Now()) == ReportOutcome::Ignored);
   CHECK(tracker_.CheckDelta({ 10, View(11, 11), {} }) ==
         ReportOutcome::Ignored);
-  // The response to a call made before may have waited as long.
-  tracker_.RecordAnswer(11, beforeFreeze, Now());
+  // The response to a call made before the suspension may have waited during
+  // it.
+  tracker_.RecordResponse(11, beforeSuspension, Now());
   CHECK_FALSE(tracker_.IsConfirmed(kFreshnessLifetime, Now()));
-  tracker_.RecordAnswer(12, Now(), Now());
+  tracker_.RecordResponse(12, Now(), Now());
   CHECK(tracker_.IsConfirmed(kFreshnessLifetime, Now()));
-  CHECK(tracker_.ApplyView(View(12, 13), Now()) == ReportOutcome::Current);
+  CHECK(tracker_.ApplyView(View(12, 13), Now()) == ReportOutcome::Usable);
 }
 
 // Guards against hosts that confirm a copy to each other although none queried
@@ -117,12 +118,13 @@
                  "ViewTracker_FirstReadThenReport_AdoptsLastChange")
 {
   tracker_.RecordRead(50, Now(), Now());
-  CHECK(tracker_.View(Now()).lastChange_ == 50);
+  CHECK(tracker_.View(Now()).lastChangeRevision_ == 50);
   (void)tracker_.ApplyView(View(12, 60), Now());
-  CHECK(tracker_.View(Now()).lastChange_ == 12);
-  // A later read doesn't either: its differences are recorded one by one.
+  CHECK(tracker_.View(Now()).lastChangeRevision_ == 12);
+  // A later read doesn't change lastChangeRevision_: its differences are
+  // recorded one by one.
   tracker_.RecordRead(70, Now(), Now());
-  CHECK(tracker_.View(Now()).lastChange_ == 12);
+  CHECK(tracker_.View(Now()).lastChangeRevision_ == 12);
 }
 
 // Guards against admitting a revoked key because a delayed response makes the
@@ -137,13 +139,13 @@
   CHECK(tracker_.CompleteAsOf() == firstCall);
   const base::BootInstant secondCall = Now();
   Advance(4s);
-  tracker_.RecordAnswer(11, secondCall, Now());
+  tracker_.RecordResponse(11, secondCall, Now());
   CHECK(tracker_.CompleteAsOf() == secondCall);
   CHECK(tracker_.IsConfirmed(kFreshnessLifetime, Now()));
 }
 
 TEST_CASE_METHOD(ViewTrackerFixture,
-                 "ViewTracker_PeerIsComplete_CopyAtItsRevisionIsToo")
+                 "ViewTracker_PeerHasSameChanges_CompleteAsOfIsAdopted")
 {
   tracker_.RecordRead(10, Now(), Now());
   Advance(3s);
--- a/Tests/Platform/StoreReportTest.cpp
+++ b/Tests/Platform/StoreReportTest.cpp
@@ -46,8 +46,8 @@
   CHECK_FALSE(read.state_.isPreferred_);
   REQUIRE(read.views_.size() == 1);
   CHECK(read.views_.front().prefix_ == StorePrefix::BatchJobs);
-  CHECK(read.views_.front().view_.lastChange_ == 5);
-  CHECK(read.views_.front().view_.followed_ == 9);
+  CHECK(read.views_.front().view_.lastChangeRevision_ == 5);
+  CHECK(read.views_.front().view_.followedRevision_ == 9);
   CHECK(read.views_.front().view_.age_ == 120ms);
 }
 
@@ -62,7 +62,7 @@
   REQUIRE(read.delta_.items_.size() == 2);
   CHECK(read.delta_.items_[0].value_ == delta.delta_.items_[0].value_);
   CHECK(read.delta_.items_[0].revision_ == 10);
-  CHECK(read.delta_.items_[1].removed_);
+  CHECK(read.delta_.items_[1].isRemoved_);
 }
 
 // Guards against sending a large configuration to each peer.
