--- a/Libraries/LibGateway/AccessControl.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -69,7 +69,7 @@
          MakeDeclarationsAge().MayAdmit();
 }
 
-std::optional<CallerName>
+std::optional<OrganisationName>
 AccessControl::Identify(const ExchangePtr& aExchange,
                         const fleet::Route& aRoute)
 {
@@ -82,7 +82,7 @@
       MakeDeclarationsAge()));
 }
 
-std::optional<CallerName>
+std::optional<OrganisationName>
 AccessControl::IdentifyForJob(const ExchangePtr& aExchange)
 {
   const fleet::Credential credential =
@@ -96,7 +96,7 @@
                               MakeDeclarationsAge()));
 }
 
-std::optional<CallerName>
+std::optional<OrganisationName>
 AccessControl::ResolveOrReject(const ExchangePtr& aExchange,
                                const fleet::Caller& aCaller)
 {
@@ -105,26 +105,29 @@
     AccessControl& accessControl_;
     httpstream::Exchange& exchange_;
 
-    std::optional<CallerName> operator()(const fleet::AnonymousCaller&) const
+    std::optional<OrganisationName> operator()(
+      const fleet::AnonymousCaller&) const
     {
       const bool areDeclared =
         accessControl_.shared_.routes_.Organisations().AreDeclared();
       // Without declared organisations, no caller has a name.
-      return areDeclared ? CallerName{ std::string() } : CallerName{};
+      return areDeclared ? OrganisationName{ std::string() }
+                         : OrganisationName{};
     }
-    std::optional<CallerName> operator()(
+    std::optional<OrganisationName> operator()(
       const fleet::AuthenticatedCaller& aAuthenticated) const
     {
-      return CallerName{ aAuthenticated.organisation_->name_ };
+      return OrganisationName{ aAuthenticated.organisation_->name_ };
     }
-    std::optional<CallerName> operator()(
+    std ::optional<OrganisationName> operator()(
       const fleet ::UnauthenticatedCaller& aUnauthorised) const
     {
       LogAndCount(aUnauthorised.reason_);
       exchange_.Respond(accessControl_.shared_.codec_.MakeUnauthorised());
       return std::nullopt;
     }
-    std::optional<CallerName> operator()(const fleet::UnconfirmedCaller&) const
+    std::optional<OrganisationName> operator()(
+      const fleet::UnconfirmedCaller&) const
     {
       LogAndCount("declarations not confirmed");
       exchange_.Respond(
@@ -154,7 +157,7 @@
 
 void
 AccessControl::RunIfWithinLimit(const ExchangePtr& aExchange,
-                                const CallerName& aCaller,
+                                const OrganisationName& aCaller,
                                 std::function<void()> aRun)
 {
   const fleet::Organisation* organisation =
--- a/Libraries/LibGateway/AccessControl.h
+++ b/Libraries/LibGateway/AccessControl.h
@@ -50,20 +50,21 @@
   /// @return std::nullopt if the request was rejected and already has its
   ///         response: the caller has no valid key, or this host's
   ///         configuration is too old to check it.
-  [[nodiscard]] std::optional<CallerName> Identify(const ExchangePtr& aExchange,
-                                                   const fleet::Route& aRoute);
+  [[nodiscard]] std::optional<OrganisationName> Identify(
+    const ExchangePtr& aExchange,
+    const fleet::Route& aRoute);
 
   /// Authenticates the caller of a call on a job. A call without a key passes
   /// as anonymous, as the job may be on a route that needs none.
   /// @return std::nullopt if the request was rejected, as for Identify().
-  [[nodiscard]] std::optional<CallerName> IdentifyForJob(
+  [[nodiscard]] std::optional<OrganisationName> IdentifyForJob(
     const ExchangePtr& aExchange);
 
   /// Checks the rate limit of the caller's organisation.
   /// @param aRun Called if the request is within the limit, possibly later;
   ///             otherwise the request gets an error response.
   void RunIfWithinLimit(const ExchangePtr& aExchange,
-                        const CallerName& aCaller,
+                        const OrganisationName& aCaller,
                         std::function<void()> aRun);
 
   /// @return whether the configuration is recent enough to accept keys.
@@ -89,7 +90,7 @@
   };
 
   [[nodiscard]] fleet::DeclarationsAge MakeDeclarationsAge() const;
-  [[nodiscard]] std::optional<CallerName> ResolveOrReject(
+  [[nodiscard]] std::optional<OrganisationName> ResolveOrReject(
     const ExchangePtr& aExchange,
     const fleet::Caller& aCaller);
   void QueryAccountOwner(const ExchangePtr& aExchange,
--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -72,7 +72,7 @@
 void
 BatchJobHandler::Handle(const std::shared_ptr<httpstream::Exchange>& aExchange,
                         const BatchJobCall& aCall,
-                        const CallerName& aCaller)
+                        const OrganisationName& aCaller)
 {
   if (const auto* malformed = std::get_if<MalformedCall>(&aCall)) {
     aExchange->Respond(httpstream::MakeResponse(
@@ -110,7 +110,7 @@
 
 void
 BatchJobHandler::RespondNotFound(httpstream::Exchange& aExchange,
-                                 const CallerName& aCaller) const
+                                 const OrganisationName& aCaller) const
 {
   // Don't reveal to callers without a key which jobs exist.
   const bool hasNoKey = aCaller && aCaller->empty();
@@ -122,7 +122,7 @@
 bool
 BatchJobHandler::IsAllowed(const ExchangePtr& aExchange,
                            const batch::BatchJob& aJob,
-                           const CallerName& aCaller) const
+                           const OrganisationName& aCaller) const
 {
   const std::string& organisation = aJob.state_.organisation_;
   if (!aCaller || organisation.empty() || organisation == *aCaller) {
@@ -135,7 +135,7 @@
 void
 BatchJobHandler::WithState(const ExchangePtr& aExchange,
                            const std::string& aJob,
-                           const CallerName& aCaller,
+                           const OrganisationName& aCaller,
                            std::function<void(const batch::BatchJob&)> aUse)
 {
   if (const batch::BatchJob* job = jobs_.Find(aJob)) {
@@ -167,7 +167,7 @@
 BatchJobHandler::Read(const ExchangePtr& aExchange,
                       const std::string& aJob,
                       const BatchJobCall& aCall,
-                      const CallerName& aCaller)
+                      const OrganisationName& aCaller)
 {
   WithState(aExchange,
             aJob,
--- a/Libraries/LibGateway/BatchJobHandler.h
+++ b/Libraries/LibGateway/BatchJobHandler.h
@@ -38,7 +38,7 @@
   /// not found.
   void Handle(const std::shared_ptr<httpstream::Exchange>& aExchange,
               const BatchJobCall& aCall,
-              const CallerName& aCaller);
+              const OrganisationName& aCaller);
 
   /// Handles a request forwarded by another host, from memory only.
   void HandleForwarded(const std::shared_ptr<httpstream::Exchange>& aExchange,
@@ -71,22 +71,22 @@
   /// it was not found, or asks the caller to retry.
   void WithState(const ExchangePtr& aExchange,
                  const std::string& aJob,
-                 const CallerName& aCaller,
+                 const OrganisationName& aCaller,
                  std::function<void(const batch::BatchJob&)> aUse);
 
   /// Checks whether the caller may access the job; responds with an error if
   /// not.
   [[nodiscard]] bool IsAllowed(const ExchangePtr& aExchange,
                                const batch::BatchJob& aJob,
-                               const CallerName& aCaller) const;
+                               const OrganisationName& aCaller) const;
   void RespondNotFound(httpstream::Exchange& aExchange,
-                       const CallerName& aCaller) const;
+                       const OrganisationName& aCaller) const;
 
   /// Answers a read request from memory, through the owner or from the store.
   void Read(const ExchangePtr& aExchange,
             const std::string& aJob,
             const BatchJobCall& aCall,
-            const CallerName& aCaller);
+            const OrganisationName& aCaller);
   void Forward(const ExchangePtr& aExchange,
                const std::string& aJob,
                const std::string& aAddress,
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -115,7 +115,7 @@
 BatchSubmissionHandler::Submit(std::shared_ptr<httpstream::Exchange> aExchange,
                                const std::string& aJob,
                                const fleet::Route& aRoute,
-                               const CallerName& aCaller)
+                               const OrganisationName& aCaller)
 {
   const httpstream::Request& request = aExchange->GetRequest();
   const auto content = shared_.codec_.ReadBatchJobContent(request.body());
--- a/Libraries/LibGateway/BatchSubmissionHandler.h
+++ b/Libraries/LibGateway/BatchSubmissionHandler.h
@@ -38,7 +38,7 @@
   void Submit(std::shared_ptr<httpstream::Exchange> aExchange,
               const std::string& aJob,
               const fleet::Route& aRoute,
-              const CallerName& aCaller);
+              const OrganisationName& aCaller);
 
 private:
   struct Submission;
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -445,13 +445,13 @@
   return true;
 }
 
-CallerName
+OrganisationName
 BatchWorker::CallerOf(const batch::BatchJob& aJob) const
 {
   const std::string& organisation = aJob.state_.organisation_;
   const bool isNamed =
     !organisation.empty() || shared_.routes_.Organisations().AreDeclared();
-  return isNamed ? CallerName{ organisation } : CallerName{};
+  return isNamed ? OrganisationName{ organisation } : OrganisationName{};
 }
 
 void
--- a/Libraries/LibGateway/BatchWorker.h
+++ b/Libraries/LibGateway/BatchWorker.h
@@ -103,7 +103,7 @@
   bool StartAttempt(const batch::StartCandidate& aCandidate,
                     base::Instant aNow);
   /// @return the submitter of a job, as sent to endpoints.
-  [[nodiscard]] CallerName CallerOf(const batch::BatchJob& aJob) const;
+  [[nodiscard]] OrganisationName CallerOf(const batch::BatchJob& aJob) const;
   void RecordDuration(const ItemAttempt& aAttempt,
                       batch::ItemAttemptOutcome aOutcome);
   void PreemptForOnline(base::Instant aNow);
--- a/Libraries/LibGateway/Codec.h
+++ b/Libraries/LibGateway/Codec.h
@@ -37,7 +37,7 @@
 /// The caller's organisation as it is sent to endpoints; empty if the caller is
 /// anonymous. std::nullopt if no organisations are declared: the caller's own
 /// fields are then forwarded unchanged.
-using CallerName = std::optional<std::string>;
+using OrganisationName = std::optional<std::string>;
 
 /// Options for a request that is forwarded to an endpoint.
 struct ForwardOptions
@@ -45,7 +45,7 @@
   std::string endpoint_;         ///< Id of the endpoint to run the request.
   base::Duration callerTimeout_; ///< Time left until the caller's deadline.
   std::uint64_t lastEvent_ = 0;  ///< The endpoint resumes after this event.
-  CallerName caller_{};
+  OrganisationName caller_{};
 };
 
 /// A call that reads a page of a job's results.
--- a/Libraries/LibGateway/DiskThread.cpp
+++ b/Libraries/LibGateway/DiskThread.cpp
@@ -23,11 +23,11 @@
 }
 
 void
-DiskThread::Post(std::function<void()> aWork, std::function<void()> aOnDone)
+DiskThread::Post(std::function<void()> aRun, std::function<void()> aOnDone)
 {
   {
     const std::lock_guard lock(mutex_);
-    tasks_.push_back({ std::move(aWork), std::move(aOnDone) });
+    tasks_.push_back({ std::move(aRun), std::move(aOnDone) });
   }
   wake_.notify_one();
 }
@@ -44,7 +44,7 @@
     Task task = std::move(tasks_.front());
     tasks_.pop_front();
     lock.unlock();
-    task.work_();
+    task.run_();
     if (task.onDone_) {
       boost::asio::post(context_, std::move(task.onDone_));
     }
--- a/Libraries/LibGateway/DiskThread.h
+++ b/Libraries/LibGateway/DiskThread.h
@@ -23,14 +23,14 @@
   ~DiskThread();
 
   /// Queues a task.
-  /// @param aWork   Runs on the disk thread.
-  /// @param aOnDone Runs on the event thread after aWork; may be empty.
-  void Post(std::function<void()> aWork, std::function<void()> aOnDone = {});
+  /// @param aRun    Runs on the disk thread.
+  /// @param aOnDone Runs on the event thread after aRun; may be empty.
+  void Post(std::function<void()> aRun, std::function<void()> aOnDone = {});
 
 private:
   struct Task
   {
-    std::function<void()> work_;
+    std::function<void()> run_;
     std::function<void()> onDone_;
   };
 
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -283,7 +283,7 @@
 Gateway::IsReady() const
 {
   return !isStopping_ && shared_.routes_.Version() > 0 &&
-         mirrors_.IsComplete(StorePrefix::Endpoints) &&
+         mirrors_.HasBeenRead(StorePrefix::Endpoints) &&
          !shared_.endpoints_.IsEmpty() && accessControl_.CanAuthenticate();
 }
 
--- a/Libraries/LibGateway/GatewayMirrors.cpp
+++ b/Libraries/LibGateway/GatewayMirrors.cpp
@@ -235,7 +235,7 @@
     return;
   }
   hosts_.Put(
-    host, record->owner_, record->preference_, record->callAddress_, now);
+    host, record->ownerId_, record->preference_, record->callAddress_, now);
   peerMessenger_.SetPeer(host, record->peerAddress_);
   OnHostsChanged();
 }
--- a/Libraries/LibGateway/HostRecord.cpp
+++ b/Libraries/LibGateway/HostRecord.cpp
@@ -10,7 +10,7 @@
 EncodeHostRecord(const HostRecord& aRecord)
 {
   return json{
-    { "owner", aRecord.owner_ },
+    { "owner", aRecord.ownerId_ },
     { "peer", aRecord.peerAddress_ },
     { "calls", aRecord.callAddress_ },
     { "worker", aRecord.preference_ == batch::BatchPreference::Worker }
--- a/Libraries/LibGateway/HostRecord.h
+++ b/Libraries/LibGateway/HostRecord.h
@@ -11,7 +11,7 @@
 /// A host's registration in the store.
 struct HostRecord
 {
-  std::string owner_;       ///< HOST/INCARNATION, the owner of its jobs.
+  std::string ownerId_;     ///< HOST/INCARNATION, the owner of its jobs.
   std::string peerAddress_; ///< IP:PORT for datagrams.
   std::string callAddress_; ///< IP:PORT for HTTP calls of peers.
   batch::BatchPreference preference_ = batch::BatchPreference::Fallback;
--- a/Libraries/LibGateway/ItemAttempt.h
+++ b/Libraries/LibGateway/ItemAttempt.h
@@ -29,7 +29,7 @@
   struct Sender
   {
     std::string hostName_; ///< Host header of the submitting request.
-    CallerName caller_;
+    OrganisationName caller_;
   };
 
   void Start(const fleet::EndpointRecord& aEndpoint,
--- a/Libraries/LibGateway/OnlineProxy.cpp
+++ b/Libraries/LibGateway/OnlineProxy.cpp
@@ -97,7 +97,7 @@
                          const boost::asio::any_io_executor& aExecutor,
                          std::shared_ptr<httpstream::Exchange> aExchange,
                          fleet::Route aRoute,
-                         CallerName aCaller,
+                         OrganisationName aCaller,
                          const PreemptBatch& aPreemptBatch)
   : shared_(aShared)
   , deadlineTimer_(aExecutor)
--- a/Libraries/LibGateway/OnlineProxy.h
+++ b/Libraries/LibGateway/OnlineProxy.h
@@ -41,7 +41,7 @@
               const boost::asio::any_io_executor& aExecutor,
               std::shared_ptr<httpstream::Exchange> aExchange,
               fleet::Route aRoute,
-              CallerName aCaller,
+              OrganisationName aCaller,
               const PreemptBatch& aPreemptBatch);
 
   void Start();
@@ -72,7 +72,7 @@
   boost::asio::steady_timer deadlineTimer_;
   std::shared_ptr<httpstream::Exchange> exchange_;
   fleet::Route route_;
-  CallerName caller_;
+  OrganisationName caller_;
   const PreemptBatch& preemptBatch_;
   CallerFields call_;
   base::Instant deadline_;
--- a/Libraries/LibGateway/StoreMirrors.cpp
+++ b/Libraries/LibGateway/StoreMirrors.cpp
@@ -106,11 +106,11 @@
                                       [](const MirroredPrefix& aMirrored) {
                                         return aMirrored.mirror_->IsComplete();
                                       });
-  if (isComplete && !completeSince_) {
-    completeSince_ = aNow;
+  if (isComplete && !readSince_) {
+    readSince_ = aNow;
   }
-  return completeSince_ && (aNow - *completeSince_ >= kSettleTime ||
-                            followerSelector_.IsAlone(aNow));
+  return readSince_ &&
+         (aNow - *readSince_ >= kSettleTime || followerSelector_.IsAlone(aNow));
 }
 
 void
@@ -160,7 +160,7 @@
 }
 
 bool
-StoreMirrors::IsComplete(StorePrefix aPrefix) const
+StoreMirrors::HasBeenRead(StorePrefix aPrefix) const
 {
   return Find(aPrefix).IsComplete();
 }
--- a/Libraries/LibGateway/StoreMirrors.h
+++ b/Libraries/LibGateway/StoreMirrors.h
@@ -60,7 +60,7 @@
   void DetectSuspension();
 
   /// @return whether the prefix has been read completely at least once.
-  [[nodiscard]] bool IsComplete(StorePrefix aPrefix) const;
+  [[nodiscard]] bool HasBeenRead(StorePrefix aPrefix) const;
   void SetFreshness(StorePrefix aPrefix, base::Duration aFreshnessLifetime);
 
   /// @return the time since the mirror was last known to hold all changes, or
@@ -104,7 +104,7 @@
   std::uint64_t incarnation_; ///< Random; sent in reports.
   std::vector<MirroredPrefix> mirroredPrefixes_;
   double freshnessShare_; ///< Random share of each mirror's freshness lifetime.
-  std::optional<base::Instant> completeSince_;
+  std::optional<base::Instant> readSince_;
   std::optional<base::BootInstant> lastRunAt_;
 };
 
--- a/Tests/Platform/OnlineTest.cpp
+++ b/Tests/Platform/OnlineTest.cpp
@@ -32,7 +32,7 @@
     servers_[1]->Enqueue(aScript);
   }
 
-  [[nodiscard]] std::size_t RequestCount() const
+  [[nodiscard]] std::size_t RequestCountOfBoth() const
   {
     return servers_[0]->Requests().size() + servers_[1]->Requests().size();
   }
@@ -47,7 +47,7 @@
   CHECK(call->seal_ == "seal");
   CHECK(call->body_ == WholeStream());
   CHECK(call->outcome_ == httpstream::CallOutcome::Complete);
-  REQUIRE(RequestCount() == 1);
+  REQUIRE(RequestCountOfBoth() == 1);
   const auto& server = servers_[servers_[0]->Requests().empty() ? 1 : 0];
   const auto& request = server->Requests().front();
   CHECK(httpstream::ValueOf(request, "Attempt-Id") == "r1");
@@ -66,7 +66,7 @@
   // The first attempt breaks off after events 1 to 3, the second after 4 to 6;
   // the caller gets each event once.
   CHECK(call->body_ == WholeStream());
-  CHECK(RequestCount() == 2);
+  CHECK(RequestCountOfBoth() == 2);
 }
 
 TEST_CASE_METHOD(OnlineFixture, "Online_ResumableStreamBreaksTwice_IsAborted")
@@ -74,7 +74,7 @@
   EnqueueAtBoth({ ServerScript::Kind::Break, 1, 0 });
   const auto call = Call("/resumable/1");
   CHECK(call->outcome_ == httpstream::CallOutcome::Broken);
-  CHECK(RequestCount() == 2);
+  CHECK(RequestCountOfBoth() == 2);
 }
 
 // Guards against running an unsafe request twice after a connection reset.
@@ -83,7 +83,7 @@
   EnqueueAtBoth({ ServerScript::Kind::Reset, 0, 0 });
   const auto call = Call("/once/1");
   CHECK(call->status_ == 502);
-  CHECK(RequestCount() == 1);
+  CHECK(RequestCountOfBoth() == 1);
 }
 
 TEST_CASE_METHOD(OnlineFixture, "Online_NonResumableStreamBreaks_IsAborted")
@@ -91,7 +91,7 @@
   EnqueueAtBoth({ ServerScript::Kind::Break, 2, 0 });
   const auto call = Call("/stream/1");
   CHECK(call->outcome_ == httpstream::CallOutcome::Broken);
-  CHECK(RequestCount() == 1);
+  CHECK(RequestCountOfBoth() == 1);
 }
 
 TEST_CASE_METHOD(OnlineFixture,
@@ -134,7 +134,7 @@
   const auto refused = Call("/urgent/1");
   CHECK(refused->status_ == 503);
   CHECK(std::stod(refused->retryAfter_) > 0.5);
-  CHECK(RequestCount() == kWarmUpRequests + kSlots);
+  CHECK(RequestCountOfBoth() == kWarmUpRequests + kSlots);
   const auto again = SendAndWait(
     *host_, "POST", "/urgent/1", "Attempt-Id: r2\r\nDeadline-Ms: 7500\r\n");
   CHECK(again->status_ == 200);
@@ -158,7 +158,7 @@
   RunUntil([&] {
     const auto call = Call("/once/1");
     CHECK(call->status_ == 200);
-    return RequestCount() >= 2 && !third.Requests().empty();
+    return RequestCountOfBoth() >= 2 && !third.Requests().empty();
   });
 }
 
@@ -184,7 +184,7 @@
   const auto call = Call("/resumable/1");
   // The second attempt stops sending too.
   CHECK(call->body_ == WholeStream().substr(0, call->body_.size()));
-  CHECK(RequestCount() == 2);
+  CHECK(RequestCountOfBoth() == 2);
 }
 
 TEST_CASE_METHOD(OnlineFixture, "Online_NoRoute_Is404")
@@ -310,11 +310,12 @@
     return Metrics(other).find("pumiceturn_suspect_runs 3") !=
            std::string::npos;
   });
-  const std::size_t before = RequestCount() + servers_[2]->Requests().size();
+  const std::size_t before =
+    RequestCountOfBoth() + servers_[2]->Requests().size();
   const std::string fields = "Attempt-Id: r2\r\nDeadline-Ms: 9000\r\n";
   CHECK(SendAndWait(*host_, "POST", "/once/bad", fields)->status_ == 502);
   CHECK(SendAndWait(other, "POST", "/once/bad", fields)->status_ == 502);
-  CHECK(RequestCount() + servers_[2]->Requests().size() == before);
+  CHECK(RequestCountOfBoth() + servers_[2]->Requests().size() == before);
   for (const auto& server : servers_) {
     server->ClearScripts();
   }
