--- a/Libraries/LibEntry/OnlineRequest.cpp
+++ b/Libraries/LibEntry/OnlineRequest.cpp
@@ -283,7 +283,7 @@
   start.run_ = CurrentRun();
   start.service_ = record.service_;
   start.kind_ = record.kind_;
-  start.onlineCalls_ = true;
+  start.online_ = true;
   start.idempotent_ = record.idempotent_;
   start.wantChunks_ = description_.isStreaming_;
   const std::int64_t remaining = base::ToMs(description_.deadline_ - aNow);
--- a/Libraries/LibFleet/RateLimiter.cpp
+++ b/Libraries/LibFleet/RateLimiter.cpp
@@ -62,8 +62,8 @@
   }
   usage.usedAt_ = aNow;
   usage.limit_ = aOrganisation.limit_;
-  const double unreported = kUnreportedShare * aOrganisation.limit_.burst_ /
-                            static_cast<double>(members_.AdmittingCount());
+  const double maxUnreported = kUnreportedShare * aOrganisation.limit_.burst_ /
+                               static_cast<double>(members_.AdmittingCount());
   usage.maxUnreported_ =
     static_cast<std::uint64_t>(std::clamp(maxUnreported, 1.0, kMaxUnreported));
   return usage;
--- a/Tests/LibFleet/EndpointTableTest.cpp
+++ b/Tests/LibFleet/EndpointTableTest.cpp
@@ -60,8 +60,8 @@
                  "EndpointTable_SeveralHaveFreeSlots_RequestsAreSpread")
 {
   Add("emptiest");
-  Add("fuller");
-  Start("fuller", WorkClass::Online, 1);
+  Add("emptier");
+  Start("emptier", WorkClass::Online, 1);
   constexpr int kRounds = 1000;
   int emptiest = 0;
   for (int round = 0; round < kRounds; ++round) {
