--- a/Tests/Platform/ResultWriterTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -41,7 +41,7 @@
   void Respond(const metadata::TransactionResponse& aResponse)
   {
     REQUIRE_FALSE(store_.commits_.empty());
-    metadata::FakeStore::Take(store_.commits_).second(aResponse);
+    metadata::FakeStore::Pop(store_.commits_).second(aResponse);
   }
 
   [[nodiscard]] std::size_t StoredCount(const std::string& aJob) const
--- a/Tests/Scenarios/KeeperStage.cpp
+++ b/Tests/Scenarios/KeeperStage.cpp
@@ -56,12 +56,12 @@
     next->now_ = keeper_->now_;
   }
   keeper_ = std::move(next);
-  keeper_->Own(++epoch_);
+  keeper_->TakeOwnership(++epoch_);
   for (auto& [name, agent] : agents_) {
     if (agent.linked_) {
       keeper_->Grant(name, credits_);
     } else {
-      keeper_->Link(name, wire::LinkState::Lost);
+      keeper_->SetLinkState(name, wire::LinkState::Lost);
     }
   }
 }
@@ -74,7 +74,8 @@
   Ask ask;
   ask.entry_ = aArguments.Text("entry", "entry-1");
   ask.call_ = nextCall_++;
-  wire::RecordRequest request = keeper::KeeperFixture::Request(key, ask.call_);
+  wire::RecordRequest request =
+    keeper::KeeperFixture::MakeRequest(key, ask.call_);
   request.payload_ = aArguments.Text("prompt", key);
   request.digest_ = base::HashBytes(request.payload_);
   request.idempotent_ = aArguments.Flag("idempotent", true);
@@ -84,8 +85,8 @@
                         std::vector<std::string>{ request.payload_ });
   asks_[name] = ask;
   entries_.insert(ask.entry_);
-  keeper_->From(ask.entry_, request);
-  for (const auto& reply : keeper_->Sent<wire::RecordReply>(ask.entry_)) {
+  keeper_->Receive(ask.entry_, request);
+  for (const auto& reply : keeper_->PopSent<wire::RecordReply>(ask.entry_)) {
     const bool isOk = reply.code_ == base::ResultCode::Ok;
     Note(reply.call_,
          isOk ? NameOf(reply.state_) : std::string(base::NameOf(reply.code_)));
@@ -116,7 +117,7 @@
   lot.dueUnixMs_ = base::ToMs(keeper_->now_.time_since_epoch()) + 600'000;
   lot.retentionS_ = kRetentionS;
   lot.maxAttempts_ = 3;
-  wire::SubmitFrame frame = keeper::KeeperFixture::Whole(lot);
+  wire::SubmitFrame frame = keeper::KeeperFixture::MakeWholeFrame(lot);
   frame.call_ = ask.call_;
   ask.job_ = lot.id_;
   std::vector<std::string> payloads;
@@ -126,7 +127,7 @@
   payloads_.try_emplace(lot.id_, std::move(payloads));
   asks_[name] = ask;
   entries_.insert(ask.entry_);
-  keeper_->From(ask.entry_, frame);
+  keeper_->Receive(ask.entry_, frame);
   TakeReplies();
 }
 
@@ -145,7 +146,7 @@
 KeeperStage::TakeReplies()
 {
   for (const std::string& entry : entries_) {
-    for (const auto& reply : keeper_->Sent<wire::SubmitReply>(entry)) {
+    for (const auto& reply : keeper_->PopSent<wire::SubmitReply>(entry)) {
       const std::string good = reply.duplicate_ ? "Duplicate" : "Accepted";
       Note(reply.call_,
            reply.code_ == base::ResultCode::Ok
@@ -171,7 +172,7 @@
     const std::string entry = aArguments.Text("entry_lost");
     std::erase_if(entryRuns_,
                   [&](const EntryRun& aRun) { return aRun.entry_ == entry; });
-    keeper_->Link(entry, wire::LinkState::Lost);
+    keeper_->SetLinkState(entry, wire::LinkState::Lost);
   }
   if (aArguments.Has("log")) {
     SetAppendMode(aArguments.Text("log"));
@@ -186,11 +187,11 @@
 KeeperStage::SetAppendMode(const std::string& aMode)
 {
   if (aMode == "durable") {
-    keeper_->Acknowledge();
+    keeper_->CompleteDelayedAppends();
   } else if (aMode == "held") {
-    keeper_->mode_ = keeper::AppendMode::Held;
+    keeper_->mode_ = keeper::AppendMode::Delayed;
   } else if (aMode == "swallowed") {
-    keeper_->mode_ = keeper::AppendMode::Swallowed;
+    keeper_->mode_ = keeper::AppendMode::Unacknowledged;
   } else {
     throw ScenarioError("unknown log mode " + aMode);
   }
@@ -200,8 +201,9 @@
 KeeperStage::CancelJob(const std::string& aName)
 {
   const Ask& ask = asks_.at(aName);
-  keeper_->From(ask.entry_, wire::CancelJob{ nextCall_++, ask.job_, kPartner });
-  keeper_->Sent<wire::JobStatusReply>(ask.entry_);
+  keeper_->Receive(ask.entry_,
+                   wire::CancelJob{ nextCall_++, ask.job_, kPartner });
+  keeper_->PopSent<wire::JobStatusReply>(ask.entry_);
 }
 
 void
@@ -209,7 +211,7 @@
 {
   Agent& agent = agents_.at(aAgent);
   agent.linked_ = aState == wire::LinkState::Up;
-  keeper_->Link(aAgent, aState);
+  keeper_->SetLinkState(aAgent, aState);
   if (!agent.linked_) {
     return;
   }
@@ -226,7 +228,7 @@
 {
   const base::Instant end = keeper_->now_ + aTime;
   while (keeper_->now_ < end) {
-    keeper_->Pass(std::min(kTick, end - keeper_->now_));
+    keeper_->AdvanceTime(std::min(kTick, end - keeper_->now_));
     RunEntries();
     RunAgents();
     TakeReplies();
@@ -245,9 +247,9 @@
     return isDue;
   });
   for (const EntryRun& run : due) {
-    wire::RecordResult result = keeper::KeeperFixture::Result(
+    wire::RecordResult result = keeper::KeeperFixture::MakeResult(
       run.request_, AnswerTo(run.request_.payload_));
-    keeper_->From(run.entry_, result);
+    keeper_->Receive(run.entry_, result);
   }
 }
 
@@ -273,24 +275,24 @@
 void
 KeeperStage::RunAgent(const std::string& aName, Agent& aAgent)
 {
-  for (const auto& order : keeper_->Sent<wire::StartRun>(aName)) {
+  for (const auto& order : keeper_->PopSent<wire::StartRun>(aName)) {
     aAgent.runs_[order.run_] = { order, keeper_->now_ + runTime_ };
     ++aAgent.begun_;
     ++runsByItem_[order.run_.job_][order.run_.item_];
   }
-  for (const auto& cancel : keeper_->Sent<wire::CancelRun>(aName)) {
+  for (const auto& cancel : keeper_->PopSent<wire::CancelRun>(aName)) {
     if (aAgent.runs_.erase(cancel.run_) > 0) {
       keeper_->Fail(
         aName, cancel.run_, base::ResultCode::Cancelled, base::Ran::Unknown);
     }
   }
-  for (const auto& attach : keeper_->Sent<wire::AttachRun>(aName)) {
+  for (const auto& attach : keeper_->PopSent<wire::AttachRun>(aName)) {
     if (!aAgent.runs_.contains(attach.run_)) {
       keeper_->Fail(
         aName, attach.run_, base::ResultCode::EndpointLost, base::Ran::Unknown);
     }
   }
-  for (const auto& recorded : keeper_->Sent<wire::RunRecorded>(aName)) {
+  for (const auto& recorded : keeper_->PopSent<wire::RunRecorded>(aName)) {
     if (aAgent.runs_.erase(recorded.run_) > 0) {
       keeper_->Grant(aName, 1);
     }
