--- a/Libraries/LibBatch/BatchJob.cpp
+++ b/Libraries/LibBatch/BatchJob.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-constexpr auto kKeepInvalidBytes = json::error_handler_t::replace;
+constexpr auto kReplaceInvalidUtf8 = json::error_handler_t::replace;
 
 /// Parses JSON and converts it with a function that may throw on a missing
 /// field.
@@ -25,9 +25,9 @@
 }
 
 std::string
-Write(const json& aValue)
+Serialize(const json& aValue)
 {
-  return aValue.dump(-1, ' ', false, kKeepInvalidBytes);
+  return aValue.dump(-1, ' ', false, kReplaceInvalidUtf8);
 }
 
 } // namespace
@@ -45,15 +45,15 @@
 std::string
 EncodeState(const BatchJobState& aState)
 {
-  return Write({ { "owner", aState.owner_ },
-                 { "accepted", aState.acceptedAtMs_ },
-                 { "items", aState.itemCount_ },
-                 { "parts", aState.partCount_ },
-                 { "host", aState.hostName_ },
-                 { "path", aState.path_ },
-                 { "ended", aState.isEnded_ },
-                 { "finished", aState.isFinished_ },
-                 { "organisation", aState.organisation_ } });
+  return Serialize({ { "owner", aState.owner_ },
+                     { "accepted", aState.acceptedAtMs_ },
+                     { "items", aState.itemCount_ },
+                     { "parts", aState.partCount_ },
+                     { "host", aState.hostName_ },
+                     { "path", aState.path_ },
+                     { "ended", aState.isCancelled_ },
+                     { "finished", aState.isFinished_ },
+                     { "organisation", aState.organisation_ } });
 }
 
 std::optional<BatchJobState>
@@ -81,7 +81,7 @@
                      { "completed", result.state_ == ItemState::Completed },
                      { "output", result.output_ } });
   }
-  return Write(rows);
+  return Serialize(rows);
 }
 
 std::optional<std::vector<ItemResult>>
@@ -108,7 +108,7 @@
     rows[item] = { { "event", partial.lastEvent_ },
                    { "output", partial.output_ } };
   }
-  return Write(rows);
+  return Serialize(rows);
 }
 
 std::optional<std::unordered_map<std::string, PartialOutput>>
--- a/Libraries/LibBatch/BatchJob.h
+++ b/Libraries/LibBatch/BatchJob.h
@@ -27,7 +27,7 @@
 enum class ItemState : std::uint8_t
 {
   Completed,
-  Errored, ///< Abandoned without output.
+  Errored, ///< Has no output: rejected, failed too often or abandoned.
 };
 
 /// The immutable result of one item. Its position in the job's results never
@@ -54,15 +54,17 @@
 /// The stored state of a job, without its content and results.
 struct BatchJobState
 {
-  std::string owner_; ///< Host and incarnation that run the job; empty: none.
+  /// Host name and process number of the owner, e.g. "worker-1/2"; empty:
+  /// none.
+  std::string owner_;
   std::int64_t acceptedAtMs_ = 0; ///< Unix time.
   std::uint32_t itemCount_ = 0;
   std::uint32_t partCount_ = 0; ///< Number of keys that hold the content.
   std::string hostName_;        ///< Host header of the submitting request.
   std::string path_;
-  bool isEnded_ = false;    ///< The submitter has ended the job.
-  bool isFinished_ = false; ///< Every item has a result.
-  /// Organisation whose API keys may read and end the job. Empty: any caller
+  bool isCancelled_ = false; ///< The submitter has cancelled the job.
+  bool isFinished_ = false;  ///< Every item has a result.
+  /// Organisation whose API keys may read and cancel the job. Empty: any caller
   /// may, with or without a key.
   std::string organisation_{};
 
@@ -76,19 +78,22 @@
   BatchJobState state_;
   std::uint64_t stateRevision_ = 0; ///< 0: the state has not been read.
   std::map<std::uint32_t, std::string> parts_;
-  /// Set once all parts have been read.
+  /// Set once the state and all parts have been read and decoded.
   std::optional<std::vector<BatchItem>> items_;
   std::vector<ItemResult> results_; ///< Ordered by position, without gaps.
   /// Pages after a gap, by position.
   std::map<std::uint32_t, std::vector<ItemResult>> pages_;
   /// Keyed by item ID.
   std::unordered_map<std::string, PartialOutput> progress_;
-  /// Whether the content and all results have been read, not only the state.
+  /// Whether the content, results and progress have been read, not only the
+  /// state.
   bool isLoaded_ = false;
 
+  /// @return whether the job is open: neither cancelled nor finished. Otherwise
+  ///   it is closed.
   [[nodiscard]] bool IsOpen() const
   {
-    return !state_.isEnded_ && !state_.isFinished_;
+    return !state_.isCancelled_ && !state_.isFinished_;
   }
 };
 
--- a/Libraries/LibBatch/BatchJobKeys.cpp
+++ b/Libraries/LibBatch/BatchJobKeys.cpp
@@ -22,15 +22,15 @@
 std::string
 BatchJobKeySpace::MakeKey(const BatchJobKey& aKey) const
 {
-  switch (aKey.part_) {
-    case KeyPart::State:
+  switch (aKey.kind_) {
+    case KeyKind::State:
       return statePrefix_ + aKey.job_;
-    case KeyPart::Progress:
+    case KeyKind::Progress:
       return DataPrefix(aKey.job_) + "progress";
-    case KeyPart::Content:
+    case KeyKind::Content:
       return fmt::format(
         "{}content/{:06}", DataPrefix(aKey.job_), aKey.number_);
-    case KeyPart::Results:
+    case KeyKind::Results:
       break;
   }
   return fmt::format("{}result/{:06}", DataPrefix(aKey.job_), aKey.number_);
@@ -55,7 +55,7 @@
   key.job_ = std::string(aText.substr(0, slash));
   const std::string_view rest = aText.substr(slash + 1);
   if (rest == "progress") {
-    key.part_ = KeyPart::Progress;
+    key.kind_ = KeyKind::Progress;
     return key;
   }
   const std::size_t second = rest.find('/');
@@ -67,7 +67,7 @@
   if (!number || (name != "content" && name != "result")) {
     return std::nullopt;
   }
-  key.part_ = name == "content" ? KeyPart::Content : KeyPart::Results;
+  key.kind_ = name == "content" ? KeyKind::Content : KeyKind::Results;
   key.number_ = *number;
   return key;
 }
--- a/Libraries/LibBatch/BatchJobKeys.h
+++ b/Libraries/LibBatch/BatchJobKeys.h
@@ -8,7 +8,7 @@
 namespace pumiceturn::batch {
 
 /// The kind of data that a store key holds.
-enum class KeyPart : std::uint8_t
+enum class KeyKind : std::uint8_t
 {
   State,
   Content,  ///< One numbered part of the content.
@@ -20,14 +20,15 @@
 struct BatchJobKey
 {
   std::string job_;
-  KeyPart part_ = KeyPart::State;
+  KeyKind kind_ = KeyKind::State;
   std::uint32_t number_ = 0; ///< Content part or position of the first result.
 
   bool operator==(const BatchJobKey&) const = default;
 };
 
-/// The key prefixes of jobs in the store. Every host watches the small states.
-/// Normally only the host that runs a job reads its content and results.
+/// The key prefixes of jobs in the store. Every host watches the states, which
+/// are small. Normally only the host that runs a job reads its content and
+/// results.
 struct BatchJobKeySpace
 {
   std::string statePrefix_;
@@ -39,7 +40,7 @@
 
   [[nodiscard]] std::string StateKey(const std::string& aJob) const
   {
-    return MakeKey({ aJob, KeyPart::State, 0 });
+    return MakeKey({ aJob, KeyKind::State, 0 });
   }
 
   [[nodiscard]] std::string LedgerKey(const std::string& aLedger) const
@@ -56,8 +57,8 @@
 };
 
 /// @return the name of the ledger that counts the waiting tokens of an
-///   organisation on a route. Organisations have separate ledgers to avoid
-///   write conflicts.
+///   organisation on a route. The cap applies to each organisation separately;
+///   separate ledgers also avoid write conflicts.
 std::string
 LedgerName(const std::string& aRoute, const std::string& aOrganisation);
 
--- a/Libraries/LibBatch/BatchJobTable.cpp
+++ b/Libraries/LibBatch/BatchJobTable.cpp
@@ -15,24 +15,24 @@
   }
   BatchJob& job = jobs_[key->job_];
   job.id_ = key->job_;
-  switch (key->part_) {
-    case KeyPart::State:
+  switch (key->kind_) {
+    case KeyKind::State:
       if (auto state = DecodeState(aValue);
           state && aRevision > job.stateRevision_) {
         job.state_ = std::move(*state);
         job.stateRevision_ = aRevision;
       }
       break;
-    case KeyPart::Content:
+    case KeyKind::Content:
       job.parts_[key->number_] = std::string(aValue);
       break;
-    case KeyPart::Results:
+    case KeyKind::Results:
       if (auto results = DecodeResults(aValue)) {
         job.pages_.try_emplace(key->number_, std::move(*results));
       }
       JoinPages(job);
       break;
-    case KeyPart::Progress:
+    case KeyKind::Progress:
       if (auto progress = DecodeProgress(aValue)) {
         job.progress_ = std::move(*progress);
       }
@@ -45,9 +45,9 @@
 void
 BatchJobTable::JoinParts(BatchJob& aJob)
 {
-  const bool isWhole = aJob.stateRevision_ != 0 && !aJob.items_ &&
-                       aJob.parts_.size() == aJob.state_.partCount_;
-  if (!isWhole) {
+  const bool isComplete = aJob.stateRevision_ != 0 && !aJob.items_ &&
+                          aJob.parts_.size() == aJob.state_.partCount_;
+  if (!isComplete) {
     return;
   }
   std::string content;
@@ -76,7 +76,7 @@
 BatchJobTable::Remove(std::string_view aKey)
 {
   const auto key = keys_.ParseKey(aKey);
-  if (key && key->part_ == KeyPart::State) {
+  if (key && key->kind_ == KeyKind::State) {
     jobs_.erase(key->job_);
   }
 }
--- a/Libraries/LibBatch/BatchJobTable.h
+++ b/Libraries/LibBatch/BatchJobTable.h
@@ -43,14 +43,15 @@
   [[nodiscard]] const BatchJob* Find(const std::string& aId) const;
 
   /// Marks a job as loaded after all its keys have been applied.
-  /// @return false if the content is incomplete, for example while another host
-  ///   is still writing it.
+  /// @return false if the content is missing, incomplete or malformed, for
+  ///   example while another host removes the job.
   bool FinishLoading(const std::string& aId);
 
   /// Discards everything about a job except its state.
   void Unload(const std::string& aId);
 
-  /// @return the IDs of all jobs that are neither ended nor finished.
+  /// @return the IDs of all open jobs: those that are neither cancelled nor
+  ///   finished.
   [[nodiscard]] std::vector<std::string> OpenJobs() const;
 
   /// @return the IDs of all jobs with a known state.
--- a/Libraries/LibBatch/HostSet.cpp
+++ b/Libraries/LibBatch/HostSet.cpp
@@ -82,7 +82,7 @@
 }
 
 bool
-HostSet::IsLive(const std::string& aOwner) const
+HostSet::IsRegistered(const std::string& aOwner) const
 {
   return std::any_of(
     members_.begin(), members_.end(), [&aOwner](const auto& aEntry) {
@@ -96,7 +96,7 @@
   if (aOwner.empty()) {
     return true;
   }
-  if (IsLive(aOwner)) {
+  if (IsRegistered(aOwner)) {
     return false;
   }
   const auto since = unregisteredSince_.try_emplace(aOwner, aNow).first->second;
@@ -104,7 +104,7 @@
 }
 
 std::string
-HostSet::OwnerFor(std::string_view aJob) const
+HostSet::AssignedOwner(std::string_view aJob) const
 {
   using Rank = std::pair<BatchPreference, std::uint64_t>;
   std::string best;
--- a/Libraries/LibBatch/HostSet.h
+++ b/Libraries/LibBatch/HostSet.h
@@ -11,10 +11,10 @@
 
 namespace pumiceturn::batch {
 
-/// The preference with which a host is assigned jobs.
+/// How preferred a host is in the assignment of jobs.
 enum class BatchPreference : std::uint8_t
 {
-  Fallback, ///< Entry host, assigned jobs only if no worker is live.
+  Fallback, ///< Entry host, assigned jobs only if there is no worker.
   Worker,
 };
 
@@ -34,12 +34,12 @@
 {
 public:
   /// Delay before jobs of an unregistered host are taken over. The lease of a
-  /// live host may expire while the store is unavailable.
+  /// running host may expire while the store is unavailable.
   static constexpr base::Duration kTakeoverDelay{ std::chrono::milliseconds{
     1200 } };
 
   /// Adds or updates a host.
-  /// @param aOwner Host and incarnation, as stored in the job state.
+  /// @param aOwner Host name and process number, as stored in the job state.
   /// @param aPreference Only hosts of the highest preference present are
   ///   assigned jobs.
   /// @param aAddress IP:PORT for calls from other hosts.
@@ -56,28 +56,29 @@
   [[nodiscard]] bool CanTakeOverFrom(const std::string& aOwner,
                                      base::Instant aNow) const;
 
-  /// @return the IP:PORT at which a live owner accepts calls from other hosts,
-  ///   or nullopt if it is not live.
+  /// @return the IP:PORT at which an owner accepts calls from other hosts, or
+  ///   nullopt if it is not registered.
   [[nodiscard]] std::optional<std::string> AddressOf(
     const std::string& aOwner) const;
 
-  [[nodiscard]] bool IsLive(const std::string& aOwner) const;
+  [[nodiscard]] bool IsRegistered(const std::string& aOwner) const;
 
-  /// @return the live owner assigned to a job by rendezvous hashing, or an
-  ///   empty string if no host is live. Hosts with the same registrations
+  /// @return the registered owner assigned to a job by rendezvous hashing, or
+  ///   an empty string if no host is registered. Hosts with the same
+  ///   registrations
   ///   choose the same owner.
-  [[nodiscard]] std::string OwnerFor(std::string_view aJob) const;
+  [[nodiscard]] std::string AssignedOwner(std::string_view aJob) const;
 
   /// @return whether hosts with this preference are currently assigned jobs.
   [[nodiscard]] bool IsPreferred(BatchPreference aPreference) const;
 
-  /// @return the number of live workers.
+  /// @return the number of registered workers.
   [[nodiscard]] std::size_t WorkerCount() const;
 
-  /// @return the number of live hosts.
+  /// @return the number of registered hosts.
   [[nodiscard]] std::size_t Count() const { return members_.size(); }
 
-  /// @return the addresses of the live hosts, without the given owner.
+  /// @return the addresses of the registered hosts, without the given owner.
   [[nodiscard]] std::vector<PeerAddress> PeersExcept(
     const std::string& aExcludedOwner) const;
 
@@ -90,8 +91,9 @@
   };
 
   std::unordered_map<std::string, Member> members_; ///< Keyed by host name.
-  /// When each owner was found to be unregistered. For an owner that was never
-  /// registered, the time of the first query.
+  /// Start of each unregistered owner's takeover delay; in the past for a
+  /// restarted host, whose jobs may be taken over immediately. For an owner
+  /// that was never registered, the time of the first query.
   mutable std::unordered_map<std::string, base::Instant> unregisteredSince_;
 };
 
--- a/Libraries/LibBatch/ItemDurationEstimator.cpp
+++ b/Libraries/LibBatch/ItemDurationEstimator.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Weight of a new sample in the moving average.
-constexpr double kNewSampleWeight = 0.05;
+/// Minimum weight of a new sample; with fewer samples, all have equal weight.
+constexpr double kMinSampleWeight = 0.05;
 
-/// The duration of shorter attempts is dominated by the wait for a slot.
+/// Minimum number of events for an attempt to be recorded. The duration of
+/// shorter attempts is dominated by the wait at the endpoint.
 constexpr std::uint64_t kMinEvents = 20;
 
 } // namespace
@@ -18,26 +19,26 @@
 ItemDurationEstimator::Average::Add(double aSample)
 {
   ++samples_;
-  const double weight = std::max(1.0 / samples_, kNewSampleWeight);
+  const double weight = std::max(1.0 / samples_, kMinSampleWeight);
   value_ += (aSample - value_) * weight;
 }
 
 void
-ItemDurationEstimator::RecordAttempt(std::uint64_t aEvents,
+ItemDurationEstimator::RecordAttempt(std::uint64_t aEventCount,
                                      base::Duration aDuration)
 {
-  if (aEvents >= kMinEvents) {
+  if (aEventCount >= kMinEvents) {
     const std::chrono::duration<double> seconds = aDuration;
-    secondsPerEvent_.Add(seconds.count() / static_cast<double>(aEvents));
+    secondsPerEvent_.Add(seconds.count() / static_cast<double>(aEventCount));
   }
 }
 
 void
 ItemDurationEstimator::RecordCompleted(std::uint64_t aTokens,
-                                       std::uint64_t aEvents)
+                                       std::uint64_t aEventCount)
 {
   if (aTokens > 0) {
-    eventsPerToken_.Add(static_cast<double>(aEvents) /
+    eventsPerToken_.Add(static_cast<double>(aEventCount) /
                         static_cast<double>(aTokens));
   }
 }
--- a/Libraries/LibBatch/ItemDurationEstimator.h
+++ b/Libraries/LibBatch/ItemDurationEstimator.h
@@ -13,12 +13,13 @@
 public:
   /// Records the duration of an attempt and the number of events that it
   /// produced. Short attempts are ignored.
-  void RecordAttempt(std::uint64_t aEvents, base::Duration aDuration);
+  void RecordAttempt(std::uint64_t aEventCount, base::Duration aDuration);
 
   /// Records the total number of events of a completed item.
   /// @param aTokens Prompt tokens plus maximum output tokens.
-  void RecordCompleted(std::uint64_t aTokens, std::uint64_t aEvents);
+  void RecordCompleted(std::uint64_t aTokens, std::uint64_t aEventCount);
 
+  /// @param aLastEvent Number of events that the item has already produced.
   /// @return the estimated remaining run time of an item; zero if nothing has
   ///   been recorded.
   [[nodiscard]] base::Duration EstimateRemaining(
--- a/Libraries/LibBatch/ItemSchedule.cpp
+++ b/Libraries/LibBatch/ItemSchedule.cpp
@@ -9,15 +9,15 @@
   : limits_(aLimits)
 {
   assert(aJob.items_);
-  std::unordered_set<std::string> listed;
+  std::unordered_set<std::string> itemsWithResult;
   for (const ItemResult& result : aJob.results_) {
-    listed.insert(result.item_);
+    itemsWithResult.insert(result.item_);
   }
   for (const BatchItem& batchItem : *aJob.items_) {
     Item item;
     item.id_ = batchItem.id_;
     item.tokens_ = batchItem.tokens_;
-    if (listed.contains(batchItem.id_)) {
+    if (itemsWithResult.contains(batchItem.id_)) {
       item.phase_ = Phase::Done;
     }
     if (const auto found = aJob.progress_.find(batchItem.id_);
@@ -38,11 +38,12 @@
     if (item.phase_ != Phase::Waiting || item.notBefore_ > aNow) {
       continue;
     }
-    std::erase_if(item.crashes_,
-                  [&aHasSurvived](const BrokenAttempt& aAttempt) {
-                    return aHasSurvived(aAttempt.endpoint_, aAttempt.at_);
+    std::erase_if(item.possibleCrashes_,
+                  [&aHasSurvived](const InterruptedAttempt& aAttempt) {
+                    return aHasSurvived(aAttempt.endpoint_,
+                                        aAttempt.interruptedAt_);
                   });
-    if (item.crashes_.size() < kMaxCrashes) {
+    if (item.possibleCrashes_.size() < kMaxCrashes) {
       startable.push_back(index);
     }
   }
@@ -73,25 +74,25 @@
     case ItemAttemptOutcome::Completed:
       return Finish(
         item, ItemState::Completed, std::move(item.progress_.output_));
-    case ItemAttemptOutcome::Impossible:
+    case ItemAttemptOutcome::Rejected:
       return Finish(item, ItemState::Errored, {});
     case ItemAttemptOutcome::Failed:
       ++item.failures_;
       if (item.failures_ >= limits_.maxAttempts_) {
         return Finish(item, ItemState::Errored, {});
       }
-      Postpone(item, kRetryPause, aNow);
+      Postpone(item, kRetryDelay, aNow);
       break;
     case ItemAttemptOutcome::NotRun:
-      Postpone(item, kNoSlotPause, aNow);
+      Postpone(item, kNotRunDelay, aNow);
       break;
-    case ItemAttemptOutcome::Broken:
+    case ItemAttemptOutcome::Interrupted:
       if (hasAdvanced) {
-        item.crashes_.clear();
+        item.possibleCrashes_.clear();
       } else {
-        item.crashes_.push_back({ item.endpoint_, aNow });
+        item.possibleCrashes_.push_back({ item.endpoint_, aNow });
       }
-      Postpone(item, kRetryPause, aNow);
+      Postpone(item, kRetryDelay, aNow);
       break;
     case ItemAttemptOutcome::Preempted:
       Postpone(item, base::Duration::zero(), aNow);
@@ -108,17 +109,17 @@
 }
 
 void
-ItemSchedule::Postpone(Item& aItem, base::Duration aPause, base::Instant aNow)
+ItemSchedule::Postpone(Item& aItem, base::Duration aDelay, base::Instant aNow)
 {
   aItem.phase_ = Phase::Waiting;
-  aItem.notBefore_ = aNow + aPause;
+  aItem.notBefore_ = aNow + aDelay;
 }
 
 std::vector<ItemResult>
-ItemSchedule::GiveUp(base::Instant aNow)
+ItemSchedule::AbandonWaiting(base::Instant aNow)
 {
   std::vector<ItemResult> results;
-  if (aNow < limits_.giveUpAt_) {
+  if (aNow < limits_.abandonAt_) {
     return results;
   }
   for (Item& item : items_) {
@@ -130,7 +131,7 @@
 }
 
 std::uint64_t
-ItemSchedule::WaitingTokens() const
+ItemSchedule::UnfinishedTokens() const
 {
   std::uint64_t tokens = 0;
   for (const Item& item : items_) {
--- a/Libraries/LibBatch/ItemSchedule.h
+++ b/Libraries/LibBatch/ItemSchedule.h
@@ -17,11 +17,11 @@
 enum class ItemAttemptOutcome : std::uint8_t
 {
   Completed,
-  Failed,     ///< The endpoint reported an error.
-  Impossible, ///< The endpoint rejected the item permanently.
-  NotRun,     ///< The endpoint had no free slot.
-  Broken,     ///< The stream was interrupted.
-  Preempted,  ///< Cancelled in favour of online work.
+  Failed,      ///< The endpoint reported an error.
+  Rejected,    ///< The endpoint rejected the item permanently.
+  NotRun,      ///< Not reached, or refused before the item ran.
+  Interrupted, ///< The stream was interrupted.
+  Preempted,   ///< Cancelled in favour of online work.
 };
 
 /// Limits that the job's route sets for its items.
@@ -29,8 +29,10 @@
 {
   /// Number of failures after which an item is abandoned.
   std::uint32_t maxAttempts_ = 1;
+  /// When the results should be readable.
   base::Instant dueAt_ = base::Instant::max();
-  base::Instant giveUpAt_ = base::Instant::max();
+  /// When items that are not running are abandoned.
+  base::Instant abandonAt_ = base::Instant::max();
 };
 
 /// Tracks the items of a job: which may start, which are running and which are
@@ -38,22 +40,23 @@
 class ItemSchedule
 {
 public:
-  /// Number of endpoint crashes during attempts without a new event after which
-  /// an item is not started again. Prevents an item that crashes endpoints from
-  /// taking down the whole fleet. An endpoint that survived the interruption
-  /// doesn't count.
+  /// An item is not started again after this many attempts were interrupted
+  /// before a new event and their endpoint may have crashed. Prevents an item
+  /// that crashes endpoints from taking down the whole fleet. Interruptions
+  /// that the endpoint survived don't count.
   static constexpr std::size_t kMaxCrashes = 3;
 
-  /// Returns whether an endpoint was still alive after a given time.
+  /// Returns whether an endpoint is known to have been alive after a given
+  /// time.
   using HasSurvived =
-    std::function<bool(const std::string& aEndpoint, base::Instant aMoment)>;
+    std::function<bool(const std::string& aEndpoint, base::Instant aTime)>;
 
   /// Delay before an item is retried after an interruption or an error.
-  static constexpr base::Duration kRetryPause{ std::chrono::milliseconds{
+  static constexpr base::Duration kRetryDelay{ std::chrono::milliseconds{
     200 } };
 
-  /// Delay before an item is retried after its endpoint had no free slot.
-  static constexpr base::Duration kNoSlotPause{ std::chrono::milliseconds{
+  /// Delay before an item is retried after an attempt that did not run it.
+  static constexpr base::Duration kNotRunDelay{ std::chrono::milliseconds{
     100 } };
 
   ItemSchedule(const BatchJob& aJob, ItemLimits aLimits);
@@ -88,12 +91,12 @@
                                 PartialOutput aProgress,
                                 base::Instant aNow);
 
-  /// Abandons all waiting items once the give-up time has passed.
+  /// Abandons all waiting items once abandonAt_ has passed.
   /// @return their results.
-  std::vector<ItemResult> GiveUp(base::Instant aNow);
+  std::vector<ItemResult> AbandonWaiting(base::Instant aNow);
 
-  /// @return the total number of tokens of all items without a result.
-  [[nodiscard]] std::uint64_t WaitingTokens() const;
+  /// @return the total number of tokens of all waiting and running items.
+  [[nodiscard]] std::uint64_t UnfinishedTokens() const;
 
   /// @return the partial outputs of items without a result, by item ID, for the
   ///   next owner.
@@ -106,10 +109,10 @@
     Running,
     Done,
   };
-  struct BrokenAttempt
+  struct InterruptedAttempt
   {
     std::string endpoint_;
-    base::Instant at_;
+    base::Instant interruptedAt_;
   };
   struct Item
   {
@@ -119,13 +122,14 @@
     PartialOutput progress_;
     std::uint32_t failures_ = 0;
     std::string endpoint_; ///< Endpoint of the current attempt.
-    std::vector<BrokenAttempt>
-      crashes_; ///< Excludes endpoints known to have survived.
+    std::vector<InterruptedAttempt>
+      possibleCrashes_; ///< Interruptions at endpoints not known to have
+                        ///< survived.
     base::Instant notBefore_;
   };
 
   ItemResult Finish(Item& aItem, ItemState aState, std::string aOutput);
-  void Postpone(Item& aItem, base::Duration aPause, base::Instant aNow);
+  void Postpone(Item& aItem, base::Duration aDelay, base::Instant aNow);
 
   ItemLimits limits_;
   std::vector<Item> items_;
--- a/Libraries/LibBatch/LedgerCache.cpp
+++ b/Libraries/LibBatch/LedgerCache.cpp
@@ -10,15 +10,15 @@
 /// Window over which the release rate is measured.
 constexpr std::chrono::seconds kRateWindow{ 5 };
 
-/// Bounds of the returned time, before jitter.
+/// Bounds of the retry delay, before jitter.
 constexpr base::Duration kMinRetryDelay{ std::chrono::milliseconds{ 300 } };
 constexpr base::Duration kMaxRetryDelay{ std::chrono::seconds{ 10 } };
 
 /// Returned if no tokens were released within the rate window.
 constexpr std::chrono::seconds kDefaultRetryDelay{ 2 };
 
-/// Maximum jitter, as a share of the returned time. Keeps rejected submitters
-/// from retrying simultaneously.
+/// Maximum jitter, as a share of the retry delay without jitter. Keeps rejected
+/// submitters from retrying simultaneously.
 constexpr double kMaxJitter = 0.3;
 
 /// @return the number of tokens by which rows of the old ledger have decreased
@@ -27,7 +27,7 @@
 ReleasedBetween(const TokenLedger& aOld, const TokenLedger& aNew)
 {
   std::uint64_t released = 0;
-  for (const auto& [job, tokens] : aOld.Entries()) {
+  for (const auto& [job, tokens] : aOld.Rows()) {
     const std::uint64_t remaining = aNew.Find(job).value_or(0);
     released += tokens > remaining ? tokens - remaining : 0;
   }
@@ -50,7 +50,7 @@
                     std::uint64_t aRevision,
                     base::Instant aNow)
 {
-  Entry& entry = entries_[aLedger];
+  CachedLedger& entry = entries_[aLedger];
   if (aRevision <= entry.view_.revision_) {
     return LedgerUpdateOutcome::Stale;
   }
--- a/Libraries/LibBatch/LedgerCache.h
+++ b/Libraries/LibBatch/LedgerCache.h
@@ -27,8 +27,9 @@
 };
 
 /// Caches the ledgers read from the store and tracks how fast their tokens are
-/// released. A cached ledger may be stale, so writes expect its revision and a
-/// conflict returns the current value. Not thread-safe.
+/// released. A cached ledger may be stale, so a transaction that writes a
+/// ledger must expect its revision; after a conflict, the response contains the
+/// current ledger. Not thread-safe.
 class LedgerCache
 {
 public:
@@ -40,7 +41,8 @@
                              std::uint64_t aRevision,
                              base::Instant aNow);
 
-  /// Estimates when a job will fit, from the recent release rate.
+  /// Estimates when a job will fit within the cap, from the rate at which
+  /// tokens were released recently.
   /// @param aRandom Jitter, uniform in [0, 1).
   /// @return the time after which the submitter should retry.
   [[nodiscard]] base::Duration EstimateRetryDelay(const std::string& aLedger,
@@ -55,13 +57,14 @@
     base::Instant at_;
     std::uint64_t tokens_ = 0;
   };
-  struct Entry
+  struct CachedLedger
   {
     LedgerView view_;
     std::deque<Release> releases_; ///< Within the rate window.
   };
 
-  std::unordered_map<std::string, Entry> entries_; ///< Keyed by ledger name.
+  std::unordered_map<std::string, CachedLedger>
+    entries_; ///< Keyed by ledger name.
 };
 
 } // namespace pumiceturn::batch
--- a/Libraries/LibBatch/SpoolFiles.cpp
+++ b/Libraries/LibBatch/SpoolFiles.cpp
@@ -66,7 +66,7 @@
   return base::SyncFolder(folder_.string());
 }
 
-WriteOutcome
+SpoolWriteOutcome
 SpoolFiles::Write(const SpooledJob& aJob)
 {
   const std::filesystem::path path = PathOf(aJob.id_);
--- a/Libraries/LibBatch/SpoolFiles.h
+++ b/Libraries/LibBatch/SpoolFiles.h
@@ -11,11 +11,11 @@
 namespace pumiceturn::batch {
 
 /// The outcome of writing a job to disk.
-struct WriteOutcome
+struct SpoolWriteOutcome
 {
   std::optional<base::Failure> error_; ///< Not set: the job is durable.
-  /// After an error: whether the file may exist after a restart because it was
-  /// renamed before the error.
+  /// After an error: whether the file may exist after a restart, because the
+  /// rename was attempted.
   bool mayExist_ = false;
 };
 
@@ -29,13 +29,14 @@
   explicit SpoolFiles(std::filesystem::path aFolder);
 
   /// Writes a job durably.
-  [[nodiscard]] WriteOutcome Write(const SpooledJob& aJob);
+  [[nodiscard]] SpoolWriteOutcome Write(const SpooledJob& aJob);
 
-  /// Removes a job's file. The file may reappear after a power failure; the job
-  /// is then already in the store.
+  /// Removes a job's file. The file may reappear after a power failure, which
+  /// is harmless: the job is already stored or has expired.
   void Remove(const std::string& aJob);
 
-  /// Reads all jobs. Incomplete files were never acknowledged and are deleted.
+  /// Reads all jobs. Deletes incomplete or corrupt files, whose jobs were never
+  /// acknowledged.
   [[nodiscard]] std::vector<SpooledJob> ReadAll();
 
 private:
--- a/Libraries/LibBatch/SpooledJob.h
+++ b/Libraries/LibBatch/SpooledJob.h
@@ -8,7 +8,7 @@
 
 namespace pumiceturn::batch {
 
-/// A job that was accepted before it was in the store.
+/// A submitted job with its content, before it is stored.
 struct SpooledJob
 {
   std::string id_;
--- a/Libraries/LibBatch/StartOrder.cpp
+++ b/Libraries/LibBatch/StartOrder.cpp
@@ -11,21 +11,21 @@
 /// bursts.
 constexpr double kRemainingMargin = 0.1;
 
-/// Time from an item's last event until a reader has its result.
+/// Time allowed from an item's last event until a reader has its result.
 constexpr std::chrono::milliseconds kPublishDelay{ 300 };
 
 /// Groups of the start order.
 enum class Rank : std::uint8_t
 {
   Interrupted,
-  Planned,
+  InTime,
   Deferred,
   Late,
 };
 
-struct Ranked
+struct RankedCandidate
 {
-  Rank rank_ = Rank::Planned;
+  Rank rank_ = Rank::InTime;
   StartCandidate candidate_;
 };
 
@@ -41,37 +41,39 @@
   if (!aCandidate.urgency_.CanFinishInTime(aNow)) {
     return Rank::Late;
   }
-  return aCandidate.hasStarted_ ? Rank::Interrupted : Rank::Planned;
+  return aCandidate.wasInterrupted_ ? Rank::Interrupted : Rank::InTime;
 }
 
 bool
-IsBefore(const Ranked& aLeft, const Ranked& aRight)
+IsBefore(const RankedCandidate& aLeft, const RankedCandidate& aRight)
 {
   return std::make_pair(aLeft.rank_, aLeft.candidate_.urgency_.dueAt_) <
          std::make_pair(aRight.rank_, aRight.candidate_.urgency_.dueAt_);
 }
 
-/// Defers the oldest planned items until the others can all be done in time
+/// Defers the items that are due first until the others can all be done in time
 /// when run one after the other on the host's slots.
 /// @param aRanked Sorted with IsBefore().
 void
-DeferOldest(std::vector<Ranked>& aRanked, const StartConditions& aConditions)
+DeferEarliestDue(std::vector<RankedCandidate>& aRanked,
+                 const StartConditions& aConditions)
 {
-  const double slots = std::max(aConditions.slots_, 1.0);
+  const double slots = std::max(aConditions.averageAttempts_, 1.0);
   // Work in slot-seconds ahead of each item, including the running attempts.
   std::vector<double> workBefore;
   double work = Seconds(aConditions.runningWork_);
-  for (const Ranked& item : aRanked) {
+  for (const RankedCandidate& item : aRanked) {
     workBefore.push_back(work);
     work += Seconds(item.candidate_.urgency_.remaining_);
   }
-  // The work to defer ahead of an item is the maximum excess of that item and
-  // all later ones.
-  const auto isPlanned = [](const Ranked& aItem) {
-    return aItem.rank_ == Rank::Planned;
+  // An item's excess is the work ahead of it that cannot be done before its
+  // latest start. To keep an item and all later ones, at least their maximum
+  // excess must be deferred.
+  const auto isInTime = [](const RankedCandidate& aItem) {
+    return aItem.rank_ == Rank::InTime;
   };
-  const auto begin = std::find_if(aRanked.begin(), aRanked.end(), isPlanned);
-  const auto end = std::find_if_not(begin, aRanked.end(), isPlanned);
+  const auto begin = std::find_if(aRanked.begin(), aRanked.end(), isInTime);
+  const auto end = std::find_if_not(begin, aRanked.end(), isInTime);
   double maxExcess = 0.0;
   std::size_t keptFrom = static_cast<std::size_t>(end - aRanked.begin());
   const auto first = static_cast<std::size_t>(begin - aRanked.begin());
@@ -103,18 +105,18 @@
 OrderStarts(std::vector<StartCandidate> aCandidates,
             const StartConditions& aConditions)
 {
-  std::vector<Ranked> ranked;
+  std::vector<RankedCandidate> ranked;
   ranked.reserve(aCandidates.size());
   for (StartCandidate& candidate : aCandidates) {
     const Rank rank = InitialRank(candidate, aConditions.now_);
     ranked.push_back({ rank, std::move(candidate) });
   }
   std::stable_sort(ranked.begin(), ranked.end(), IsBefore);
-  DeferOldest(ranked, aConditions);
+  DeferEarliestDue(ranked, aConditions);
   std::stable_sort(ranked.begin(), ranked.end(), IsBefore);
   std::vector<StartCandidate> ordered;
   ordered.reserve(ranked.size());
-  for (Ranked& item : ranked) {
+  for (RankedCandidate& item : ranked) {
     ordered.push_back(std::move(item.candidate_));
   }
   return ordered;
--- a/Libraries/LibBatch/StartOrder.h
+++ b/Libraries/LibBatch/StartOrder.h
@@ -14,10 +14,11 @@
   base::Instant dueAt_;
   base::Duration remaining_{ 0 };
 
-  /// @return the latest time at which the item can start and be done when due.
+  /// @return the latest time at which the item can start and still be done in
+  ///   time.
   [[nodiscard]] base::Instant LatestStart() const;
 
-  /// @return whether the item would be done when due if it started now.
+  /// @return whether the item would be done in time if it started now.
   [[nodiscard]] bool CanFinishInTime(base::Instant aNow) const
   {
     return LatestStart() >= aNow;
@@ -30,25 +31,26 @@
   std::string job_;
   std::size_t item_ = 0;
   ItemUrgency urgency_;
-  bool hasStarted_ = false; ///< Whether an earlier attempt was interrupted.
+  bool wasInterrupted_ = false; ///< Whether an earlier attempt was interrupted.
 };
 
 /// The capacity of a host to run items.
 struct StartConditions
 {
   base::Instant now_;
-  double slots_ = 1.0; ///< Recent average number of concurrent attempts.
+  /// Recent average number of concurrent attempts, as an estimate of the slots.
+  double averageAttempts_ = 1.0;
   /// Total remaining run time of the running attempts.
   base::Duration runningWork_{ 0 };
 };
 
 /// Orders items for the next free slots:
 ///
-/// 1. Interrupted items that can still be done in time. Otherwise many items
-/// would be started and few finished while online bursts preempt them.
+/// 1. Interrupted items that can still be done in time. They go first so that
+/// preemption doesn't leave many items started and few finished.
 /// 2. Items that can be done in time together, by due time. Under overload the
-/// oldest items are deferred until the rest fits. Otherwise each slot would run
-/// an item that has just missed its due time.
+/// earliest due items are deferred until the others can be done in time;
+/// without this, each slot would run an item that misses its due time.
 /// 3. Deferred items, then items that can no longer be done in time, by due
 /// time.
 [[nodiscard]] std::vector<StartCandidate>
--- a/Libraries/LibBatch/TokenLedger.cpp
+++ b/Libraries/LibBatch/TokenLedger.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Upper bound per row, so that corrupt rows cannot overflow the total.
+/// Upper bound per row, far above any real job, so that corrupt rows cannot
+/// overflow the total.
 constexpr std::uint64_t kMaxTokensPerJob = 1ULL << 40;
 
 } // namespace
@@ -16,8 +17,8 @@
 std::optional<std::uint64_t>
 TokenLedger::Find(const std::string& aJob) const
 {
-  const auto row = entries_.find(aJob);
-  return row == entries_.end() ? std::nullopt : std::optional(row->second);
+  const auto row = rows_.find(aJob);
+  return row == rows_.end() ? std::nullopt : std::optional(row->second);
 }
 
 void
@@ -26,16 +27,16 @@
   total_ -= Find(aJob).value_or(0);
   total_ += aTokens;
   if (aTokens == 0) {
-    entries_.erase(aJob);
+    rows_.erase(aJob);
   } else {
-    entries_[aJob] = aTokens;
+    rows_[aJob] = aTokens;
   }
 }
 
 std::string
 EncodeLedger(const TokenLedger& aLedger)
 {
-  return json(aLedger.Entries())
+  return json(aLedger.Rows())
     .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/Libraries/LibBatch/TokenLedger.h
+++ b/Libraries/LibBatch/TokenLedger.h
@@ -8,10 +8,10 @@
 
 namespace pumiceturn::batch {
 
-/// Waiting tokens of accepted jobs on one route, by job. Accepting a job adds
-/// its row in the transaction that creates the job, so that hosts accepting
-/// concurrently cannot exceed the cap together. The owner of the job decreases
-/// its row.
+/// Waiting tokens of an organisation's accepted jobs on one route, by job.
+/// Accepting a job adds its row in the transaction that creates the job, so
+/// that hosts accepting concurrently cannot exceed the cap together. The owner
+/// of the job decreases its row.
 class TokenLedger
 {
 public:
@@ -30,16 +30,16 @@
   /// Sets the row of a job; zero removes it.
   void Set(const std::string& aJob, std::uint64_t aTokens);
 
-  [[nodiscard]] const std::map<std::string, std::uint64_t>& Entries() const
+  [[nodiscard]] const std::map<std::string, std::uint64_t>& Rows() const
   {
-    return entries_;
+    return rows_;
   }
 
   bool operator==(const TokenLedger&) const = default;
 
 private:
   /// Rows with zero tokens are removed.
-  std::map<std::string, std::uint64_t> entries_;
+  std::map<std::string, std::uint64_t> rows_;
   std::uint64_t total_ = 0; ///< Sum of all rows.
 };
 
--- a/Libraries/LibGateway/BatchJobCreation.cpp
+++ b/Libraries/LibGateway/BatchJobCreation.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-/// Size of one part of a job's content. The store limits values to 1 MB, and
-/// some stores count them in base64.
+/// Size of one part of a job's content. The store limits values to 1 MB after
+/// base64 encoding.
 constexpr std::size_t kPartBytes = 600000;
 
 } // namespace
 
 metadata::Transaction
-MakeCreation(const batch::BatchJobKeySpace& aKeys,
-             const batch::SpooledJob& aJob)
+MakeCreationTransaction(const batch::BatchJobKeySpace& aKeys,
+                        const batch::SpooledJob& aJob)
 {
   batch::BatchJobState state = aJob.state_;
   state.partCount_ = 0;
@@ -20,7 +20,7 @@
   for (std::size_t begin = 0; begin < aJob.content_.size();
        begin += kPartBytes) {
     transaction.writes_.push_back(
-      { aKeys.MakeKey({ aJob.id_, batch::KeyPart::Content, state.partCount_ }),
+      { aKeys.MakeKey({ aJob.id_, batch::KeyKind::Content, state.partCount_ }),
         aJob.content_.substr(begin, kPartBytes),
         0 });
     ++state.partCount_;
--- a/Libraries/LibGateway/BatchJobHandler.cpp
+++ b/Libraries/LibGateway/BatchJobHandler.cpp
@@ -18,14 +18,15 @@
 /// then, a job that is missing in the store may still exist.
 constexpr std::chrono::milliseconds kSpoolRecoveryTime{ 3000 };
 
-/// Maximum number of retries when ending a job conflicts with other changes.
+/// Maximum number of retries when cancelling a job conflicts with other
+/// changes.
 constexpr std::uint32_t kMaxEndRetries = 8;
 
-/// Maximum size of a page of results in one response.
-constexpr std::size_t kMaxPageBytes = 900000;
+/// Maximum size of the results in one response.
+constexpr std::size_t kMaxResponseBytes = 900000;
 
-/// Time allowed for a forwarded request beyond the reader's own wait. Leaves
-/// time to read from the store before the caller times out.
+/// Time allowed for a forwarded request beyond the caller's maximum wait.
+/// Leaves time to read from the store before the caller times out.
 constexpr std::chrono::milliseconds kForwardMargin{ 400 };
 
 /// @return the ID of the job to read, or an empty string for any other call.
@@ -112,7 +113,8 @@
 BatchJobHandler::RespondNotFound(httpstream::Exchange& aExchange,
                                  const OrganisationName& aCaller) const
 {
-  // Don't reveal to callers without a key which jobs exist.
+  // If organisations are declared, an empty name is a caller without a key,
+  // which must not learn which jobs exist.
   const bool hasNoKey = aCaller && aCaller->empty();
   aExchange.Respond(
     hasNoKey ? shared_.codec_.MakeUnauthorised()
@@ -120,9 +122,9 @@
 }
 
 bool
-BatchJobHandler::IsAllowed(const ExchangePtr& aExchange,
-                           const batch::BatchJob& aJob,
-                           const OrganisationName& aCaller) const
+BatchJobHandler::CheckAccess(const ExchangePtr& aExchange,
+                             const batch::BatchJob& aJob,
+                             const OrganisationName& aCaller) const
 {
   const std::string& organisation = aJob.state_.organisation_;
   if (!aCaller || organisation.empty() || organisation == *aCaller) {
@@ -139,7 +141,7 @@
                            std::function<void(const batch::BatchJob&)> aUse)
 {
   if (const batch::BatchJob* job = jobs_.Find(aJob)) {
-    if (IsAllowed(aExchange, *job, aCaller)) {
+    if (CheckAccess(aExchange, *job, aCaller)) {
       aUse(*job);
     }
     return;
@@ -149,8 +151,8 @@
                     [this, aJob, aExchange, aCaller, use = std::move(aUse)](
                       metadata::StoreStatus aStatus) {
                       if (const batch::BatchJob* job = jobs_.Find(aJob)) {
-                        onStateRead_(aJob);
-                        if (IsAllowed(aExchange, *job, aCaller)) {
+                        onStateChanged_(aJob);
+                        if (CheckAccess(aExchange, *job, aCaller)) {
                           use(*job);
                         }
                       } else if (aStatus == metadata::StoreStatus::Ok &&
@@ -193,7 +195,7 @@
                          const std::string& aAddress,
                          const BatchJobCall& aCall)
 {
-  httpstream ::HttpClient* client = clients_.FindOrCreate(aAddress);
+  httpstream::HttpClient* client = clients_.FindOrCreate(aAddress);
   if (client == nullptr) {
     ReadFromStore(aExchange, aJob, aCall);
     return;
@@ -210,11 +212,11 @@
   client->Send(request,
                wait + kForwardMargin,
                [this, aExchange, aJob, aCall](httpstream::CallResult aResult) {
-                 const bool isAnswer =
+                 const bool hasResponse =
                    aResult.outcome_ == httpstream::CallOutcome::Complete &&
                    (aResult.status_ == httpstream::kStatusOk ||
                     aResult.status_ == httpstream::kStatusNotFound);
-                 if (isAnswer) {
+                 if (hasResponse) {
                    aExchange->Respond(httpstream::MakeResponse(
                      aResult.status_, std::move(aResult.body_)));
                  } else {
@@ -263,14 +265,14 @@
                                 const ReadResultsCall& aCall,
                                 bool aMayWait)
 {
-  const base ::Instant deadline = aExchange->ReceivedAt() + aCall.maxWait_;
+  const base::Instant deadline = aExchange->ReceivedAt() + aCall.maxWait_;
   const bool hasResult = aCall.position_ < aJob.results_.size();
   if (hasResult || !aMayWait || !aJob.IsOpen() ||
       base::MonotonicNow() >= deadline) {
     SendResults(*aExchange, aJob, aCall.position_);
     return;
   }
-  readers_[aJob.id_].push_back({ aExchange, aCall.position_, deadline });
+  waitingReads_[aJob.id_].push_back({ aExchange, aCall.position_, deadline });
 }
 
 void
@@ -302,7 +304,7 @@
   std::size_t bytes = 0;
   while (end < aJob.results_.size() &&
          (end == begin ||
-          bytes + aJob.results_[end].output_.size() < kMaxPageBytes)) {
+          bytes + aJob.results_[end].output_.size() < kMaxResponseBytes)) {
     bytes += aJob.results_[end].output_.size();
     ++end;
   }
@@ -318,12 +320,12 @@
                      const batch::BatchJob& aJob,
                      std::uint32_t aRetriesLeft)
 {
-  if (aJob.state_.isEnded_) {
+  if (aJob.state_.isCancelled_) {
     aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
   }
   batch::BatchJobState state = aJob.state_;
-  state.isEnded_ = true;
+  state.isCancelled_ = true;
   const std::string key = jobs_.Keys().StateKey(aJob.id_);
   store_.Commit(
     MakeStateChange(jobs_.Keys(), aJob, state),
@@ -332,7 +334,7 @@
       using metadata::StoreStatus;
       if (aResponse.status_ == StoreStatus::Ok) {
         jobs_.Apply(key, batch::EncodeState(state), aResponse.revision_);
-        onStateRead_(id);
+        onStateChanged_(id);
         aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
         return;
       }
@@ -355,21 +357,21 @@
 void
 BatchJobHandler::OnJobChanged(const std::string& aJob)
 {
-  const auto found = readers_.find(aJob);
+  const auto found = waitingReads_.find(aJob);
   const batch::BatchJob* job = jobs_.Find(aJob);
-  if (found == readers_.end() || job == nullptr) {
+  if (found == waitingReads_.end() || job == nullptr) {
     return;
   }
-  std::vector<Reader> waiting;
-  for (Reader& reader : found->second) {
-    if (reader.position_ < job->results_.size() || !job->IsOpen()) {
-      SendResults(*reader.exchange_, *job, reader.position_);
+  std::vector<WaitingRead> waiting;
+  for (WaitingRead& waitingRead : found->second) {
+    if (waitingRead.position_ < job->results_.size() || !job->IsOpen()) {
+      SendResults(*waitingRead.exchange_, *job, waitingRead.position_);
     } else {
-      waiting.push_back(std::move(reader));
+      waiting.push_back(std::move(waitingRead));
     }
   }
   if (waiting.empty()) {
-    readers_.erase(found);
+    waitingReads_.erase(found);
   } else {
     found->second = std::move(waiting);
   }
@@ -378,18 +380,20 @@
 void
 BatchJobHandler::Tick(base::Instant aNow)
 {
-  for (auto entry = readers_.begin(); entry != readers_.end();) {
+  for (auto entry = waitingReads_.begin(); entry != waitingReads_.end();) {
     const batch::BatchJob* job = jobs_.Find(entry->first);
-    std::erase_if(entry->second, [&](const Reader& aReader) {
-      const bool isOver = aReader.deadline_ <= aNow || job == nullptr;
-      if (isOver && job != nullptr) {
-        SendResults(*aReader.exchange_, *job, aReader.position_);
-      } else if (isOver) {
-        aReader.exchange_->Respond(shared_.codec_.MakeUnavailable(kRetryAfter));
+    std::erase_if(entry->second, [&](const WaitingRead& aWaitingRead) {
+      const bool isDone = aWaitingRead.deadline_ <= aNow || job == nullptr;
+      if (isDone && job != nullptr) {
+        SendResults(*aWaitingRead.exchange_, *job, aWaitingRead.position_);
+      } else if (isDone) {
+        aWaitingRead.exchange_->Respond(
+          shared_.codec_.MakeUnavailable(kRetryAfter));
       }
-      return isOver;
+      return isDone;
     });
-    entry = entry->second.empty() ? readers_.erase(entry) : std::next(entry);
+    entry =
+      entry->second.empty() ? waitingReads_.erase(entry) : std::next(entry);
   }
 }
 
--- a/Libraries/LibGateway/BatchJobHandler.h
+++ b/Libraries/LibGateway/BatchJobHandler.h
@@ -18,10 +18,10 @@
 namespace pumiceturn::gateway {
 
 /// Handles callers' requests for accepted jobs: reading results and item
-/// bodies, and ending jobs. Any host can answer for any job: from memory if it
-/// runs the job, otherwise through the owner, otherwise from the store. If none
-/// of them can answer, the caller is asked to retry. Must be used on the event
-/// thread.
+/// bodies, and cancelling jobs. Any host can respond for any job: from memory
+/// if it runs the job, otherwise through the owner, otherwise from the store.
+/// If none of them can respond, the caller is asked to retry. Must be used on
+/// the event thread.
 class BatchJobHandler
 {
 public:
@@ -44,21 +44,23 @@
   void HandleForwarded(const std::shared_ptr<httpstream::Exchange>& aExchange,
                        const BatchJobCall& aCall);
 
-  /// Answers readers that wait for the results of a job, after its keys have
-  /// changed.
+  /// Responds to requests that wait for the results of a job, after its keys
+  /// have changed.
   void OnJobChanged(const std::string& aJob);
 
-  /// Answers readers whose maximum wait has passed.
+  /// Responds to waiting requests whose maximum wait has passed.
   void Tick(base::Instant aNow);
 
-  /// Sets a callback for jobs whose state this handler has read or changed.
-  void SetOnStateRead(std::function<void(const std::string&)> aCallback)
+  /// Sets a callback that is called with a job's ID after this handler has read
+  /// the job's state from the store or cancelled the job.
+  void SetOnStateChanged(std::function<void(const std::string&)> aCallback)
   {
-    onStateRead_ = std::move(aCallback);
+    onStateChanged_ = std::move(aCallback);
   }
 
 private:
-  struct Reader
+  /// A request that waits for the next result of a job.
+  struct WaitingRead
   {
     std::shared_ptr<httpstream::Exchange> exchange_;
     std::uint32_t position_ = 0;
@@ -76,13 +78,14 @@
 
   /// Checks whether the caller may access the job; responds with an error if
   /// not.
-  [[nodiscard]] bool IsAllowed(const ExchangePtr& aExchange,
-                               const batch::BatchJob& aJob,
-                               const OrganisationName& aCaller) const;
+  [[nodiscard]] bool CheckAccess(const ExchangePtr& aExchange,
+                                 const batch::BatchJob& aJob,
+                                 const OrganisationName& aCaller) const;
   void RespondNotFound(httpstream::Exchange& aExchange,
                        const OrganisationName& aCaller) const;
 
-  /// Answers a read request from memory, through the owner or from the store.
+  /// Responds to a read request from memory, through the owner or from the
+  /// store.
   void Read(const ExchangePtr& aExchange,
             const std::string& aJob,
             const BatchJobCall& aCall,
@@ -95,7 +98,7 @@
                      const std::string& aJob,
                      const BatchJobCall& aCall);
 
-  /// Answers from a loaded job.
+  /// Responds from a loaded job.
   /// @param aMayWait Whether to wait for a result that isn't available yet.
   void RespondFromMemory(const ExchangePtr& aExchange,
                          const batch::BatchJob& aJob,
@@ -124,8 +127,9 @@
   const metadata::StoreHealth& health_;
   std::string ownName_;
   PeerClients& clients_; ///< HTTP clients for the other hosts.
-  std::function<void(const std::string&)> onStateRead_;
-  std::unordered_map<std::string, std::vector<Reader>> readers_;
+  std::function<void(const std::string&)> onStateChanged_;
+  /// Keyed by job ID.
+  std::unordered_map<std::string, std::vector<WaitingRead>> waitingReads_;
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/BatchJobLoader.cpp
+++ b/Libraries/LibGateway/BatchJobLoader.cpp
@@ -9,26 +9,26 @@
 void
 BatchJobLoader::ReadState(const std::string& aJob, Done aDone)
 {
-  ReadPage(jobs_.Keys().StateKey(aJob), {}, std::move(aDone));
+  ReadAllAfter(jobs_.Keys().StateKey(aJob), {}, std::move(aDone));
 }
 
 void
 BatchJobLoader::ReadData(const std::string& aJob, Done aDone)
 {
-  ReadPage(jobs_.Keys().DataPrefix(aJob),
-           {},
-           [this, aJob, done = std::move(aDone)](StoreStatus aStatus) {
-             if (aStatus == StoreStatus::Ok) {
-               jobs_.FinishLoading(aJob);
-             }
-             done(aStatus);
-           });
+  ReadAllAfter(jobs_.Keys().DataPrefix(aJob),
+               {},
+               [this, aJob, done = std::move(aDone)](StoreStatus aStatus) {
+                 if (aStatus == StoreStatus::Ok) {
+                   jobs_.FinishLoading(aJob);
+                 }
+                 done(aStatus);
+               });
 }
 
 void
-BatchJobLoader::ReadPage(const std::string& aPrefix,
-                         const std::string& aAfter,
-                         Done aDone)
+BatchJobLoader::ReadAllAfter(const std::string& aPrefix,
+                             const std::string& aAfter,
+                             Done aDone)
 {
   store_.Range(aPrefix,
                aAfter,
@@ -41,7 +41,7 @@
                                       aResponse.isTruncated_ &&
                                       !aResponse.items_.empty();
                  if (hasMore) {
-                   ReadPage(aPrefix, aResponse.items_.back().key_, done);
+                   ReadAllAfter(aPrefix, aResponse.items_.back().key_, done);
                    return;
                  }
                  done(aResponse.status_);
--- a/Libraries/LibGateway/BatchJobLoader.h
+++ b/Libraries/LibGateway/BatchJobLoader.h
@@ -12,7 +12,8 @@
 class BatchJobLoader
 {
 public:
-  /// Receives the result. After Ok, the table holds the job as read.
+  /// Called once with the status. After Ok, the table contains the values that
+  /// were read; the job may not exist.
   using Done = std::function<void(metadata::StoreStatus)>;
 
   BatchJobLoader(metadata::StoreClient& aStore, batch::BatchJobTable& aJobs)
@@ -29,9 +30,10 @@
   void ReadData(const std::string& aJob, Done aDone);
 
 private:
-  void ReadPage(const std::string& aPrefix,
-                const std::string& aAfter,
-                Done aDone);
+  /// Reads all keys with a prefix that follow a given key.
+  void ReadAllAfter(const std::string& aPrefix,
+                    const std::string& aAfter,
+                    Done aDone);
 
   metadata::StoreClient& store_;
   batch::BatchJobTable& jobs_;
--- a/Libraries/LibGateway/BatchJobRetention.cpp
+++ b/Libraries/LibGateway/BatchJobRetention.cpp
@@ -15,7 +15,8 @@
 /// Maximum number of jobs that a host removes concurrently.
 constexpr std::size_t kMaxConcurrentRemovals = 4;
 
-/// Maximum number of content keys per transaction; the store allows 32 keys.
+/// Maximum number of data keys per transaction. The store allows 32 entries,
+/// and the state key may be added.
 constexpr std::size_t kMaxKeysPerTransaction = 30;
 
 /// Multiple of the retention after which an open job is removed too.
@@ -58,7 +59,7 @@
       return;
     }
     if (IsExpired(*jobs_.Find(id), aWallNow) &&
-        hosts_.OwnerFor(id) == ownName_) {
+        hosts_.AssignedOwner(id) == ownName_) {
       Remove(id);
     }
   }
--- a/Libraries/LibGateway/BatchJobRetention.h
+++ b/Libraries/LibGateway/BatchJobRetention.h
@@ -14,7 +14,8 @@
 class BatchJobRetention
 {
 public:
-  /// @param aRetention How long a closed job can be read after its acceptance.
+  /// @param aRetention Time after its acceptance at which a closed (cancelled
+  ///   or finished) job is removed.
   BatchJobRetention(metadata::StoreClient& aStore,
                     const batch::BatchJobTable& aJobs,
                     const batch::HostSet& aHosts,
--- a/Libraries/LibGateway/BatchJobSpool.cpp
+++ b/Libraries/LibGateway/BatchJobSpool.cpp
@@ -25,7 +25,7 @@
 constexpr std::chrono::seconds kLedgerLag{ 3 };
 
 /// Delay before a failed transaction is retried.
-constexpr std::chrono::milliseconds kRetryPause{ 300 };
+constexpr std::chrono::milliseconds kRetryDelay{ 300 };
 
 /// Time after which a transaction without a response is retried.
 constexpr std::chrono::milliseconds kCallTimeout{ 1500 };
@@ -41,7 +41,7 @@
                              std::string aOwnName,
                              const std::filesystem::path& aFolder,
                              base::Duration aRetention,
-                             double aCapShare,
+                             double aCapOverage,
                              std::size_t aCopies)
   : shared_(aShared)
   , store_(aStore)
@@ -50,7 +50,7 @@
   , hosts_(aHosts)
   , ownName_(std::move(aOwnName))
   , retention_(aRetention)
-  , capShare_(aCapShare)
+  , capOverage_(aCapOverage)
   , copies_(aCopies)
   , files_(aFolder)
   , disk_(aContext)
@@ -69,8 +69,8 @@
         base::Log(kBatchJobSpooled, { { "lot", job.id_ }, { "from", "disk" } });
         const std::string id = job.id_;
         const std::uint64_t tokens = TokensOf(job);
-        spooled_.try_emplace(id,
-                             Entry{ std::move(job), tokens, now, now, true });
+        spooled_.try_emplace(
+          id, SpoolRecord{ std::move(job), tokens, now, now, true });
       }
     });
 }
@@ -99,7 +99,7 @@
 }
 
 bool
-BatchJobSpool::IsWithinCap(const batch::SpooledJob& aJob,
+BatchJobSpool::FitsOverage(const batch::SpooledJob& aJob,
                            std::uint64_t aTokens) const
 {
   const fleet::Route* route = CappedRouteOf(aJob);
@@ -111,12 +111,13 @@
   for (const auto& [id, entry] : spooled_) {
     spooledTokens += LedgerNameOf(entry.job_) == ledger ? entry.tokens_ : 0;
   }
-  for (const StoredBatchJob& stored : stored_) {
-    spooledTokens += stored.ledger_ == ledger ? stored.tokens_ : 0;
+  for (const DroppedJob& dropped : recentlyDropped_) {
+    spooledTokens += dropped.ledger_ == ledger ? dropped.tokens_ : 0;
   }
-  // Acceptance through the ledger enforces the cap, so any excess in the ledger
-  // and all spooled jobs must fit within the extra share. Each job is spooled
-  // by copies_ workers, so this host's spool is scaled up accordingly.
+  // The ledger exceeds the cap through jobs that were spooled before or through
+  // a lowered cap. This excess and all spooled jobs together must not exceed
+  // the overage. Each job is spooled by copies_ workers, so the total of all
+  // hosts is extrapolated from this host's spool.
   const std::uint64_t cap = route->waitingTokenCap_;
   const std::uint64_t counted = shared_.ledgers_.Get(ledger).ledger_.Total();
   const double excess = static_cast<double>(counted > cap ? counted - cap : 0);
@@ -125,7 +126,7 @@
   const double spooledByAll =
     static_cast<double>(spooledTokens) *
     std::max(workers / static_cast<double>(copies_), 1.0);
-  return spooledByAll + excess <= static_cast<double>(cap) * capShare_;
+  return spooledByAll + excess <= static_cast<double>(cap) * capOverage_;
 }
 
 std::size_t
@@ -175,7 +176,7 @@
     return;
   }
   const std::uint64_t tokens = TokensOf(*job);
-  if (!spooled_.contains(job->id_) && !IsWithinCap(*job, tokens)) {
+  if (!spooled_.contains(job->id_) && !FitsOverage(*job, tokens)) {
     base::Log(kBatchJobNotSpooled,
               { { "lot", job->id_ }, { "code", "cap" }, { "tokens", tokens } });
     aExchange->Respond(
@@ -184,10 +185,10 @@
   }
   const base::Instant now = base::MonotonicNow();
   const std::string id = job->id_;
-  const bool isOwner = hosts_.OwnerFor(id) == ownName_;
+  const bool isOwner = hosts_.AssignedOwner(id) == ownName_;
   const base::Instant nextAttemptAt = isOwner ? now : now + kOwnerHeadStart;
   const auto [entry, isNew] = spooled_.try_emplace(
-    id, Entry{ std::move(*job), tokens, now, nextAttemptAt, false });
+    id, SpoolRecord{ std::move(*job), tokens, now, nextAttemptAt, false });
   if (entry->second.isWritten_) {
     aExchange->Respond(httpstream::MakeResponse(httpstream::kStatusOk, {}));
     return;
@@ -196,7 +197,7 @@
   if (!isNew) {
     return;
   }
-  auto outcome = std::make_shared<batch::WriteOutcome>();
+  auto outcome = std::make_shared<batch::SpoolWriteOutcome>();
   disk_.Post([this,
               outcome,
               copy = entry->second.job_] { *outcome = files_.Write(copy); },
@@ -205,11 +206,11 @@
 
 void
 BatchJobSpool::OnWritten(const std::string& aJob,
-                         const batch::WriteOutcome& aOutcome)
+                         const batch::SpoolWriteOutcome& aOutcome)
 {
-  // Entries are not erased before they are written.
+  // A job is not erased from the spool before it is written.
   const auto found = spooled_.find(aJob);
-  Entry& entry = found->second;
+  SpoolRecord& entry = found->second;
   const auto waiting = std::exchange(entry.pendingExchanges_, {});
   unsigned status = httpstream::kStatusOk;
   if (aOutcome.error_) {
@@ -218,8 +219,8 @@
                 { "code", base::NameOf(aOutcome.error_->code_) },
                 { "error", aOutcome.error_->detail_ } });
     spooled_.erase(found);
-    // A file that may exist is stored after a restart, so the job was not
-    // refused.
+    // If the file exists after a restart, its job is stored, so the response
+    // must not be a rejection.
     status = aOutcome.mayExist_ ? httpstream::kStatusGatewayTimeout
                                 : httpstream::kStatusUnavailable;
   } else {
@@ -234,7 +235,7 @@
 void
 BatchJobSpool::Tick(base::Instant aNow, base::WallTime aWallNow)
 {
-  std::erase_if(stored_, [aNow](const StoredBatchJob& aJob) {
+  std::erase_if(recentlyDropped_, [aNow](const DroppedJob& aJob) {
     return aNow - aJob.at_ > kLedgerLag;
   });
   std::vector<std::string> ids;
@@ -242,7 +243,7 @@
     ids.push_back(id);
   }
   for (const std::string& id : ids) {
-    Entry& entry = spooled_.at(id);
+    SpoolRecord& entry = spooled_.at(id);
     if (!entry.isWritten_) {
       continue;
     }
@@ -259,28 +260,29 @@
 }
 
 void
-BatchJobSpool::Store(Entry& aEntry, base::Instant aNow)
+BatchJobSpool::Store(SpoolRecord& aEntry, base::Instant aNow)
 {
   aEntry.nextAttemptAt_ = aNow + kCallTimeout;
-  metadata::Transaction creation = MakeCreation(jobs_.Keys(), aEntry.job_);
+  metadata::Transaction creation =
+    MakeCreationTransaction(jobs_.Keys(), aEntry.job_);
   const std::string ledger = LedgerNameOf(aEntry.job_);
   if (!ledger.empty()) {
     // The job was already accepted, so it is counted even if it exceeds the
     // cap.
-    AddLedgerEntry(
+    AddLedgerRow(
       creation, shared_, jobs_.Keys(), ledger, aEntry.job_.id_, aEntry.tokens_);
   }
   store_.Commit(creation,
                 [this, id = aEntry.job_.id_, ledger](
                   const metadata::TransactionResponse& aResponse) {
-                  OnStored(id, ledger, aResponse);
+                  OnStoreResponse(id, ledger, aResponse);
                 });
 }
 
 void
-BatchJobSpool::OnStored(const std::string& aJob,
-                        const std::string& aLedger,
-                        const metadata::TransactionResponse& aResponse)
+BatchJobSpool::OnStoreResponse(const std::string& aJob,
+                               const std::string& aLedger,
+                               const metadata::TransactionResponse& aResponse)
 {
   using metadata::StoreStatus;
   const auto found = spooled_.find(aJob);
@@ -302,7 +304,7 @@
     found->second.nextAttemptAt_ = base::MonotonicNow();
     return;
   }
-  found->second.nextAttemptAt_ = base::MonotonicNow() + kRetryPause;
+  found->second.nextAttemptAt_ = base::MonotonicNow() + kRetryDelay;
 }
 
 void
@@ -310,7 +312,7 @@
 {
   const auto found = spooled_.find(aJob);
   if (std::string ledger = LedgerNameOf(found->second.job_); !ledger.empty()) {
-    stored_.push_back(
+    recentlyDropped_.push_back(
       { std::move(ledger), found->second.tokens_, base::MonotonicNow() });
   }
   base::Log(
--- a/Libraries/LibGateway/BatchJobSpool.h
+++ b/Libraries/LibGateway/BatchJobSpool.h
@@ -20,10 +20,10 @@
 
 namespace pumiceturn::gateway {
 
-/// Spools jobs on this host's disk that were accepted while the store was
-/// unavailable, and stores them later. Several hosts spool each job, and any of
-/// them may store it; storing a job again has no effect. Must be used on the
-/// event thread.
+/// Keeps jobs on this host's disk while the store is unavailable, and writes
+/// them to the store later. Several hosts spool each job, and any of them may
+/// store it; storing a job again has no effect. Must be used on the event
+/// thread.
 class BatchJobSpool
 {
 public:
@@ -31,8 +31,9 @@
   static constexpr std::string_view kTargetPrefix = "/held/";
 
   /// @param aFolder The folder of the spool files.
-  /// @param aCapShare Share of a route's cap that spooled jobs on all hosts may
-  ///   use in addition to the cap, as the ledger is unavailable.
+  /// @param aCapOverage Tokens that spooled jobs on all hosts may use beyond a
+  ///   route's cap, as a share of the cap. Bounds the excess while the ledger
+  ///   cannot be read.
   /// @param aCopies Number of hosts that spool each job.
   /// @param aRetention Jobs older than this are dropped: another host has
   ///   stored them, and they have since been removed from the store.
@@ -45,7 +46,7 @@
                 std::string aOwnName,
                 const std::filesystem::path& aFolder,
                 base::Duration aRetention,
-                double aCapShare,
+                double aCapOverage,
                 std::size_t aCopies);
 
   /// Reads the jobs that a previous process has spooled.
@@ -65,26 +66,28 @@
   [[nodiscard]] std::size_t Count() const { return spooled_.size(); }
 
 private:
-  struct Entry
+  struct SpoolRecord
   {
     batch::SpooledJob job_;
     std::uint64_t tokens_ = 0;
     base::Instant spooledAt_;
     base::Instant nextAttemptAt_;
     bool isWritten_ = false;
-    /// Requests to answer once the pending write is done.
+    /// Requests to respond to once the pending write is done.
     std::vector<std::shared_ptr<httpstream::Exchange>> pendingExchanges_{};
   };
 
-  /// A recently stored job on a capped route.
-  struct StoredBatchJob
+  /// A job on a capped route that was recently removed from the spool, because
+  /// it was stored or is too old.
+  struct DroppedJob
   {
     std::string ledger_;
     std::uint64_t tokens_ = 0;
     base::Instant at_;
   };
 
-  void OnWritten(const std::string& aJob, const batch::WriteOutcome& aOutcome);
+  void OnWritten(const std::string& aJob,
+                 const batch::SpoolWriteOutcome& aOutcome);
 
   /// @return the job's route, or nullptr if it has no cap on waiting tokens.
   [[nodiscard]] const fleet::Route* CappedRouteOf(
@@ -98,15 +101,16 @@
   [[nodiscard]] bool BelongsToAnotherOrganisation(
     const batch::SpooledJob& aJob) const;
 
-  /// @return whether spooling the job keeps within the cap of its route.
-  [[nodiscard]] bool IsWithinCap(const batch::SpooledJob& aJob,
+  /// @return whether spooling the job keeps within the share allowed beyond the
+  ///   cap of its route.
+  [[nodiscard]] bool FitsOverage(const batch::SpooledJob& aJob,
                                  std::uint64_t aTokens) const;
-  void Store(Entry& aEntry, base::Instant aNow);
+  void Store(SpoolRecord& aEntry, base::Instant aNow);
   /// @param aLedger Ledger that was part of the transaction; empty: none. The
   ///   route's cap may have changed since.
-  void OnStored(const std::string& aJob,
-                const std::string& aLedger,
-                const metadata::TransactionResponse& aResponse);
+  void OnStoreResponse(const std::string& aJob,
+                       const std::string& aLedger,
+                       const metadata::TransactionResponse& aResponse);
   void Drop(const std::string& aJob, std::string_view aReason);
   [[nodiscard]] std::size_t Bytes() const;
 
@@ -117,14 +121,15 @@
   const batch::HostSet& hosts_;
   std::string ownName_;
   base::Duration retention_;
-  double capShare_;
+  double capOverage_;
   std::size_t copies_;
   /// Used on the disk thread only. Declared before it, so that the thread ends
   /// first.
   batch::SpoolFiles files_;
   DiskThread disk_;
-  std::map<std::string, Entry> spooled_;
-  std::vector<StoredBatchJob> stored_; ///< Within kLedgerLag.
+  std::map<std::string, SpoolRecord> spooled_;
+  std::vector<DroppedJob>
+    recentlyDropped_; ///< Dropped within the last kLedgerLag.
   bool isDraining_ = false;
 };
 
--- a/Libraries/LibGateway/BatchSubmissionHandler.cpp
+++ b/Libraries/LibGateway/BatchSubmissionHandler.cpp
@@ -19,12 +19,15 @@
 constexpr std::chrono::milliseconds kSubmitTimeout{ 2500 };
 
 /// Time without a response from the store after which a job is spooled on
-/// workers. Callers expect a response within half a second.
+/// workers. Leaves 250 ms for the workers' usual responses within the half
+/// second in which callers expect a response.
 constexpr std::chrono::milliseconds kSpoolDelay{ 250 };
 
+/// Retry delay sent to callers whose job was neither stored nor spooled.
 constexpr std::chrono::milliseconds kRetryAfter{ 300 };
 
-/// A revision that no ledger can have, as the store's first key is older.
+/// A revision that no ledger can have, because other keys are always written to
+/// the store before the first ledger.
 constexpr std::uint64_t kImpossibleRevision = 1;
 
 /// @return the job's state if the response to a conflicting transaction
@@ -68,9 +71,11 @@
   base::Instant giveUpAt_;
   bool isCommitting_ = false;
   SpoolState spoolState_ = SpoolState::NotTried;
-  bool mayBeStored_ = false; ///< An attempt had no known outcome.
-  bool isOverCap_ = false;   ///< According to the store.
-  bool isAnswered_ = false;
+  /// Whether the job may be stored or spooled although no response confirmed
+  /// it.
+  bool mayBeStored_ = false;
+  bool isOverCap_ = false; ///< According to the ledger in the store.
+  bool hasResponded_ = false;
 };
 
 BatchSubmissionHandler::BatchSubmissionHandler(
@@ -95,17 +100,17 @@
 batch::SpooledJob
 BatchSubmissionHandler::MakeJob(const httpstream::Request& aRequest,
                                 const std::string& aJob,
-                                std::size_t aItems) const
+                                std::size_t aItemCount) const
 {
   batch::SpooledJob job;
   job.id_ = aJob;
   job.content_ = aRequest.body();
-  job.state_.owner_ = hosts_.OwnerFor(aJob);
+  job.state_.owner_ = hosts_.AssignedOwner(aJob);
   if (job.state_.owner_.empty()) {
     job.state_.owner_ = ownName_;
   }
   job.state_.acceptedAtMs_ = base::ToUnixMs(base::WallNow());
-  job.state_.itemCount_ = static_cast<std::uint32_t>(aItems);
+  job.state_.itemCount_ = static_cast<std::uint32_t>(aItemCount);
   job.state_.hostName_ = httpstream::ValueOf(aRequest, "Host");
   job.state_.path_ = std::string(aRequest.target());
   return job;
@@ -128,7 +133,8 @@
   auto submission = std::make_shared<Submission>(executor_);
   submission->job_ = MakeJob(request, aJob, items.size());
   submission->job_.state_.organisation_ = aCaller.value_or(std::string());
-  submission->creation_ = MakeCreation(jobs_.Keys(), submission->job_);
+  submission->creation_ =
+    MakeCreationTransaction(jobs_.Keys(), submission->job_);
   submission->ledger_ =
     batch::LedgerName(aRoute.name_, submission->job_.state_.organisation_);
   submission->cap_ = aRoute.waitingTokenCap_;
@@ -136,7 +142,7 @@
   submission->giveUpAt_ = aExchange->ReceivedAt() + kSubmitTimeout;
   submission->exchange_ = std::move(aExchange);
   if (const batch::BatchJob* existing = jobs_.Find(aJob)) {
-    AcceptExisting(*submission, existing->state_);
+    RespondToExisting(*submission, existing->state_);
     return;
   }
   Commit(submission);
@@ -150,7 +156,7 @@
   store_.Commit(
     MakeTransaction(*aSubmission),
     [this, aSubmission](const metadata::TransactionResponse& aResponse) {
-      OnCommitted(aSubmission, aResponse);
+      OnCommitResponse(aSubmission, aResponse);
     });
 }
 
@@ -170,12 +176,12 @@
     return transaction;
   }
   if (Fits(aSubmission)) {
-    AddLedgerEntry(transaction,
-                   shared_,
-                   jobs_.Keys(),
-                   aSubmission.ledger_,
-                   aSubmission.job_.id_,
-                   aSubmission.tokens_);
+    AddLedgerRow(transaction,
+                 shared_,
+                 jobs_.Keys(),
+                 aSubmission.ledger_,
+                 aSubmission.job_.id_,
+                 aSubmission.tokens_);
     return transaction;
   }
   // The job doesn't fit according to the cached ledger, which may be stale, or
@@ -189,7 +195,7 @@
 }
 
 void
-BatchSubmissionHandler::OnCommitted(
+BatchSubmissionHandler::OnCommitResponse(
   const SubmissionPtr& aSubmission,
   const metadata::TransactionResponse& aResponse)
 {
@@ -215,7 +221,7 @@
     return;
   }
   submission.mayBeStored_ |= status == StoreStatus::Unknown;
-  if (submission.isAnswered_) {
+  if (submission.hasResponded_) {
     return;
   }
   const bool hasTime = base::MonotonicNow() < submission.giveUpAt_;
@@ -236,7 +242,7 @@
   const auto existing =
     FindState(aResponse, jobs_.Keys().StateKey(submission.job_.id_));
   if (existing) {
-    AcceptExisting(submission, *existing);
+    RespondToExisting(submission, *existing);
     return;
   }
   if (submission.cap_ == 0) {
@@ -244,7 +250,7 @@
     return;
   }
   UpdateCachedLedger(shared_, jobs_.Keys(), submission.ledger_, aResponse);
-  if (submission.isAnswered_) {
+  if (submission.hasResponded_) {
     return;
   }
   if (!Fits(submission)) {
@@ -261,12 +267,13 @@
 void
 BatchSubmissionHandler::RejectOverCap(Submission& aSubmission)
 {
-  // A worker that has the job on disk will store it.
-  if (aSubmission.isAnswered_ ||
+  // Wait for the outcome of spooling: a job that workers have spooled is
+  // accepted.
+  if (aSubmission.hasResponded_ ||
       aSubmission.spoolState_ == Submission::SpoolState::InProgress) {
     return;
   }
-  aSubmission.isAnswered_ = true;
+  aSubmission.hasResponded_ = true;
   aSubmission.spoolTimer_.cancel();
   const base::Duration retryAfter =
     shared_.ledgers_.EstimateRetryDelay(aSubmission.ledger_,
@@ -307,7 +314,7 @@
 void
 BatchSubmissionHandler::Spool(const SubmissionPtr& aSubmission)
 {
-  if (aSubmission->isAnswered_ ||
+  if (aSubmission->hasResponded_ ||
       aSubmission->spoolState_ != Submission::SpoolState::NotTried) {
     return;
   }
@@ -315,13 +322,13 @@
   spoolClient_.Spool(aSubmission->job_,
                      hosts_.PeersExcept(ownName_),
                      [this, aSubmission](SpoolOutcome aOutcome) {
-                       OnSpooled(aSubmission, aOutcome);
+                       OnSpoolResponse(aSubmission, aOutcome);
                      });
 }
 
 void
-BatchSubmissionHandler::OnSpooled(const SubmissionPtr& aSubmission,
-                                  SpoolOutcome aOutcome)
+BatchSubmissionHandler::OnSpoolResponse(const SubmissionPtr& aSubmission,
+                                        SpoolOutcome aOutcome)
 {
   if (aOutcome.isSpooled_) {
     Accept(*aSubmission, "disks");
@@ -339,7 +346,7 @@
 void
 BatchSubmissionHandler::Accept(Submission& aSubmission, std::string_view aWhere)
 {
-  if (std::exchange(aSubmission.isAnswered_, true)) {
+  if (std::exchange(aSubmission.hasResponded_, true)) {
     return;
   }
   aSubmission.spoolTimer_.cancel();
@@ -354,15 +361,15 @@
 }
 
 void
-BatchSubmissionHandler::AcceptExisting(Submission& aSubmission,
-                                       const batch::BatchJobState& aExisting)
+BatchSubmissionHandler::RespondToExisting(Submission& aSubmission,
+                                          const batch::BatchJobState& aExisting)
 {
   const std::string& organisation = aSubmission.job_.state_.organisation_;
   if (aExisting.organisation_ == organisation) {
     Accept(aSubmission, "store before");
     return;
   }
-  if (std::exchange(aSubmission.isAnswered_, true)) {
+  if (std::exchange(aSubmission.hasResponded_, true)) {
     return;
   }
   aSubmission.spoolTimer_.cancel();
@@ -377,17 +384,18 @@
 void
 BatchSubmissionHandler::RespondIfFailed(Submission& aSubmission)
 {
-  if (aSubmission.isAnswered_ || aSubmission.isCommitting_ ||
+  if (aSubmission.hasResponded_ || aSubmission.isCommitting_ ||
       aSubmission.spoolState_ != Submission::SpoolState::Failed) {
     return;
   }
-  aSubmission.isAnswered_ = true;
+  aSubmission.hasResponded_ = true;
   aSubmission.spoolTimer_.cancel();
   base::Log(kBatchJobNotAccepted,
             { { "lot", aSubmission.job_.id_ },
               { "may_be_stored", aSubmission.mayBeStored_ } });
-  // "Not run" must be true: a transaction without a response may still take
-  // effect, or a worker may have spooled the job.
+  // MakeUnavailable() tells the caller that the job will not run. This must be
+  // true: a transaction without a response may still take effect, or a worker
+  // may have spooled the job.
   aSubmission.exchange_->Respond(
     aSubmission.mayBeStored_
       ? httpstream::MakeResponse(httpstream::kStatusGatewayTimeout, {})
--- a/Libraries/LibGateway/BatchSubmissionHandler.h
+++ b/Libraries/LibGateway/BatchSubmissionHandler.h
@@ -32,9 +32,11 @@
                          PeerClients& aClients,
                          std::size_t aCopies);
 
+  /// Stores or spools the job of a request, then responds.
   /// @param aJob ID of the job.
   /// @param aRoute Route of the request.
-  /// @param aCaller Organisation that submits the job.
+  /// @param aCaller Submitting organisation; no value: no organisations are
+  ///   declared.
   void Submit(std::shared_ptr<httpstream::Exchange> aExchange,
               const std::string& aJob,
               const fleet::Route& aRoute,
@@ -46,25 +48,25 @@
 
   [[nodiscard]] batch::SpooledJob MakeJob(const httpstream::Request& aRequest,
                                           const std::string& aJob,
-                                          std::size_t aItems) const;
+                                          std::size_t aItemCount) const;
   void Commit(const SubmissionPtr& aSubmission);
   [[nodiscard]] metadata::Transaction MakeTransaction(
     const Submission& aSubmission) const;
   [[nodiscard]] bool Fits(const Submission& aSubmission) const;
-  void OnCommitted(const SubmissionPtr& aSubmission,
-                   const metadata::TransactionResponse& aResponse);
+  void OnCommitResponse(const SubmissionPtr& aSubmission,
+                        const metadata::TransactionResponse& aResponse);
   void OnConflict(const SubmissionPtr& aSubmission,
                   const metadata::TransactionResponse& aResponse);
   void RejectOverCap(Submission& aSubmission);
   void ScheduleSpooling(const SubmissionPtr& aSubmission);
   void Spool(const SubmissionPtr& aSubmission);
-  void OnSpooled(const SubmissionPtr& aSubmission, SpoolOutcome aOutcome);
+  void OnSpoolResponse(const SubmissionPtr& aSubmission, SpoolOutcome aOutcome);
   void Accept(Submission& aSubmission, std::string_view aWhere);
 
   /// Responds to a job whose ID already exists: accepted if the same
-  /// organisation owns it, otherwise a conflict.
-  void AcceptExisting(Submission& aSubmission,
-                      const batch::BatchJobState& aExisting);
+  /// organisation submitted it, otherwise a conflict.
+  void RespondToExisting(Submission& aSubmission,
+                         const batch::BatchJobState& aExisting);
 
   /// Responds that the job was not accepted, if neither the store nor the spool
   /// can still accept it.
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Time limit of one attempt, sent to the endpoint.
-constexpr std::chrono::seconds kItemTimeout{ 30 };
+/// Time limit that an endpoint is given for one attempt.
+constexpr std::chrono::seconds kAttemptTimeLimit{ 30 };
 
 /// How long a route must be missing to count as removed. Longer than a new
 /// configuration takes to reach all hosts.
@@ -24,7 +24,7 @@
 constexpr std::chrono::seconds kClaimTimeout{ 3 };
 
 /// Tolerance for differences between the wall clocks of hosts, so that no item
-/// is abandoned before its give-up time.
+/// is abandoned early.
 constexpr std::chrono::seconds kClockTolerance{ 10 };
 
 /// @return the time since a job's acceptance, by wall clock.
@@ -36,8 +36,9 @@
   return std::max(age, base::Duration::zero());
 }
 
-/// Weight of a new sample in the average number of concurrent attempts. At the
-/// tick rate this averages over 5 s, longer than a burst of online work.
+/// Weight of a new sample in the average number of concurrent attempts. With
+/// one sample every 100 ms, the average covers about 5 s, longer than a burst
+/// of online work.
 constexpr double kAverageAttemptsWeight = 0.02;
 
 WaitingBatchJob
@@ -59,11 +60,11 @@
       return "completed";
     case batch::ItemAttemptOutcome::Failed:
       return "failed";
-    case batch::ItemAttemptOutcome::Impossible:
+    case batch::ItemAttemptOutcome::Rejected:
       return "impossible";
     case batch::ItemAttemptOutcome::NotRun:
       return "not_run";
-    case batch::ItemAttemptOutcome::Broken:
+    case batch::ItemAttemptOutcome::Interrupted:
       return "broken";
     case batch::ItemAttemptOutcome::Preempted:
       break;
@@ -95,61 +96,61 @@
 }
 
 bool
-BatchWorker::IsOwn(const batch::BatchJob& aJob) const
+BatchWorker::IsOwnerOf(const batch::BatchJob& aJob) const
 {
   return aJob.state_.owner_ == ownName_;
 }
 
 void
 BatchWorker::UpdateLimits(const batch::BatchJob& aJob,
-                          OwnedJob& aOwned,
+                          RunningJob& aRunning,
                           base::Instant aNow)
 {
-  batch::ItemLimits limits = aOwned.schedule_.Limits();
+  batch::ItemLimits limits = aRunning.schedule_.Limits();
   const fleet::Route* route = RouteOf(aJob);
   if (route != nullptr) {
-    aOwned.routeMissingSince_.reset();
+    aRunning.routeMissingSince_.reset();
     limits.maxAttempts_ = route->maxAttempts_;
-    limits.dueAt_ = aOwned.acceptedAt_ + route->dueAfter_;
-    limits.giveUpAt_ =
-      aOwned.acceptedAt_ + route->giveUpAfter_ + kClockTolerance;
+    limits.dueAt_ = aRunning.acceptedAt_ + route->dueAfter_;
+    limits.abandonAt_ =
+      aRunning.acceptedAt_ + route->giveUpAfter_ + kClockTolerance;
   } else {
     // The configuration may not have reached this host yet. Waiting items are
     // abandoned only if the route stays missing.
-    if (!aOwned.routeMissingSince_) {
-      aOwned.routeMissingSince_ = aNow;
+    if (!aRunning.routeMissingSince_) {
+      aRunning.routeMissingSince_ = aNow;
     }
     const bool isRemoved =
       shared_.routes_.Version() > 0 &&
-      aNow - *aOwned.routeMissingSince_ > kRouteRemovalDelay;
-    limits.giveUpAt_ = isRemoved ? aNow : base::Instant::max();
+      aNow - *aRunning.routeMissingSince_ > kRouteRemovalDelay;
+    limits.abandonAt_ = isRemoved ? aNow : base::Instant::max();
   }
-  aOwned.schedule_.SetLimits(limits);
+  aRunning.schedule_.SetLimits(limits);
 }
 
 void
 BatchWorker::OnJobChanged(const std::string& aJob)
 {
   const batch::BatchJob* job = jobs_.Find(aJob);
-  const auto owned = ownedJobs_.find(aJob);
-  const bool isOwned = owned != ownedJobs_.end();
+  const auto running = runningJobs_.find(aJob);
+  const bool isRunning = running != runningJobs_.end();
   // The store's watch may report a finished job before the response to the
   // write of its last result arrives, or when that response is lost. Releasing
   // the job now would lose that result for readers on this host.
-  if (isOwned && job != nullptr && IsOwn(*job) && job->state_.isFinished_ &&
-      results_.IsStoring(aJob)) {
+  if (isRunning && job != nullptr && IsOwnerOf(*job) &&
+      job->state_.isFinished_ && results_.IsStoring(aJob)) {
     return;
   }
-  if (job == nullptr || !IsOwn(*job) || !job->IsOpen()) {
-    if (isOwned) {
+  if (job == nullptr || !IsOwnerOf(*job) || !job->IsOpen()) {
+    if (isRunning) {
       Release(aJob, job == nullptr || !job->IsOpen() ? "closed" : "taken over");
     }
-    if (job != nullptr && !IsOwn(*job) && job->isLoaded_) {
+    if (job != nullptr && !IsOwnerOf(*job) && job->isLoaded_) {
       jobs_.Unload(aJob);
     }
     return;
   }
-  if (!isOwned && !isDraining_) {
+  if (!isRunning && !isDraining_) {
     Load(aJob);
   }
 }
@@ -164,8 +165,8 @@
     loading_.erase(aJob);
     const batch::BatchJob* job = jobs_.Find(aJob);
     // If loading failed, the next tick retries.
-    if (job != nullptr && job->isLoaded_ && IsOwn(*job) && job->IsOpen() &&
-        !isDraining_ && !ownedJobs_.contains(aJob)) {
+    if (job != nullptr && job->isLoaded_ && IsOwnerOf(*job) && job->IsOpen() &&
+        !isDraining_ && !runningJobs_.contains(aJob)) {
       Acquire(*job);
     }
   });
@@ -175,11 +176,11 @@
 BatchWorker::Acquire(const batch::BatchJob& aJob)
 {
   const base::Instant now = base::MonotonicNow();
-  OwnedJob owned{ batch::ItemSchedule(aJob, {}) };
-  owned.acceptedAt_ = now - AgeOf(aJob);
+  RunningJob running{ batch::ItemSchedule(aJob, {}) };
+  running.acceptedAt_ = now - AgeOf(aJob);
   results_.Begin(aJob);
-  UpdateLimits(aJob, owned, now);
-  ownedJobs_.emplace(aJob.id_, std::move(owned));
+  UpdateLimits(aJob, running, now);
+  runningJobs_.emplace(aJob.id_, std::move(running));
   claims_.erase(aJob.id_);
   base::Log(kBatchJobAcquired,
             { { "lot", aJob.id_ },
@@ -209,7 +210,7 @@
     // The outcome of the write is unknown, so reads must go to the store.
     jobs_.Unload(aJob);
   }
-  ownedJobs_.erase(aJob);
+  runningJobs_.erase(aJob);
   results_.Forget(aJob);
   progressWriter_.Forget(aJob);
   base::Log(kBatchJobReleased, { { "lot", aJob }, { "reason", aReason } });
@@ -223,20 +224,20 @@
   }
   for (const std::string& id : jobs_.OpenJobs()) {
     const batch::BatchJob* job = jobs_.Find(id);
-    if (IsOwn(*job)) {
+    if (IsOwnerOf(*job)) {
       OnJobChanged(id);
     } else if (hosts_.CanTakeOverFrom(job->state_.owner_, aNow) &&
-               hosts_.OwnerFor(id) == ownName_) {
+               hosts_.AssignedOwner(id) == ownName_) {
       Claim(id);
     }
   }
-  for (auto& [id, owned] : ownedJobs_) {
+  for (auto& [id, running] : runningJobs_) {
     if (const batch::BatchJob* job = jobs_.Find(id)) {
-      UpdateLimits(*job, owned, aNow);
+      UpdateLimits(*job, running, aNow);
     }
-    for (batch::ItemResult& result : owned.schedule_.GiveUp(aNow)) {
+    for (batch::ItemResult& result : running.schedule_.AbandonWaiting(aNow)) {
       results_.Add(
-        id, std::move(result), owned.schedule_.Limits().dueAt_, aNow);
+        id, std::move(result), running.schedule_.Limits().dueAt_, aNow);
     }
   }
   results_.Tick(aNow);
@@ -266,13 +267,13 @@
 }
 
 std::vector<WaitingBatchJob>
-BatchWorker::CollectWaitingJobs()
+BatchWorker::TakeTokenCounts()
 {
   std::vector<WaitingBatchJob> waiting = std::exchange(closedJobs_, {});
-  for (const auto& [id, owned] : ownedJobs_) {
+  for (const auto& [id, running] : runningJobs_) {
     if (const fleet::Route* route = CappedRouteOf(id)) {
       waiting.push_back(MakeWaitingJob(
-        *jobs_.Find(id), *route, owned.schedule_.WaitingTokens()));
+        *jobs_.Find(id), *route, running.schedule_.UnfinishedTokens()));
     }
   }
   return waiting;
@@ -282,9 +283,9 @@
 BatchWorker::CollectProgress() const
 {
   std::map<std::string, BatchJobProgress> byJob;
-  for (const auto& [id, owned] : ownedJobs_) {
+  for (const auto& [id, running] : runningJobs_) {
     if (const batch::BatchJob* job = jobs_.Find(id)) {
-      byJob[id] = { id, job->stateRevision_, owned.schedule_.Progress() };
+      byJob[id] = { id, job->stateRevision_, running.schedule_.Progress() };
     }
   }
   for (const auto& attempt : attempts_) {
@@ -314,8 +315,9 @@
   claims_[aJob] = now;
   batch::BatchJobState state = job->state_;
   state.owner_ = ownName_;
-  // The mirror delivers the new state, which loads the job. A claim that
-  // conflicts with another host's has no effect.
+  // This host then reads the new state through its watch of the store, and
+  // OnJobChanged() loads the job. A claim that conflicts with another host's
+  // has no effect.
   store_.Commit(MakeStateChange(jobs_.Keys(), *job, state),
                 [](const metadata::TransactionResponse&) {});
 }
@@ -324,22 +326,22 @@
 BatchWorker::CollectCandidates(base::Instant aNow)
 {
   const auto hasSurvived = [this, aNow](const std::string& aEndpoint,
-                                        base::Instant aMoment) {
-    return shared_.endpoints_.HasSurvived(aEndpoint, aMoment, aNow);
+                                        base::Instant aTime) {
+    return shared_.endpoints_.HasSurvived(aEndpoint, aTime, aNow);
   };
   std::vector<batch::StartCandidate> candidates;
-  for (auto& [id, owned] : ownedJobs_) {
+  for (auto& [id, running] : runningJobs_) {
     const batch::BatchJob* job = jobs_.Find(id);
     if (job == nullptr || !job->items_ ||
-        aNow >= owned.schedule_.Limits().giveUpAt_) {
+        aNow >= running.schedule_.Limits().abandonAt_) {
       continue;
     }
     for (const std::size_t item :
-         owned.schedule_.StartableItems(aNow, hasSurvived)) {
+         running.schedule_.StartableItems(aNow, hasSurvived)) {
       const std::uint64_t lastEvent =
-        owned.schedule_.ProgressOf(item).lastEvent_;
+        running.schedule_.ProgressOf(item).lastEvent_;
       candidates.push_back(
-        { id, item, UrgencyOf(*job, owned, item, lastEvent), lastEvent > 0 });
+        { id, item, UrgencyOf(*job, running, item, lastEvent), lastEvent > 0 });
     }
   }
   return candidates;
@@ -347,18 +349,18 @@
 
 batch::ItemUrgency
 BatchWorker::UrgencyOf(const batch::BatchJob& aJob,
-                       const OwnedJob& aOwned,
+                       const RunningJob& aRunning,
                        std::size_t aItem,
                        std::uint64_t aLastEvent) const
 {
-  batch::ItemUrgency urgency{ aOwned.schedule_.Limits().dueAt_ };
+  batch::ItemUrgency urgency{ aRunning.schedule_.Limits().dueAt_ };
   const fleet::Route* route = RouteOf(aJob);
   const auto estimator = route != nullptr
                            ? durationEstimators_.find(route->name_)
                            : durationEstimators_.end();
   if (estimator != durationEstimators_.end()) {
     urgency.remaining_ = estimator->second.EstimateRemaining(
-      aOwned.schedule_.TokensOf(aItem), aLastEvent);
+      aRunning.schedule_.TokensOf(aItem), aLastEvent);
   }
   return urgency;
 }
@@ -367,12 +369,12 @@
 BatchWorker::UrgencyOf(const ItemAttempt& aAttempt) const
 {
   const batch::BatchJob* job = jobs_.Find(aAttempt.JobId());
-  const auto owned = ownedJobs_.find(aAttempt.JobId());
-  if (job == nullptr || owned == ownedJobs_.end()) {
+  const auto running = runningJobs_.find(aAttempt.JobId());
+  if (job == nullptr || running == runningJobs_.end()) {
     return {};
   }
   return UrgencyOf(
-    *job, owned->second, aAttempt.Item(), aAttempt.Progress().lastEvent_);
+    *job, running->second, aAttempt.Item(), aAttempt.Progress().lastEvent_);
 }
 
 void
@@ -402,7 +404,7 @@
                           base::Instant aNow)
 {
   const batch::BatchJob* job = jobs_.Find(aCandidate.job_);
-  OwnedJob& owned = ownedJobs_.at(aCandidate.job_);
+  RunningJob& running = runningJobs_.at(aCandidate.job_);
   const fleet::Route* route = RouteOf(*job);
   if (route == nullptr) {
     // The route may arrive with the next configuration; continue with other
@@ -424,7 +426,7 @@
               { "endpoint", choice->endpoint_.id_ },
               { "running", choice->inFlight_ },
               { "candidates", choice->candidates_ },
-              { "after_event", owned.schedule_.ProgressOf(item).lastEvent_ },
+              { "after_event", running.schedule_.ProgressOf(item).lastEvent_ },
               { "due_ms", base::ToMs(aCandidate.urgency_.dueAt_ - aNow) },
               { "run_ms", base::ToMs(aCandidate.urgency_.remaining_) },
               { "version", shared_.routes_.Version() } });
@@ -435,13 +437,13 @@
     },
     aCandidate.job_,
     item,
-    owned.schedule_.ProgressOf(item));
-  owned.schedule_.Start(item, choice->endpoint_.id_);
+    running.schedule_.ProgressOf(item));
+  running.schedule_.Start(item, choice->endpoint_.id_);
   attempts_.push_back(attempt);
   attempt->Start(choice->endpoint_,
                  content,
                  { job->state_.hostName_, CallerOf(*job) },
-                 kItemTimeout);
+                 kAttemptTimeLimit);
   return true;
 }
 
@@ -465,9 +467,9 @@
     }
   }
   for (const std::string& endpoint : endpoints) {
-    std::uint32_t pending = shared_.endpoints_.BatchToPreempt(
+    std::uint32_t remaining = shared_.endpoints_.BatchToPreempt(
       endpoint, aNow, NextRandom(shared_.random_));
-    for (; pending > 0; --pending) {
+    for (; remaining > 0; --remaining) {
       Preempt(endpoint);
     }
   }
@@ -499,14 +501,14 @@
 BatchWorker::OnAttemptEnd(ItemAttempt& aAttempt,
                           batch::ItemAttemptOutcome aOutcome)
 {
-  const std ::string job = aAttempt.JobId();
-  const std ::size_t item = aAttempt.Item();
-  base ::Log(kItemAttemptEnded,
-             { { "lot", job },
-               { "item", item },
-               { "endpoint", aAttempt.EndpointId() },
-               { "end", NameOf(aOutcome) },
-               { "last_event", aAttempt.Progress().lastEvent_ } });
+  const std::string job = aAttempt.JobId();
+  const std::size_t item = aAttempt.Item();
+  base::Log(kItemAttemptEnded,
+            { { "lot", job },
+              { "item", item },
+              { "endpoint", aAttempt.EndpointId() },
+              { "end", NameOf(aOutcome) },
+              { "last_event", aAttempt.Progress().lastEvent_ } });
   shared_.metrics_
     .GetCounter("pumiceturn_item_runs_total",
                 "Ended attempts to run items of batch jobs.",
@@ -515,18 +517,18 @@
   RecordDuration(aAttempt, aOutcome);
   batch::PartialOutput progress = aAttempt.ReleaseProgress();
   RemoveAttempt(aAttempt);
-  const auto owned = ownedJobs_.find(job);
-  if (owned == ownedJobs_.end()) {
+  const auto running = runningJobs_.find(job);
+  if (running == runningJobs_.end()) {
     return;
   }
-  auto result = owned->second.schedule_.End(
+  auto result = running->second.schedule_.End(
     item, aOutcome, std::move(progress), base::MonotonicNow());
   if (!result) {
     return;
   }
   const base::Instant now = base::MonotonicNow();
   results_.Add(
-    job, std::move(*result), owned->second.schedule_.Limits().dueAt_, now);
+    job, std::move(*result), running->second.schedule_.Limits().dueAt_, now);
 }
 
 void
@@ -534,17 +536,18 @@
                             batch::ItemAttemptOutcome aOutcome)
 {
   const batch::BatchJob* job = jobs_.Find(aAttempt.JobId());
-  const auto owned = ownedJobs_.find(aAttempt.JobId());
+  const auto running = runningJobs_.find(aAttempt.JobId());
   const fleet::Route* route = job == nullptr ? nullptr : RouteOf(*job);
-  if (route == nullptr || owned == ownedJobs_.end()) {
+  if (route == nullptr || running == runningJobs_.end()) {
     return;
   }
   batch::ItemDurationEstimator& estimator = durationEstimators_[route->name_];
   estimator.RecordAttempt(aAttempt.NewEvents(),
                           base::MonotonicNow() - aAttempt.StartedAt());
   if (aOutcome == batch::ItemAttemptOutcome::Completed) {
-    estimator.RecordCompleted(owned->second.schedule_.TokensOf(aAttempt.Item()),
-                              aAttempt.Progress().lastEvent_);
+    estimator.RecordCompleted(
+      running->second.schedule_.TokensOf(aAttempt.Item()),
+      aAttempt.Progress().lastEvent_);
   }
 }
 
@@ -577,7 +580,7 @@
       done();
     }
   };
-  for (const auto& [id, owned] : ownedJobs_) {
+  for (const auto& [id, running] : runningJobs_) {
     const batch::BatchJob* job = jobs_.Find(id);
     if (job == nullptr) {
       continue;
@@ -595,8 +598,8 @@
               results.writes_.end(),
               std::back_inserter(transaction.writes_));
     transaction.writes_.push_back(
-      { jobs_.Keys().MakeKey({ id, batch::KeyPart::Progress, 0 }),
-        batch::EncodeProgress(owned.schedule_.Progress()),
+      { jobs_.Keys().MakeKey({ id, batch::KeyKind::Progress, 0 }),
+        batch::EncodeProgress(running.schedule_.Progress()),
         0 });
     ++*pending;
     base::Log(kBatchJobReleased, { { "lot", id }, { "reason", "leaving" } });
--- a/Libraries/LibGateway/BatchWorker.h
+++ b/Libraries/LibGateway/BatchWorker.h
@@ -26,8 +26,9 @@
 namespace pumiceturn::gateway {
 
 /// Runs the items of the jobs that this host owns. Starts items in idle slots
-/// by urgency, stores their results, takes over jobs of lost owners and hands
-/// its jobs over on shutdown. Must be used on the event thread.
+/// by urgency, stores their results, takes over the jobs of owners that are no
+/// longer registered, and hands over this host's jobs on shutdown. Must be used
+/// on the event thread.
 class BatchWorker
 {
 public:
@@ -52,9 +53,9 @@
   /// several times per second.
   void Tick(base::Instant aNow);
 
-  /// @return the waiting tokens of this host's jobs on capped routes, and zero
-  ///   for those closed since the last call.
-  [[nodiscard]] std::vector<WaitingBatchJob> CollectWaitingJobs();
+  /// @return the waiting tokens of this host's open jobs on capped routes, and
+  ///   an entry with zero tokens for each job closed since the last call.
+  [[nodiscard]] std::vector<WaitingBatchJob> TakeTokenCounts();
 
   /// Cancels one attempt at an endpoint in favour of online work.
   void Preempt(const std::string& aEndpoint);
@@ -66,8 +67,8 @@
   [[nodiscard]] std::size_t AttemptCount() const { return attempts_.size(); }
 
 private:
-  /// A job that this host owns.
-  struct OwnedJob
+  /// A loaded job whose items this host runs.
+  struct RunningJob
   {
     batch::ItemSchedule schedule_;
     /// Estimated from the accepting host's wall clock.
@@ -75,11 +76,17 @@
     std::optional<base::Instant> routeMissingSince_{};
   };
 
+  /// Writes this host as the owner of a job whose owner is no longer
+  /// registered.
   void Claim(const std::string& aJob);
+  /// Reads a job that this host owns from the store, then acquires it.
   void Load(const std::string& aJob);
+  /// Starts running a loaded job.
   void Acquire(const batch::BatchJob& aJob);
+  /// Stops running a job that was closed or taken over.
   void Release(const std::string& aJob, std::string_view aReason);
-  [[nodiscard]] bool IsOwn(const batch::BatchJob& aJob) const;
+  /// @return whether the job's stored state names this host as the owner.
+  [[nodiscard]] bool IsOwnerOf(const batch::BatchJob& aJob) const;
 
   /// @return the route of the job's items, or nullptr if there is none.
   [[nodiscard]] const fleet::Route* RouteOf(const batch::BatchJob& aJob) const;
@@ -88,13 +95,13 @@
   [[nodiscard]] const fleet::Route* CappedRouteOf(
     const std::string& aJob) const;
   void UpdateLimits(const batch::BatchJob& aJob,
-                    OwnedJob& aOwned,
+                    RunningJob& aRunning,
                     base::Instant aNow);
   void StartAttempts(base::Instant aNow);
   [[nodiscard]] std::vector<batch::StartCandidate> CollectCandidates(
     base::Instant aNow);
   [[nodiscard]] batch::ItemUrgency UrgencyOf(const batch::BatchJob& aJob,
-                                             const OwnedJob& aOwned,
+                                             const RunningJob& aRunning,
                                              std::size_t aItem,
                                              std::uint64_t aLastEvent) const;
   [[nodiscard]] batch::ItemUrgency UrgencyOf(const ItemAttempt& aAttempt) const;
@@ -102,7 +109,7 @@
   /// @return false if there was no free slot for the item.
   bool StartAttempt(const batch::StartCandidate& aCandidate,
                     base::Instant aNow);
-  /// @return the submitter of a job, as sent to endpoints.
+  /// @return the job's organisation, as sent to endpoints.
   [[nodiscard]] OrganisationName CallerOf(const batch::BatchJob& aJob) const;
   void RecordDuration(const ItemAttempt& aAttempt,
                       batch::ItemAttemptOutcome aOutcome);
@@ -118,10 +125,11 @@
   BatchJobLoader& loader_;
   const batch::HostSet& hosts_;
   std::string ownName_;
-  std::map<std::string, OwnedJob> ownedJobs_;
-  std::unordered_map<std::string, base::Instant> claims_; ///< Pending, by job.
+  std::map<std::string, RunningJob> runningJobs_;
+  std::unordered_map<std::string, base::Instant>
+    claims_; ///< When each pending claim was sent, by job ID.
   std::unordered_set<std::string> loading_; ///< Jobs being loaded.
-  /// On capped routes, not yet collected.
+  /// Closed jobs on capped routes that TakeTokenCounts() has not returned yet.
   std::vector<WaitingBatchJob> closedJobs_;
   std::function<void(const std::string&)> onResults_;
   /// Keyed by route name.
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -178,7 +178,7 @@
   mirrors_.SetOnDelta([this](const StoreDelta& aDelta) {
     peerMessenger_.SendStoreDelta(aDelta);
   });
-  batchJobHandler_.SetOnStateRead(
+  batchJobHandler_.SetOnStateChanged(
     [this](const std::string& aJob) { OnJobChanged(aJob); });
   worker_.SetOnResults([this](const std::string& aJob) { OnJobChanged(aJob); });
 }
@@ -481,7 +481,7 @@
   }
   const base::WallTime wallNow = base::WallNow();
   worker_.Tick(now);
-  ledgerWriter_.Tick(worker_.CollectWaitingJobs(), now);
+  ledgerWriter_.Tick(worker_.TakeTokenCounts(), now);
   if (!isStopping_) {
     retention_.Tick(now, wallNow);
   }
--- a/Libraries/LibGateway/ItemAttempt.cpp
+++ b/Libraries/LibGateway/ItemAttempt.cpp
@@ -31,41 +31,41 @@
 void
 ItemAttempt::Start(const fleet::EndpointRecord& aEndpoint,
                    const batch::BatchItem& aItem,
-                   const Sender& aSender,
-                   base::Duration aClientTimeout)
+                   const RequestOrigin& aOrigin,
+                   base::Duration aTimeLimit)
 {
   endpoint_ = aEndpoint.id_;
   ForwardOptions options;
   options.endpoint_ = aEndpoint.id_;
-  options.callerTimeout_ = aClientTimeout;
+  options.callerTimeout_ = aTimeLimit;
   options.lastEvent_ = progress_.lastEvent_;
-  options.caller_ = aSender.caller_;
+  options.caller_ = aOrigin.caller_;
   startedAt_ = base::MonotonicNow();
   httpstream::Call call;
   call.bytes_ = httpstream::Serialize(
-    shared_.codec_.MakeItemRequest(aItem, aSender.hostName_, options));
+    shared_.codec_.MakeItemRequest(aItem, aOrigin.hostName_, options));
   call.echoField_ = shared_.codec_.EchoField();
   call.echoValue_ = aItem.id_;
   call.firstByteTimeout_ = kFirstByteTimeout;
   call.gapTimeout_ = kGapTimeout;
-  attempt_ = std::make_shared<EndpointAttempt>(
+  endpointAttempt_ = std::make_shared<EndpointAttempt>(
     shared_, aEndpoint, fleet::WorkClass::Batch);
-  attempt_->Start(std::move(call), *this);
+  endpointAttempt_->Start(std::move(call), *this);
 }
 
 void
 ItemAttempt::Cancel()
 {
-  if (attempt_) {
-    attempt_->Cancel();
+  if (endpointAttempt_) {
+    endpointAttempt_->Cancel();
   }
 }
 
 void
 ItemAttempt::ResumeReading()
 {
-  if (attempt_) {
-    attempt_->SetPaused(false);
+  if (endpointAttempt_) {
+    endpointAttempt_->SetPaused(false);
   }
 }
 
@@ -93,7 +93,7 @@
     progress_.output_.append(event->data_);
     progress_.lastEvent_ = event->id_;
   }
-  attempt_->SetPaused(true);
+  endpointAttempt_->SetPaused(true);
 }
 
 batch::ItemAttemptOutcome
@@ -103,18 +103,18 @@
     return batch::ItemAttemptOutcome::NotRun;
   }
   if (aOutcome != httpstream::CallOutcome::Complete) {
-    return batch::ItemAttemptOutcome::Broken;
+    return batch::ItemAttemptOutcome::Interrupted;
   }
   if (responseInfo_.wasNotRun_) {
     return batch::ItemAttemptOutcome::NotRun;
   }
   if (status_ == httpstream::kStatusUnprocessable) {
-    return batch::ItemAttemptOutcome::Impossible;
+    return batch::ItemAttemptOutcome::Rejected;
   }
   if (status_ != httpstream::kStatusOk) {
     return batch::ItemAttemptOutcome::Failed;
   }
-  return splitter_.Remainder() > 0 ? batch::ItemAttemptOutcome::Broken
+  return splitter_.Remainder() > 0 ? batch::ItemAttemptOutcome::Interrupted
                                    : batch::ItemAttemptOutcome::Completed;
 }
 
--- a/Libraries/LibGateway/ItemAttempt.h
+++ b/Libraries/LibGateway/ItemAttempt.h
@@ -25,8 +25,8 @@
               std::size_t aItem,
               batch::PartialOutput aProgress);
 
-  /// The submitter of the job, as sent to endpoints.
-  struct Sender
+  /// Host name and organisation that are sent to the endpoint.
+  struct RequestOrigin
   {
     std::string hostName_; ///< Host header of the submitting request.
     OrganisationName caller_;
@@ -34,12 +34,12 @@
 
   void Start(const fleet::EndpointRecord& aEndpoint,
              const batch::BatchItem& aItem,
-             const Sender& aSender,
-             base::Duration aClientTimeout);
+             const RequestOrigin& aOrigin,
+             base::Duration aTimeLimit);
   void Cancel();
 
-  /// Resumes reading the response. Batch output is read in bulk to save CPU
-  /// time, so reading pauses after each chunk.
+  /// Resumes reading the response. Reading pauses after each chunk until the
+  /// next tick, so that larger chunks accumulate. This saves CPU time.
   void ResumeReading();
 
   [[nodiscard]] const std::string& EndpointId() const { return endpoint_; }
@@ -78,7 +78,7 @@
   std::uint64_t resumedAfter_; ///< Last event before this attempt.
   base::Instant startedAt_{};
   fleet::EventSplitter splitter_;
-  std::shared_ptr<EndpointAttempt> attempt_;
+  std::shared_ptr<EndpointAttempt> endpointAttempt_;
   ResponseInfo responseInfo_;
   unsigned status_ = 0;
 };
--- a/Libraries/LibGateway/LedgerChange.cpp
+++ b/Libraries/LibGateway/LedgerChange.cpp
@@ -39,12 +39,12 @@
 }
 
 void
-AddLedgerEntry(metadata::Transaction& aCreation,
-               const SharedState& aShared,
-               const batch::BatchJobKeySpace& aKeys,
-               const std::string& aLedger,
-               const std::string& aJob,
-               std::uint64_t aTokens)
+AddLedgerRow(metadata::Transaction& aCreation,
+             const SharedState& aShared,
+             const batch::BatchJobKeySpace& aKeys,
+             const std::string& aLedger,
+             const std::string& aJob,
+             std::uint64_t aTokens)
 {
   const batch::LedgerView& view = aShared.ledgers_.Get(aLedger);
   batch::TokenLedger ledger = view.ledger_;
--- a/Libraries/LibGateway/LedgerChange.h
+++ b/Libraries/LibGateway/LedgerChange.h
@@ -22,14 +22,14 @@
 ContainsKey(const metadata::TransactionResponse& aResponse,
             const std::string& aKey);
 
-/// Adds a job's row to its ledger in the transaction that creates the job, and
-/// expects the cached revision of the ledger.
+/// Extends the transaction that creates a job: it also adds the job's row to
+/// the ledger, and expects the cached revision of the ledger.
 void
-AddLedgerEntry(metadata::Transaction& aCreation,
-               const SharedState& aShared,
-               const batch::BatchJobKeySpace& aKeys,
-               const std::string& aLedger,
-               const std::string& aJob,
-               std::uint64_t aTokens);
+AddLedgerRow(metadata::Transaction& aCreation,
+             const SharedState& aShared,
+             const batch::BatchJobKeySpace& aKeys,
+             const std::string& aLedger,
+             const std::string& aJob,
+             std::uint64_t aTokens);
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/LedgerWriter.cpp
+++ b/Libraries/LibGateway/LedgerWriter.cpp
@@ -11,24 +11,25 @@
 namespace {
 
 /// Interval between updates of a ledger that is near its cap.
-constexpr std::chrono::milliseconds kPauseNearCap{ 250 };
+constexpr std::chrono::milliseconds kIntervalNearCap{ 250 };
 
 /// Interval between updates of other ledgers.
-constexpr std::chrono::seconds kPauseFarFromCap{ 5 };
+constexpr std::chrono::seconds kIntervalFarFromCap{ 5 };
 
 /// Share of the cap from which a ledger counts as near its cap.
 constexpr double kNearCapShare = 0.5;
 
-/// How long a ledger is updated after this host's last job on it, to remove
-/// rows of hosts that are gone.
+/// How long this host keeps updating a ledger after its last job there was
+/// closed. This removes the rows of hosts that are no longer registered.
 constexpr std::chrono::seconds kIdleTimeout{ 120 };
 
 /// Maximum interval between commits by a host with open jobs on a ledger.
-/// Detects ledgers that were overwritten.
-constexpr std::chrono::seconds kMaxPause{ 10 };
+/// Detects overwritten ledgers: a commit conflicts if the ledger has changed,
+/// and the response contains the current one.
+constexpr std::chrono::seconds kMaxCommitInterval{ 10 };
 
-/// How long a row's job must be unknown before it counts as removed. Longer
-/// than the mirrors of jobs can be stale.
+/// How long a row's job must be unknown before it counts as removed. Must
+/// exceed the time for which this host's copy of the job states may be stale.
 constexpr std::chrono::seconds kUnknownJobTimeout{ 60 };
 
 } // namespace
@@ -47,105 +48,107 @@
 }
 
 void
-LedgerWriter::Tick(const std::vector<WaitingBatchJob>& aOwn, base::Instant aNow)
+LedgerWriter::Tick(const std::vector<WaitingBatchJob>& aJobs,
+                   base::Instant aNow)
 {
-  for (const WaitingBatchJob& job : aOwn) {
-    updates_[job.ledger_].cap_ = job.cap_;
+  for (const WaitingBatchJob& job : aJobs) {
+    records_[job.ledger_].cap_ = job.cap_;
   }
-  for (auto entry = updates_.begin(); entry != updates_.end();) {
-    Update(entry->first, aOwn, aNow);
-    const LedgerUpdate& update = entry->second;
-    const bool isIdle = update.running_.empty() && update.closed_.empty() &&
-                        !update.isCommitting_ &&
-                        aNow - update.usedAt_ > kIdleTimeout;
-    entry = isIdle ? updates_.erase(entry) : std::next(entry);
+  for (auto entry = records_.begin(); entry != records_.end();) {
+    Update(entry->first, aJobs, aNow);
+    const LedgerRecord& record = entry->second;
+    const bool isIdle = record.openJobs_.empty() &&
+                        record.closedJobs_.empty() && !record.isCommitting_ &&
+                        aNow - record.usedAt_ > kIdleTimeout;
+    entry = isIdle ? records_.erase(entry) : std::next(entry);
   }
 }
 
 base::Duration
-LedgerWriter::PauseFor(const std::string& aLedger,
-                       const LedgerUpdate& aUpdate) const
+LedgerWriter::IntervalFor(const std::string& aLedger,
+                          const LedgerRecord& aRecord) const
 {
-  // The cached ledger may be older than a burst of jobs. Jobs are spread evenly
-  // over the workers, so the total is also estimated from the own jobs.
+  // The cached ledger may lack jobs accepted recently. Jobs are spread evenly
+  // over the workers, so the total is also estimated from this host's jobs.
   const std::uint64_t waiting = std::max(
     shared_.ledgers_.Get(aLedger).ledger_.Total(),
-    aUpdate.maxOwnTokens_ * std::max<std::size_t>(hosts_.WorkerCount(), 1));
+    aRecord.maxTokens_ * std::max<std::size_t>(hosts_.WorkerCount(), 1));
   const bool isNear = static_cast<double>(waiting) >
-                      kNearCapShare * static_cast<double>(aUpdate.cap_);
-  return isNear ? base::Duration(kPauseNearCap)
-                : base::Duration(kPauseFarFromCap);
+                      kNearCapShare * static_cast<double>(aRecord.cap_);
+  return isNear ? base::Duration(kIntervalNearCap)
+                : base::Duration(kIntervalFarFromCap);
 }
 
 void
 LedgerWriter::Update(const std::string& aLedger,
-                     const std::vector<WaitingBatchJob>& aOwn,
+                     const std::vector<WaitingBatchJob>& aJobs,
                      base::Instant aNow)
 {
-  LedgerUpdate& update = updates_[aLedger];
-  RecordOwn(update, aLedger, aOwn);
-  if (!update.running_.empty() || update.usedAt_ == base::Instant{}) {
-    update.usedAt_ = aNow;
+  LedgerRecord& record = records_[aLedger];
+  RecordJobs(record, aLedger, aJobs);
+  if (!record.openJobs_.empty() || record.usedAt_ == base::Instant{}) {
+    record.usedAt_ = aNow;
   }
-  const base::Duration pause = PauseFor(aLedger, update);
-  update.nextAt_ = std::min(update.nextAt_, aNow + pause);
-  if (update.isCommitting_ || aNow < update.nextAt_) {
+  const base::Duration interval = IntervalFor(aLedger, record);
+  record.nextAt_ = std::min(record.nextAt_, aNow + interval);
+  if (record.isCommitting_ || aNow < record.nextAt_) {
     return;
   }
-  update.nextAt_ = aNow + pause;
-  const batch::TokenLedger corrected = MakeCorrected(aLedger, aOwn, aNow);
-  const bool isOverdue =
-    !update.running_.empty() && aNow - update.committedAt_ >= kMaxPause;
+  record.nextAt_ = aNow + interval;
+  const batch::TokenLedger corrected = MakeCorrected(aLedger, aJobs, aNow);
+  const bool isOverdue = !record.openJobs_.empty() &&
+                         aNow - record.committedAt_ >= kMaxCommitInterval;
   if (corrected != shared_.ledgers_.Get(aLedger).ledger_ ||
-      !update.closed_.empty() || isOverdue) {
+      !record.closedJobs_.empty() || isOverdue) {
     Commit(aLedger, corrected);
   }
 }
 
 void
-LedgerWriter::RecordOwn(LedgerUpdate& aUpdate,
-                        const std::string& aLedger,
-                        const std::vector<WaitingBatchJob>& aOwn)
+LedgerWriter::RecordJobs(LedgerRecord& aRecord,
+                         const std::string& aLedger,
+                         const std::vector<WaitingBatchJob>& aJobs)
 {
-  std::set<std::string> running;
+  std::set<std::string> openJobs;
   std::uint64_t tokens = 0;
-  for (const WaitingBatchJob& job : aOwn) {
+  for (const WaitingBatchJob& job : aJobs) {
     if (job.ledger_ != aLedger) {
       continue;
     }
-    (job.tokens_ > 0 ? running : aUpdate.closed_).insert(job.job_);
+    (job.tokens_ > 0 ? openJobs : aRecord.closedJobs_).insert(job.job_);
     tokens += job.tokens_;
   }
-  aUpdate.maxOwnTokens_ = std::max(aUpdate.maxOwnTokens_, tokens);
-  std::set_difference(aUpdate.running_.begin(),
-                      aUpdate.running_.end(),
-                      running.begin(),
-                      running.end(),
-                      std::inserter(aUpdate.closed_, aUpdate.closed_.end()));
-  aUpdate.running_ = std::move(running);
+  aRecord.maxTokens_ = std::max(aRecord.maxTokens_, tokens);
+  std::set_difference(
+    aRecord.openJobs_.begin(),
+    aRecord.openJobs_.end(),
+    openJobs.begin(),
+    openJobs.end(),
+    std::inserter(aRecord.closedJobs_, aRecord.closedJobs_.end()));
+  aRecord.openJobs_ = std::move(openJobs);
 }
 
 batch::TokenLedger
 LedgerWriter::MakeCorrected(const std::string& aLedger,
-                            const std::vector<WaitingBatchJob>& aOwn,
+                            const std::vector<WaitingBatchJob>& aJobs,
                             base::Instant aNow)
 {
   batch::TokenLedger ledger = shared_.ledgers_.Get(aLedger).ledger_;
   for (const auto& [job, tokens] :
-       shared_.ledgers_.Get(aLedger).ledger_.Entries()) {
+       shared_.ledgers_.Get(aLedger).ledger_.Rows()) {
     if (ShouldRemove(job, aNow)) {
       ledger.Set(job, 0);
     }
   }
-  for (const WaitingBatchJob& own : aOwn) {
-    if (own.ledger_ != aLedger) {
+  for (const WaitingBatchJob& ownJob : aJobs) {
+    if (ownJob.ledger_ != aLedger) {
       continue;
     }
-    // A row never increases: after a takeover, items may run again that were
-    // already finished. A job without a row was accepted when the route had no
-    // cap.
-    const std::uint64_t row = ledger.Find(own.job_).value_or(own.tokens_);
-    ledger.Set(own.job_, std::min(row, own.tokens_));
+    // A row never increases, because after a takeover finished items may run
+    // again. A job has no row if it was accepted before the route had a cap, or
+    // if the ledger was malformed.
+    const std::uint64_t row = ledger.Find(ownJob.job_).value_or(ownJob.tokens_);
+    ledger.Set(ownJob.job_, std::min(row, ownJob.tokens_));
   }
   return ledger;
 }
@@ -157,12 +160,12 @@
   if (job == nullptr) {
     const auto since = unknownSince_.try_emplace(aJob, aNow).first->second;
     return aNow - since > kUnknownJobTimeout &&
-           hosts_.OwnerFor(aJob) == ownName_;
+           hosts_.AssignedOwner(aJob) == ownName_;
   }
   unknownSince_.erase(aJob);
-  const bool isResponsible =
-    job->state_.owner_ == ownName_ ||
-    (!hosts_.IsLive(job->state_.owner_) && hosts_.OwnerFor(aJob) == ownName_);
+  const bool isResponsible = job->state_.owner_ == ownName_ ||
+                             (!hosts_.IsRegistered(job->state_.owner_) &&
+                              hosts_.AssignedOwner(aJob) == ownName_);
   return !job->IsOpen() && isResponsible;
 }
 
@@ -176,19 +179,19 @@
   transaction.expectations_.push_back(
     { key, shared_.ledgers_.Get(aLedger).revision_ });
   transaction.writes_.push_back({ key, value, 0 });
-  updates_[aLedger].isCommitting_ = true;
+  records_[aLedger].isCommitting_ = true;
   store_.Commit(
     transaction,
-    [this, aLedger, value, closed = updates_[aLedger].closed_](
+    [this, aLedger, value, closed = records_[aLedger].closedJobs_](
       const metadata::TransactionResponse& aResponse) {
       using metadata::StoreStatus;
-      LedgerUpdate& update = updates_[aLedger];
-      update.isCommitting_ = false;
+      LedgerRecord& record = records_[aLedger];
+      record.isCommitting_ = false;
       const base::Instant now = base::MonotonicNow();
       if (aResponse.status_ == StoreStatus::Ok) {
-        update.committedAt_ = now;
-        update.maxOwnTokens_ = 0;
-        std::erase_if(update.closed_, [&closed](const std::string& aJob) {
+        record.committedAt_ = now;
+        record.maxTokens_ = 0;
+        std::erase_if(record.closedJobs_, [&closed](const std::string& aJob) {
           return closed.contains(aJob);
         });
         shared_.ledgers_.Update(aLedger, value, aResponse.revision_, now);
@@ -197,7 +200,7 @@
       if (aResponse.status_ == StoreStatus::Conflict) {
         UpdateCachedLedger(shared_, jobs_.Keys(), aLedger, aResponse);
         // Retry with the current ledger at the next tick.
-        update.nextAt_ = now;
+        record.nextAt_ = now;
       }
     });
 }
--- a/Libraries/LibGateway/LedgerWriter.h
+++ b/Libraries/LibGateway/LedgerWriter.h
@@ -36,39 +36,41 @@
                std::string aOwnName);
 
   /// Updates the ledgers that are due.
-  /// @param aOwn Waiting tokens of the jobs that this host owns.
-  void Tick(const std::vector<WaitingBatchJob>& aOwn, base::Instant aNow);
+  /// @param aJobs Waiting tokens of this host's jobs.
+  void Tick(const std::vector<WaitingBatchJob>& aJobs, base::Instant aNow);
 
 private:
-  struct LedgerUpdate
+  struct LedgerRecord
   {
     std::uint64_t cap_ = 0;
     base::Instant nextAt_{};
     base::Instant committedAt_{};
     base::Instant usedAt_{}; ///< Last time this host had open jobs on it.
-    std::uint64_t maxOwnTokens_ =
-      0; ///< Maximum own tokens since the last commit.
+    std::uint64_t maxTokens_ =
+      0; ///< Maximum tokens of this host's jobs since the last commit.
     bool isCommitting_ = false;
-    std::set<std::string> running_; ///< Own open jobs at the last tick.
-    /// Closed jobs, until a ledger without their rows is stored. The cached
-    /// ledger isn't sufficient, as it may be older than a row.
-    std::set<std::string> closed_;
+    std::set<std::string>
+      openJobs_; ///< This host's open jobs at the last tick.
+    /// Closed jobs, until a ledger without their rows is stored. A cached
+    /// ledger without a job's row doesn't prove that the row is removed: it may
+    /// have been read before the row was added.
+    std::set<std::string> closedJobs_;
   };
 
   void Update(const std::string& aLedger,
-              const std::vector<WaitingBatchJob>& aOwn,
+              const std::vector<WaitingBatchJob>& aJobs,
               base::Instant aNow);
-  static void RecordOwn(LedgerUpdate& aUpdate,
-                        const std::string& aLedger,
-                        const std::vector<WaitingBatchJob>& aOwn);
+  static void RecordJobs(LedgerRecord& aRecord,
+                         const std::string& aLedger,
+                         const std::vector<WaitingBatchJob>& aJobs);
   [[nodiscard]] batch::TokenLedger MakeCorrected(
     const std::string& aLedger,
-    const std::vector<WaitingBatchJob>& aOwn,
+    const std::vector<WaitingBatchJob>& aJobs,
     base::Instant aNow);
   [[nodiscard]] bool ShouldRemove(const std::string& aJob, base::Instant aNow);
   void Commit(const std::string& aLedger, const batch::TokenLedger& aContent);
-  [[nodiscard]] base::Duration PauseFor(const std::string& aLedger,
-                                        const LedgerUpdate& aUpdate) const;
+  [[nodiscard]] base::Duration IntervalFor(const std::string& aLedger,
+                                           const LedgerRecord& aRecord) const;
 
   SharedState& shared_;
   metadata::StoreClient& store_;
@@ -76,7 +78,7 @@
   const batch::HostSet& hosts_;
   std::string ownName_;
   /// Keyed by ledger name. Idle entries are removed.
-  std::unordered_map<std::string, LedgerUpdate> updates_;
+  std::unordered_map<std::string, LedgerRecord> records_;
   /// When each job with a row but no known state was first seen.
   std::unordered_map<std::string, base::Instant> unknownSince_;
 };
--- a/Libraries/LibGateway/ProgressWriter.cpp
+++ b/Libraries/LibGateway/ProgressWriter.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-/// Minimum interval between two calls of a host.
+/// Minimum interval between two transactions of a host.
 constexpr std::chrono::milliseconds kInterval{ 1000 };
 
-/// Interval per live host; all hosts together make at most 20 calls per second.
+/// Interval per registered host; all hosts together make at most 20
+/// transactions per second.
 constexpr std::chrono::milliseconds kIntervalPerHost{ 50 };
 
-/// Maximum number of jobs in one call. Each takes one expectation and one
-/// write, and the store allows 32 entries.
+/// Maximum number of jobs in one transaction. Each takes one expectation and
+/// one write, and the store allows 32 entries.
 constexpr std::size_t kMaxJobs = 15;
 
-/// Maximum total output in one call. The store limits values to 1 MB in base64.
+/// Maximum total output in one transaction. The output of a single job must
+/// also fit into a value, which the store limits to 1 MB in base64.
 constexpr std::size_t kMaxBytes = 400000;
 
 std::size_t
@@ -42,10 +44,10 @@
 }
 
 bool
-ProgressWriter::IsDue(std::size_t aHosts, base::Instant aNow) const
+ProgressWriter::IsDue(std::size_t aHostCount, base::Instant aNow) const
 {
   const base::Duration interval =
-    std::max<base::Duration>(kInterval, kIntervalPerHost * aHosts);
+    std::max<base::Duration>(kInterval, kIntervalPerHost * aHostCount);
   return !isStoring_ && aNow - lastStoreAt_ >= interval;
 }
 
@@ -96,7 +98,7 @@
     transaction.expectations_.push_back(
       { keys_.StateKey(job.job_), job.stateRevision_ });
     transaction.writes_.push_back(
-      { keys_.MakeKey({ job.job_, batch::KeyPart::Progress, 0 }),
+      { keys_.MakeKey({ job.job_, batch::KeyKind::Progress, 0 }),
         batch::EncodeProgress(job.outputs_),
         0 });
     sent.push_back(std::move(job));
@@ -110,8 +112,9 @@
                 [this, sent = std::move(sent), aNow](
                   const metadata::TransactionResponse& aResponse) {
                   isStoring_ = false;
-                  // After a failure, the next call stores newer progress. After
-                  // a conflict, the mirror reports the new owner.
+                  // After a failure, the next transaction stores newer
+                  // progress. After a conflict, the watch reports that the job
+                  // was closed or taken over.
                   if (aResponse.status_ != metadata::StoreStatus::Ok) {
                     return;
                   }
--- a/Libraries/LibGateway/ProgressWriter.h
+++ b/Libraries/LibGateway/ProgressWriter.h
@@ -29,13 +29,14 @@
   ProgressWriter(metadata::StoreClient& aStore,
                  const batch::BatchJobKeySpace& aKeys);
 
-  /// @param aHosts Number of live hosts; the interval grows with it to bound
+  /// @param aHostCount Number of registered hosts; the interval grows with it
+  /// to bound
   ///   their combined call rate.
   /// @return whether progress should be stored now.
-  [[nodiscard]] bool IsDue(std::size_t aHosts, base::Instant aNow) const;
+  [[nodiscard]] bool IsDue(std::size_t aHostCount, base::Instant aNow) const;
 
-  /// Stores the jobs that have advanced since they were last stored, up to the
-  /// limits of one call, least recently stored first.
+  /// Stores the progress of jobs that have advanced since it was last stored,
+  /// up to the limits of one transaction, least recently stored first.
   void Store(std::vector<BatchJobProgress> aJobs, base::Instant aNow);
 
   /// Discards the record of a job that this host no longer runs.
--- a/Libraries/LibGateway/ResultWriter.cpp
+++ b/Libraries/LibGateway/ResultWriter.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Maximum time for which results are batched.
-constexpr std::chrono::milliseconds kMaxBatchDelay{ 500 };
+/// Maximum time for which results are collected before they are stored.
+constexpr std::chrono::milliseconds kMaxStoreDelay{ 500 };
 
 /// Results due within this time are stored immediately.
 constexpr std::chrono::seconds kDueSoon{ 2 };
@@ -20,15 +20,15 @@
 /// to 1 MB in base64.
 constexpr std::size_t kMaxPageBytes = 500000;
 
-/// Maximum number of jobs in one call. Each takes up to two expectations and
-/// two writes, and the store allows 32 entries.
+/// Maximum number of jobs in one transaction. Each takes up to two expectations
+/// and two writes, and the store allows 32 entries.
 constexpr std::size_t kMaxJobs = 8;
 
 /// Delay before a failed write is retried.
-constexpr std::chrono::milliseconds kRetryPause{ 300 };
+constexpr std::chrono::milliseconds kRetryDelay{ 300 };
 
-/// Delay after a conflict, so that the mirror can report the job's owner.
-constexpr std::chrono::seconds kConflictPause{ 3 };
+/// Delay after a conflict, so that the watch can report the job's owner.
+constexpr std::chrono::seconds kConflictDelay{ 3 };
 
 /// Removes and returns as many results as fit into one page.
 std::vector<batch::ItemResult>
@@ -54,7 +54,7 @@
 void
 ResultWriter::Begin(const batch::BatchJob& aJob)
 {
-  Entry entry;
+  JobResults entry;
   entry.nextPosition_ = static_cast<std::uint32_t>(aJob.results_.size());
   entries_[aJob.id_] = std::move(entry);
 }
@@ -65,9 +65,9 @@
                   base::Instant aDueAt,
                   base::Instant aNow)
 {
-  Entry& entry = entries_[aJob];
+  JobResults& entry = entries_[aJob];
   const bool isDueSoon = aDueAt - aNow < kDueSoon;
-  const base::Instant storeAt = isDueSoon ? aNow : aNow + kMaxBatchDelay;
+  const base::Instant storeAt = isDueSoon ? aNow : aNow + kMaxStoreDelay;
   entry.storeAt_ =
     entry.unstored_.empty() ? storeAt : std::min(entry.storeAt_, storeAt);
   entry.unstored_.push_back(std::move(aResult));
@@ -81,7 +81,7 @@
 }
 
 bool
-ResultWriter::CanStore(const Entry& aEntry, base::Instant aNow) const
+ResultWriter::CanStore(const JobResults& aEntry, base::Instant aNow) const
 {
   const bool hasAny = !aEntry.unstored_.empty() || !aEntry.storing_.empty();
   return hasAny && !aEntry.isCallPending_ && aEntry.retryAt_ <= aNow;
@@ -104,12 +104,12 @@
       StoreOne(job, entry);
     }
   }
-  while (StoreBatch(aNow) > 0) {
+  while (StoreCombined(aNow) > 0) {
   }
 }
 
 std::size_t
-ResultWriter::StoreBatch(base::Instant aNow)
+ResultWriter::StoreCombined(base::Instant aNow)
 {
   metadata::Transaction transaction;
   std::vector<PageWrite> writes;
@@ -129,14 +129,14 @@
     store_.Commit(
       transaction,
       [this, writes](const metadata::TransactionResponse& aResponse) {
-        OnBatchResponse(writes, aResponse);
+        OnCombinedResponse(writes, aResponse);
       });
   }
   return writes.size();
 }
 
 void
-ResultWriter::StoreOne(const std::string& aJob, Entry& aEntry)
+ResultWriter::StoreOne(const std::string& aJob, JobResults& aEntry)
 {
   const batch::BatchJob* job = jobs_.Find(aJob);
   if (job == nullptr) {
@@ -153,11 +153,11 @@
 ResultWriter::PageWrite
 ResultWriter::AddPage(metadata::Transaction& aTransaction,
                       const batch::BatchJob& aJob,
-                      Entry& aEntry)
+                      JobResults& aEntry)
 {
   // A write without a response may take effect seconds later. The same page is
-  // written to the same position until its outcome is known, so that a late
-  // effect changes nothing.
+  // written to the same position until its outcome is known, so a write that
+  // takes effect late changes nothing.
   if (aEntry.storing_.empty()) {
     aEntry.storing_ = PopPage(aEntry.unstored_);
   }
@@ -165,18 +165,18 @@
   PageWrite write;
   write.job_ = aJob.id_;
   write.pageKey_ = jobs_.Keys().MakeKey(
-    { aJob.id_, batch::KeyPart::Results, aEntry.nextPosition_ });
+    { aJob.id_, batch::KeyKind::Results, aEntry.nextPosition_ });
   write.stateKey_ = jobs_.Keys().StateKey(aJob.id_);
   write.state_ = aJob.state_;
-  write.finishes_ =
+  write.completesJob_ =
     aEntry.nextPosition_ + aEntry.storing_.size() >= aJob.state_.itemCount_;
-  write.state_.isFinished_ = write.finishes_;
+  write.state_.isFinished_ = write.completesJob_;
   aTransaction.expectations_.push_back(
     { write.stateKey_, aJob.stateRevision_ });
   aTransaction.expectations_.push_back({ write.pageKey_, 0 });
   aTransaction.writes_.push_back(
     { write.pageKey_, batch::EncodeResults(aEntry.storing_), 0 });
-  if (write.finishes_) {
+  if (write.completesJob_) {
     aTransaction.writes_.push_back(
       { write.stateKey_, batch::EncodeState(write.state_), 0 });
   }
@@ -184,8 +184,8 @@
 }
 
 void
-ResultWriter::OnBatchResponse(const std::vector<PageWrite>& aWrites,
-                              const metadata::TransactionResponse& aResponse)
+ResultWriter::OnCombinedResponse(const std::vector<PageWrite>& aWrites,
+                                 const metadata::TransactionResponse& aResponse)
 {
   const bool isConflict =
     aResponse.status_ == metadata::StoreStatus::Conflict && aWrites.size() > 1;
@@ -213,7 +213,7 @@
   if (found == entries_.end()) {
     return;
   }
-  Entry& entry = found->second;
+  JobResults& entry = found->second;
   entry.isCallPending_ = false;
   if (aResponse.status_ == StoreStatus::Ok) {
     RecordStored(entry, aWrite, aResponse.revision_);
@@ -239,16 +239,16 @@
             { { "lot", aWrite.job_ },
               { "position", entry.nextPosition_ },
               { "status", static_cast<int>(aResponse.status_) } });
-  // After a conflict, another host owns the job or its submitter has ended it.
-  // The mirror will report which.
+  // A conflict usually means that the job was taken over or cancelled; the
+  // watch will report which.
   const bool isConflict = aResponse.status_ == StoreStatus::Conflict;
   entry.retryAt_ =
     base::MonotonicNow() +
-    (isConflict ? base::Duration(kConflictPause) : base::Duration(kRetryPause));
+    (isConflict ? base::Duration(kConflictDelay) : base::Duration(kRetryDelay));
 }
 
 void
-ResultWriter::RecordStored(Entry& aEntry,
+ResultWriter::RecordStored(JobResults& aEntry,
                            const PageWrite& aWrite,
                            std::uint64_t aStateRevision)
 {
@@ -260,7 +260,7 @@
     aWrite.pageKey_, batch::EncodeResults(aEntry.storing_), aStateRevision);
   aEntry.nextPosition_ += static_cast<std::uint32_t>(aEntry.storing_.size());
   aEntry.storing_.clear();
-  if (aWrite.finishes_) {
+  if (aWrite.completesJob_) {
     jobs_.Apply(
       aWrite.stateKey_, batch::EncodeState(aWrite.state_), aStateRevision);
   }
@@ -276,9 +276,9 @@
       !found->second.storing_.empty()) {
     return false;
   }
-  Entry& entry = found->second;
+  JobResults& entry = found->second;
   const std::string key = jobs_.Keys().MakeKey(
-    { aJob.id_, batch::KeyPart::Results, entry.nextPosition_ });
+    { aJob.id_, batch::KeyKind::Results, entry.nextPosition_ });
   const std::vector<batch::ItemResult> page = PopPage(entry.unstored_);
   aTransaction.expectations_.push_back({ key, 0 });
   aTransaction.writes_.push_back({ key, batch::EncodeResults(page), 0 });
--- a/Libraries/LibGateway/ResultWriter.h
+++ b/Libraries/LibGateway/ResultWriter.h
@@ -12,9 +12,10 @@
 
 namespace pumiceturn::gateway {
 
-/// Stores the results of the jobs that this host runs. Results are batched to
-/// save store calls, except those that are due soon. Must be used on the event
-/// thread.
+/// Stores the results of the jobs that this host runs. Results are collected
+/// for a short time, so that those of several jobs can be stored in one
+/// transaction; results that are due soon are stored immediately. Must be used
+/// on the event thread.
 class ResultWriter
 {
 public:
@@ -30,7 +31,8 @@
   {
   }
 
-  /// Starts accepting results of a job, after those already in the store.
+  /// Prepares storing the results of a job; their positions follow those
+  /// already stored.
   void Begin(const batch::BatchJob& aJob);
 
   /// Discards the unstored results of a job.
@@ -49,19 +51,21 @@
   /// Stores queued results if any are due.
   void Tick(base::Instant aNow);
 
-  /// Adds the queued results to the transaction that hands a job over.
+  /// Adds up to a page of queued results to the transaction that hands a job
+  /// over, unless an earlier write is pending or has no known outcome.
   /// @return whether this completes the job's results.
   [[nodiscard]] bool AddUnstored(metadata::Transaction& aTransaction,
                                  const batch::BatchJob& aJob);
 
 private:
-  struct Entry
+  struct JobResults
   {
     std::vector<batch::ItemResult> unstored_{};
-    std::vector<batch::ItemResult> storing_{}; ///< In the pending write.
+    /// The page being stored, kept until the outcome of its write is known.
+    std::vector<batch::ItemResult> storing_{};
     std::uint32_t nextPosition_ = 0;
     bool isCallPending_ = false;
-    base::Instant storeAt_{}; ///< When unstored_ is due.
+    base::Instant storeAt_{}; ///< When unstored_ must be written.
     base::Instant retryAt_{};
   };
 
@@ -72,27 +76,28 @@
     std::string pageKey_;
     std::string stateKey_;
     batch::BatchJobState state_; ///< State after the write.
-    bool finishes_ = false;
+    bool completesJob_ = false;
   };
 
-  [[nodiscard]] bool CanStore(const Entry& aEntry, base::Instant aNow) const;
-  [[nodiscard]] std::size_t StoreBatch(base::Instant aNow);
-  void StoreOne(const std::string& aJob, Entry& aEntry);
+  [[nodiscard]] bool CanStore(const JobResults& aEntry,
+                              base::Instant aNow) const;
+  [[nodiscard]] std::size_t StoreCombined(base::Instant aNow);
+  void StoreOne(const std::string& aJob, JobResults& aEntry);
   [[nodiscard]] PageWrite AddPage(metadata::Transaction& aTransaction,
                                   const batch::BatchJob& aJob,
-                                  Entry& aEntry);
-  void OnBatchResponse(const std::vector<PageWrite>& aWrites,
-                       const metadata::TransactionResponse& aResponse);
+                                  JobResults& aEntry);
+  void OnCombinedResponse(const std::vector<PageWrite>& aWrites,
+                          const metadata::TransactionResponse& aResponse);
   void OnResponse(const PageWrite& aWrite,
                   const metadata::TransactionResponse& aResponse);
-  void RecordStored(Entry& aEntry,
+  void RecordStored(JobResults& aEntry,
                     const PageWrite& aWrite,
                     std::uint64_t aStateRevision);
 
   metadata::StoreClient& store_;
   batch::BatchJobTable& jobs_;
   StoredHandler onStored_;
-  std::map<std::string, Entry> entries_; ///< Keyed by job ID.
+  std::map<std::string, JobResults> entries_; ///< Keyed by job ID.
 };
 
 } // namespace pumiceturn::gateway
--- a/Libraries/LibGateway/SpoolClient.cpp
+++ b/Libraries/LibGateway/SpoolClient.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Timeout of a worker's response.
+/// Time within which a worker must respond.
 constexpr std::chrono::milliseconds kTimeout{ 600 };
 
 /// The workers' responses so far.
@@ -64,15 +64,15 @@
       kTimeout,
       [tally, copies = copies_](const httpstream::CallResult& aResult) {
         --tally->pending_;
-        const bool isAnswered =
+        const bool hasResponded =
           aResult.outcome_ == httpstream::CallOutcome::Complete;
-        if (isAnswered && aResult.status_ == httpstream::kStatusOk) {
+        if (hasResponded && aResult.status_ == httpstream::kStatusOk) {
           ++tally->spooled_;
         }
-        const bool isCertainlyNot =
+        const bool isCertainlyNotSpooled =
           aResult.outcome_ == httpstream::CallOutcome::NotConnected ||
-          (isAnswered && aResult.status_ == httpstream::kStatusUnavailable);
-        tally->mayBeSpooled_ = tally->mayBeSpooled_ || !isCertainlyNot;
+          (hasResponded && aResult.status_ == httpstream::kStatusUnavailable);
+        tally->mayBeSpooled_ = tally->mayBeSpooled_ || !isCertainlyNotSpooled;
         if (tally->spooled_ >= copies) {
           Finish(*tally, true);
         } else if (tally->pending_ == 0) {
--- a/Libraries/LibGateway/SpoolClient.h
+++ b/Libraries/LibGateway/SpoolClient.h
@@ -13,9 +13,10 @@
 /// The outcome of spooling a job on other hosts.
 struct SpoolOutcome
 {
-  /// Whether enough hosts have it.
+  /// Whether enough workers have spooled the job.
   bool isSpooled_ = false;
-  /// Whether any host may have it and store it later.
+  /// Whether any worker may have spooled the job, so that it may be stored
+  /// later.
   bool mayBeSpooled_ = false;
 };
 
@@ -34,7 +35,8 @@
   }
 
   /// Sends the job to all workers among the peers. Calls back once: when enough
-  /// of them have spooled it, or when all have responded or timed out.
+  /// of them have spooled it, or when all have responded or timed out. Calls
+  /// back immediately if there are fewer workers than copies.
   void Spool(const batch::SpooledJob& aJob,
              std::span<const batch::PeerAddress> aPeers,
              Done aDone);
--- a/Tests/LibBatch/BatchJobTableTest.cpp
+++ b/Tests/LibBatch/BatchJobTableTest.cpp
@@ -71,7 +71,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobTableFixture,
-                 "BatchJobTable_Unloaded_KeepsTheStateAlone")
+                 "BatchJobTable_Unloaded_KeepsOnlyTheState")
 {
   ApplyAll();
   CHECK(table_.FinishLoading("lot"));
@@ -84,7 +84,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobTableFixture,
-                 "BatchJobTable_ContentNotWhole_IsNotLoaded")
+                 "BatchJobTable_ContentIncomplete_JobIsNotLoaded")
 {
   table_.Apply("s/lot", EncodeState(MakeState()), 2);
   table_.Apply("d/lot/content/000000", "abc", 2);
@@ -102,12 +102,12 @@
 
 TEST_CASE_METHOD(BatchJobTableFixture, "BatchJobKeySpace_AnyKey_IsParsedBack")
 {
-  for (const KeyPart part : { KeyPart::State,
-                              KeyPart::Content,
-                              KeyPart::Results,
-                              KeyPart::Progress }) {
+  for (const KeyKind part : { KeyKind::State,
+                              KeyKind::Content,
+                              KeyKind::Results,
+                              KeyKind::Progress }) {
     const bool isNumbered =
-      part == KeyPart::Content || part == KeyPart::Results;
+      part == KeyKind::Content || part == KeyKind::Results;
     const BatchJobKey key{ "lot", part, isNumbered ? 12U : 0U };
     CHECK(table_.Keys().ParseKey(table_.Keys().MakeKey(key)) == key);
   }
@@ -119,10 +119,10 @@
 {
   ApplyAll();
   BatchJobState ended = MakeState();
-  ended.isEnded_ = true;
+  ended.isCancelled_ = true;
   table_.Apply("s/lot", EncodeState(ended), 9);
   table_.Apply("s/lot", EncodeState(MakeState()), 3);
-  CHECK(table_.Find("lot")->state_.isEnded_);
+  CHECK(table_.Find("lot")->state_.isCancelled_);
 }
 
 TEST_CASE_METHOD(BatchJobTableFixture,
@@ -136,34 +136,34 @@
   CHECK(table_.Find("lot")->results_.empty());
 }
 
-class HostSetFixture
+class TakeoverFixture
 {
 protected:
   HostSet hosts_;
   base::Instant now_{ base::Duration{ 1h } };
 };
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_WorkersLive_JobsGoToWorkers")
+TEST_CASE_METHOD(TakeoverFixture, "HostSet_WorkersRegistered_JobsGoToWorkers")
 {
   hosts_.Put(
     "entry", "entry/1", BatchPreference::Fallback, "127.0.0.1:1", now_);
   hosts_.Put(
     "worker", "worker/1", BatchPreference::Worker, "127.0.0.1:1", now_);
   for (const char* job : { "a", "b", "c", "d", "e" }) {
-    CHECK(hosts_.OwnerFor(job) == "worker/1");
+    CHECK(hosts_.AssignedOwner(job) == "worker/1");
   }
   hosts_.Remove("worker", now_);
-  CHECK(hosts_.OwnerFor("a") == "entry/1");
+  CHECK(hosts_.AssignedOwner("a") == "entry/1");
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_LiveOwner_HasAnAddress")
+TEST_CASE_METHOD(TakeoverFixture, "HostSet_RegisteredOwner_HasAnAddress")
 {
   hosts_.Put("worker", "worker/2", BatchPreference::Worker, "10.0.0.1:7", now_);
   CHECK(hosts_.AddressOf("worker/2") == "10.0.0.1:7");
   CHECK_FALSE(hosts_.AddressOf("worker/1"));
 }
 
-TEST_CASE_METHOD(HostSetFixture,
+TEST_CASE_METHOD(TakeoverFixture,
                  "HostSet_HostRemoved_OwnerCanBeTakenOverAfterDelay")
 {
   hosts_.Put(
@@ -173,7 +173,7 @@
   CHECK(hosts_.CanTakeOverFrom("worker/1", now_ + 2s));
 }
 
-TEST_CASE_METHOD(HostSetFixture,
+TEST_CASE_METHOD(TakeoverFixture,
                  "HostSet_HostRestarts_OldOwnerCanBeTakenOverAtOnce")
 {
   hosts_.Put(
@@ -184,7 +184,8 @@
   CHECK_FALSE(hosts_.CanTakeOverFrom("worker/2", now_ + 1h));
 }
 
-TEST_CASE_METHOD(HostSetFixture, "HostSet_UnknownOwner_DelayStartsAtFirstQuery")
+TEST_CASE_METHOD(TakeoverFixture,
+                 "HostSet_UnknownOwner_DelayStartsAtFirstQuery")
 {
   CHECK_FALSE(hosts_.CanTakeOverFrom("worker/0", now_));
   CHECK(hosts_.CanTakeOverFrom("worker/0", now_ + 2s));
--- a/Tests/LibBatch/HostSetTest.cpp
+++ b/Tests/LibBatch/HostSetTest.cpp
@@ -24,20 +24,20 @@
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_Empty_HasNoOwner")
 {
-  CHECK(hosts_.OwnerFor("lot").empty());
+  CHECK(hosts_.AssignedOwner("lot").empty());
   CHECK(hosts_.IsPreferred(BatchPreference::Fallback));
 }
 
 TEST_CASE_METHOD(HostSetFixture, "HostSet_WithWorkers_EntryHostsGetNoJobs")
 {
   PutEntry("e1");
-  CHECK(hosts_.OwnerFor("lot") == "e1/1");
+  CHECK(hosts_.AssignedOwner("lot") == "e1/1");
   PutWorker("w1");
-  CHECK(hosts_.OwnerFor("lot") == "w1/1");
+  CHECK(hosts_.AssignedOwner("lot") == "w1/1");
   CHECK_FALSE(hosts_.IsPreferred(BatchPreference::Fallback));
   CHECK(hosts_.IsPreferred(BatchPreference::Worker));
   hosts_.Remove("w1", now_);
-  CHECK(hosts_.OwnerFor("lot") == "e1/1");
+  CHECK(hosts_.AssignedOwner("lot") == "e1/1");
   CHECK(hosts_.IsPreferred(BatchPreference::Fallback));
 }
 
@@ -50,12 +50,12 @@
   std::unordered_map<std::string, std::string> before;
   for (int job = 0; job < 100; ++job) {
     const std::string id = "lot" + std::to_string(job);
-    before[id] = hosts_.OwnerFor(id);
+    before[id] = hosts_.AssignedOwner(id);
   }
   hosts_.Remove("w2", now_);
   for (const auto& [id, owner] : before) {
     if (owner != "w2/1") {
-      CHECK(hosts_.OwnerFor(id) == owner);
+      CHECK(hosts_.AssignedOwner(id) == owner);
     }
   }
 }
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE_METHOD(HostSetFixture,
-                 "HostSet_NewIncarnation_FormerOwnerCanBeTakenOverAtOnce")
+                 "HostSet_HostRestarts_FormerOwnerCanBeTakenOverAtOnce")
 {
   PutWorker("w1");
   hosts_.Put("w1", "w1/2", BatchPreference::Worker, "w1:1", now_);
--- a/Tests/LibBatch/ItemScheduleTest.cpp
+++ b/Tests/LibBatch/ItemScheduleTest.cpp
@@ -16,7 +16,7 @@
     (*job_.items_)[0].id_ = "first";
     (*job_.items_)[1].id_ = "second";
     limits_.maxAttempts_ = 2;
-    limits_.giveUpAt_ = now_ + 1min;
+    limits_.abandonAt_ = now_ + 1min;
   }
 
   ItemSchedule MakeSchedule() const { return { job_, limits_ }; }
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_FailuresReachTheLimit_GivesUpTheItem")
+                 "ItemSchedule_FailuresReachTheLimit_ItemIsErrored")
 {
   ItemSchedule schedule = MakeSchedule();
   CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Failed));
@@ -77,27 +77,26 @@
   CHECK(result->item_ == "first");
 }
 
-TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_ImpossibleItem_IsGivenUpAtOnce")
+TEST_CASE_METHOD(ItemScheduleFixture, "ItemSchedule_ItemRejected_ItemIsErrored")
 {
   ItemSchedule schedule = MakeSchedule();
-  const auto result = RunNextItem(schedule, ItemAttemptOutcome::Impossible);
+  const auto result = RunNextItem(schedule, ItemAttemptOutcome::Rejected);
   REQUIRE(result);
   CHECK(result->state_ == ItemState::Errored);
 }
 
 // Guards against one item crashing every endpoint of the fleet in turn.
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_ItemCrashesEndpoints_IsNotRetried")
+                 "ItemSchedule_CrashLimitReached_ItemIsNotRetried")
 {
   ItemSchedule schedule = MakeSchedule();
   for (std::size_t crash = 0; crash < ItemSchedule::kMaxCrashes; ++crash) {
-    CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Broken));
+    CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Interrupted));
   }
   now_ += 1min;
   CHECK(NextItem(schedule) == 1);
-  CHECK(schedule.GiveUp(limits_.giveUpAt_ - 1ms).empty());
-  CHECK(schedule.GiveUp(limits_.giveUpAt_).size() == 2);
+  CHECK(schedule.AbandonWaiting(limits_.abandonAt_ - 1ms).empty());
+  CHECK(schedule.AbandonWaiting(limits_.abandonAt_).size() == 2);
 }
 
 // Guards against abandoning an item because endpoints reset its connections
@@ -107,7 +106,7 @@
 {
   ItemSchedule schedule = MakeSchedule();
   for (std::size_t reset = 0; reset < ItemSchedule::kMaxCrashes; ++reset) {
-    CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Broken));
+    CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Interrupted));
   }
   now_ += 1s;
   hasSurvived_ = true;
@@ -120,7 +119,7 @@
   ItemSchedule schedule = MakeSchedule();
   for (std::uint64_t event = 1; event <= 6; ++event) {
     CHECK_FALSE(
-      RunNextItem(schedule, ItemAttemptOutcome::Broken, { event, "x" }));
+      RunNextItem(schedule, ItemAttemptOutcome::Interrupted, { event, "x" }));
   }
   now_ += 1s;
   CHECK(NextItem(schedule) == 0);
@@ -131,17 +130,17 @@
   (*job_.items_)[0].tokens_ = 300;
   (*job_.items_)[1].tokens_ = 20;
   ItemSchedule schedule = MakeSchedule();
-  CHECK(schedule.WaitingTokens() == 320);
+  CHECK(schedule.UnfinishedTokens() == 320);
   CHECK_FALSE(RunNextItem(schedule, ItemAttemptOutcome::Preempted, { 3, "x" }));
-  CHECK(schedule.WaitingTokens() == 320);
+  CHECK(schedule.UnfinishedTokens() == 320);
   CHECK(RunNextItem(schedule, ItemAttemptOutcome::Completed, { 4, "x" }));
-  CHECK(schedule.WaitingTokens() == 20);
-  CHECK(RunNextItem(schedule, ItemAttemptOutcome::Impossible));
-  CHECK(schedule.WaitingTokens() == 0);
+  CHECK(schedule.UnfinishedTokens() == 20);
+  CHECK(RunNextItem(schedule, ItemAttemptOutcome::Rejected));
+  CHECK(schedule.UnfinishedTokens() == 0);
 }
 
 TEST_CASE_METHOD(ItemScheduleFixture,
-                 "ItemSchedule_TakenOver_SkipsListedAndKeepsProgress")
+                 "ItemSchedule_TakenOver_SkipsItemsWithResultsAndKeepsProgress")
 {
   job_.results_.push_back({ "first", ItemState::Completed, "a" });
   job_.progress_["second"] = { 4, "w\nx\ny\nz" };
--- a/Tests/LibBatch/SpoolFilesTest.cpp
+++ b/Tests/LibBatch/SpoolFilesTest.cpp
@@ -75,15 +75,16 @@
 }
 
 // Guards against acknowledging a job that could not be written.
-TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_NoFolder_WriteFails")
+TEST_CASE_METHOD(SpoolFilesFixture,
+                 "SpoolFiles_FolderCannotBeCreated_WriteFails")
 {
   std::ofstream(folder_) << "a file where the folder should be";
-  const WriteOutcome outcome = SpoolFiles(folder_).Write(MakeJob("a"));
+  const SpoolWriteOutcome outcome = SpoolFiles(folder_).Write(MakeJob("a"));
   CHECK(outcome.error_);
   CHECK_FALSE(outcome.mayExist_);
 }
 
-// Guards against reporting a job as refused that may run after a restart.
+// Guards against rejecting a job that may still run after a restart.
 TEST_CASE_METHOD(SpoolFilesFixture, "SpoolFiles_RenameFails_FileMayExist")
 {
   SpoolFiles files(folder_);
@@ -91,7 +92,7 @@
   const auto path = OnlyFile();
   std::filesystem::remove(path);
   std::filesystem::create_directories(path / "in the way");
-  const WriteOutcome outcome = files.Write(MakeJob("a"));
+  const SpoolWriteOutcome outcome = files.Write(MakeJob("a"));
   CHECK(outcome.error_);
   CHECK(outcome.mayExist_);
 }
--- a/Tests/LibBatch/StartOrderTest.cpp
+++ b/Tests/LibBatch/StartOrderTest.cpp
@@ -147,11 +147,12 @@
       PreemptDownTo(slots, now);
       auto candidates = StartableItems(now);
       StartConditions conditions{ now };
+      // The weight is that of kAverageAttemptsWeight in BatchWorker.
       if (!candidates.empty()) {
         averageRunning +=
           (static_cast<double>(RunningCount()) - averageRunning) * 0.02;
       }
-      conditions.slots_ = averageRunning;
+      conditions.averageAttempts_ = averageRunning;
       for (const Item& item : items_) {
         conditions.runningWork_ +=
           item.isRunning_ ? UrgencyOf(item).remaining_ : base::Duration::zero();
@@ -173,9 +174,10 @@
   std::mt19937_64 random_{ 4 };
 };
 
-// Guards against finishing items just late under overload. 16 slots on average
-// finish 4.4 items per second; in the 33 s from the start of the flood until
-// the last due time, that is 145 items.
+// Guards against finishing many items slightly late under overload. An average
+// of 16 slots (24 and 8) and a mean run time of 3.65 s allow 4.4 items per
+// second. Items arrive for 15 s and are due after 18 s, so 145 items can be
+// done in time.
 TEST_CASE_METHOD(StartOrderFixture, "StartOrder_Overload_SlotsGoToItemsInTime")
 {
   AddItems(14.0, 0s, 15s);
@@ -198,30 +200,30 @@
   CHECK(planned.onTime_ == static_cast<int>(items_.size()));
 }
 
-// Guards against deferring the oldest items in a burst that can be finished in
-// time.
-TEST_CASE_METHOD(StartOrderFixture, "StartOrder_ShortBurst_OldestComeFirst")
+// Guards against deferring items in a burst that can be finished in time.
+TEST_CASE_METHOD(StartOrderFixture, "StartOrder_ShortBurst_AllItemsAreInTime")
 {
   AddItems(14.0, 0s, 3s);
   const Outcome planned = Simulate(Order::Planned);
   CHECK(planned.late_ == 0);
 }
 
-TEST_CASE("StartOrder_Ranks_FollowEachOther")
+TEST_CASE("StartOrder_DifferentRanks_AreInRankOrder")
 {
   const base::Instant now{ base::Duration{ 1h } };
   const std::vector<StartCandidate> ordered =
     OrderStarts({ { "late", 0, { now - 1s, 1s } },
-                  { "fresh", 1, { now + 18s, 4s } },
-                  { "old", 2, { now + 9s, 4s } },
-                  { "begun", 3, { now + 12s, 2s }, true } },
+                  { "due_later", 1, { now + 18s, 4s } },
+                  { "due_soon", 2, { now + 9s, 4s } },
+                  { "interrupted", 3, { now + 12s, 2s }, true } },
                 { now, 8.0, base::Duration::zero() });
   std::vector<std::string> jobs;
   jobs.reserve(ordered.size());
   for (const StartCandidate& candidate : ordered) {
     jobs.push_back(candidate.job_);
   }
-  CHECK(jobs == std::vector<std::string>{ "begun", "old", "fresh", "late" });
+  CHECK(jobs == std::vector<std::string>{
+                  "interrupted", "due_soon", "due_later", "late" });
 }
 
 TEST_CASE("StartOrder_ItemsThatCannotFinishInTime_ArePreemptedFirst")
@@ -235,13 +237,14 @@
   CHECK_FALSE(IsPreemptedBefore(tight, late, now));
 }
 
-TEST_CASE("ItemDurationEstimator_AttemptsRecorded_EstimateFollows")
+TEST_CASE("ItemDurationEstimator_AttemptsRecorded_EstimateUsesThem")
 {
   ItemDurationEstimator estimator;
   CHECK(estimator.EstimateRemaining(1000, 0) == base::Duration::zero());
   estimator.RecordAttempt(200, 4s);
   estimator.RecordCompleted(1000, 250);
-  // Short attempts are ignored: the wait for a slot dominates their duration.
+  // Short attempts are ignored: the wait at the endpoint dominates their
+  // duration.
   estimator.RecordAttempt(2, 4s);
   CHECK(base::ToMs(estimator.EstimateRemaining(1000, 0)) == 5000);
   CHECK(base::ToMs(estimator.EstimateRemaining(1000, 200)) == 1000);
--- a/Tests/LibBatch/TokenLedgerTest.cpp
+++ b/Tests/LibBatch/TokenLedgerTest.cpp
@@ -28,7 +28,7 @@
   base::Instant now_{ base::Duration{ 1h } };
 };
 
-TEST_CASE_METHOD(LedgerFixture, "TokenLedger_RowsChange_TotalFollows")
+TEST_CASE_METHOD(LedgerFixture, "TokenLedger_RowsChange_TotalIsUpdated")
 {
   ledger_.Set("a", 400);
   ledger_.Set("b", 500);
@@ -73,7 +73,8 @@
   CHECK(cache_.Get("route").ledger_.Total() == 400);
 }
 
-// Guards against asking submitters to retry long before there is room.
+// Guards against retry delays that are far from the time at which the job will
+// fit.
 TEST_CASE_METHOD(LedgerFixture, "LedgerCache_FullRoute_EstimatesRetryDelay")
 {
   CHECK(RetryDelay(100) >= 300ms);
--- a/Tests/Platform/BatchJobSpoolTest.cpp
+++ b/Tests/Platform/BatchJobSpoolTest.cpp
@@ -39,7 +39,7 @@
   TemporaryFolder folder_;
 };
 
-// Guards against refusing jobs while the store is unavailable.
+// Guards against rejecting jobs while the store is unavailable.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
                  "BatchJobSpool_StoreUnavailable_JobIsSpooledAndRunLater")
 {
@@ -68,14 +68,14 @@
   AwaitPeers(2);
   store_.SetBehaviour(StoreBehaviour::Refusing);
   // One worker may have spooled the job and run it later, so the response must
-  // not be "not run".
+  // not promise that it won't run (503).
   CHECK(Submit(*entry_, 2) == 504);
   store_.SetBehaviour(StoreBehaviour::Serving);
   WaitForAll(*entry_, 2);
 }
 
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "BatchJobSpool_NoDisk_JobIsRefusedAsNotRun")
+                 "BatchJobSpool_NoWorkerHasSpool_JobIsRejected")
 {
   StartWorker("worker-1");
   StartWorker("worker-2");
@@ -90,7 +90,7 @@
 
 // Guards against losing spooled jobs when the host restarts.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
-                 "BatchJobSpool_HostRestarts_StoresSpooledJobs")
+                 "BatchJobSpool_SpoolFileAtStart_JobIsStored")
 {
   batch::SpooledJob job;
   job.id_ = "lot1";
@@ -118,7 +118,7 @@
   job.state_.itemCount_ = 3;
   job.state_.organisation_ = "archive";
   store_.Put("pumiceturn/lot/lot1", batch::EncodeState(job.state_));
-  const auto statusOf = [this, &job] {
+  const auto sendToWorker = [this, &job] {
     return Send(hosts_.back()->forwardPort_,
                 "PUT",
                 "/held/lot1",
@@ -129,17 +129,17 @@
   RunUntil([this] {
     return SendAndWait(*entry_, "GET", "/api/lots/lot1")->status_ != 404;
   });
-  const auto same = statusOf();
+  const auto same = sendToWorker();
   RunUntil([&same] { return same->HasEnded(); });
   job.state_.organisation_ = "portal";
-  const auto other = statusOf();
+  const auto other = sendToWorker();
   RunUntil([&other] { return other->HasEnded(); });
   CHECK(other->status_ == 503);
   CHECK(same->status_ == 200);
 }
 
 // Guards against running a finished job again from the spool of a host that was
-// down for long.
+// down for a long time.
 TEST_CASE_METHOD(BatchJobSpoolFixture,
                  "BatchJobSpool_OlderThanRetention_IsDropped")
 {
@@ -179,7 +179,8 @@
       [&] { return SendAndWait(*host, "GET", "/capped/1")->status_ != 404; });
   }
   store_.SetBehaviour(StoreBehaviour::Refusing);
-  // 99 tokens of the 100 allowed beyond the cap, on both disks.
+  // 11 items of 9 tokens each, spooled by both workers: 99 of the 100 tokens
+  // allowed beyond the cap.
   CHECK(Submit(*entry_, 11) == 202);
   CHECK(
     SendAndWait(
--- a/Tests/Platform/BatchJobsFixture.h
+++ b/Tests/Platform/BatchJobsFixture.h
@@ -8,7 +8,8 @@
 
 namespace pumiceturn::adapter {
 
-/// An entry host and two servers, with helpers that submit and read a job.
+/// An entry host and two servers (endpoints), with helpers that submit and read
+/// a job.
 class BatchJobsFixture : protected GatewayFixture
 {
 protected:
--- a/Tests/Platform/BatchJobsTest.cpp
+++ b/Tests/Platform/BatchJobsTest.cpp
@@ -25,7 +25,7 @@
   CHECK(Results(other, 3)["results"].size() == 2);
 }
 
-TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_SentAgain_IsAcceptedOnce")
+TEST_CASE_METHOD(BatchJobsFixture, "BatchJobs_SubmittedAgain_RunsOnce")
 {
   TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   CHECK(Submit(*entry_, 3) == 202);
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE_METHOD(BatchJobsFixture,
-                 "BatchJobs_ImpossibleItem_IsErroredAndOthersGoOn")
+                 "BatchJobs_ItemRejected_IsErroredAndOthersComplete")
 {
   servers_[0]->Enqueue({ ServerScript::Kind::Status, 0, 422 });
   servers_[1]->Enqueue({ ServerScript::Kind::Status, 0, 422 });
@@ -122,12 +122,12 @@
                  "BatchJobs_WallClocksDiffer_NoItemIsAbandonedEarly")
 {
   constexpr std::chrono::seconds kGiveUpAfter{ 120 };
-  constexpr std::chrono::seconds kJump{ 5 };
+  constexpr std::chrono::seconds kClockDifference{ 5 };
   batch::SpooledJob job;
   job.id_ = "lot1";
   job.state_.owner_ = "nobody/0";
   job.state_.acceptedAtMs_ =
-    base::ToUnixMs(base::WallNow() - kGiveUpAfter - kJump);
+    base::ToUnixMs(base::WallNow() - kGiveUpAfter - kClockDifference);
   job.state_.itemCount_ = 2;
   job.state_.partCount_ = 1;
   job.state_.hostName_ = "a.example";
@@ -183,7 +183,7 @@
                  "BatchJobs_LastWriteResponseLost_ResultIsReturned")
 {
   StartWorker("worker");
-  // The blocked attempt gives the host's watch time to wait again.
+  // The held attempt gives the host time to start its next watch of the store.
   servers_[0]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 1, 0 });
   CHECK(Submit(*entry_, 1) == 202);
@@ -243,8 +243,9 @@
     }
     return isStopped;
   });
-  // Drain delay for the balancer of 2.6 s plus a reader's wait of 1 s; the
-  // host's grace period is 8 s.
+  // Stopping takes 2.6 s until the balancer has noticed, plus 1 s for a waiting
+  // reader. A host that waited for all readers would take its full
+  // grace period of 8 s.
   CHECK(base::MonotonicNow() - begin < std::chrono::seconds(6));
 }
 
@@ -273,9 +274,10 @@
   servers_[1]->Enqueue({ ServerScript::Kind::Hold, 3, 0 });
   CHECK(Submit(*entry_, 2) == 202);
   RunUntil([this] { return RequestCount() == 2; });
-  // The worker reads the first events at its next tick.
-  std::size_t ticks = 0;
-  RunUntil([&] { return ++ticks > 30; });
+  // Wait some rounds, so that the worker reads the first events at its next
+  // tick.
+  std::size_t rounds = 0;
+  RunUntil([&] { return ++rounds > 30; });
   bool isStopped = false;
   hosts_.back()->gateway_->Stop([&isStopped] { isStopped = true; });
   const json page = WaitForAll(*entry_, 2);
@@ -346,7 +348,7 @@
 {
   CHECK(Submit(*entry_, 2) == 202);
   WaitForAll(*entry_, 2);
-  // A job on a route of the next configuration.
+  // A job on a route that exists from version 7 of the configuration.
   std::string state = store_.Get("pumiceturn/lot/lot1");
   state.replace(state.find("/lots/1"), 7, "/v7/1xx");
   state.replace(state.find("\"finished\":true"), 15, "\"finished\":false");
@@ -355,7 +357,7 @@
   const auto read = [this] {
     return SendAndWait(*entry_, "GET", "/api/lots/lot2?after=0");
   };
-  // Wait for more ticks than it would take to abandon the job.
+  // Wait for several store calls, during which the job must not be abandoned.
   const std::size_t before = store_.CallCount();
   RunUntil([&] { return store_.CallCount() > before + 12; });
   CHECK(json::parse(read()->body_)["results"].empty());
--- a/Tests/Platform/ResultWriterTest.cpp
+++ b/Tests/Platform/ResultWriterTest.cpp
@@ -21,9 +21,9 @@
     writer_.Begin(*jobs_.Find(aJob));
   }
 
-  void Finish(const std::string& aJob,
-              int aItem,
-              base::Duration aDueAfter = 10s)
+  void AddResult(const std::string& aJob,
+                 int aItem,
+                 base::Duration aDueAfter = 10s)
   {
     writer_.Add(
       aJob,
@@ -68,10 +68,10 @@
 {
   Begin("a");
   Begin("b");
-  Finish("a", 0);
+  AddResult("a", 0);
   Advance(200ms);
-  Finish("b", 0);
-  Finish("b", 1);
+  AddResult("b", 0);
+  AddResult("b", 1);
   CHECK(store_.commits_.empty());
   Advance(300ms);
   REQUIRE(store_.commits_.size() == 1);
@@ -89,19 +89,19 @@
 TEST_CASE_METHOD(ResultWriterFixture, "ResultWriter_DueSoon_IsStoredAtOnce")
 {
   Begin("a");
-  Finish("a", 0, 1s);
+  AddResult("a", 0, 1s);
   Advance(0ms);
   CHECK(store_.commits_.size() == 1);
 }
 
 // Guards against losing other jobs' results when one job conflicts.
 TEST_CASE_METHOD(ResultWriterFixture,
-                 "ResultWriter_OneJobConflicts_OthersAreStoredAlone")
+                 "ResultWriter_OneJobConflicts_OtherJobsAreStored")
 {
   Begin("a");
   Begin("b");
-  Finish("a", 0);
-  Finish("b", 0);
+  AddResult("a", 0);
+  AddResult("b", 0);
   Advance(500ms);
   metadata::TransactionResponse conflict;
   conflict.status_ = StoreStatus::Conflict;
@@ -119,23 +119,23 @@
                  "ResultWriter_ResponseLost_SamePageIsRetried")
 {
   Begin("a");
-  Finish("a", 0);
+  AddResult("a", 0);
   Advance(500ms);
   const metadata::Transaction first = store_.commits_.front().first;
   Respond({ StoreStatus::Unknown, 0, {} });
   CHECK(writer_.IsStoring("a"));
-  Finish("a", 1);
+  AddResult("a", 1);
   now_ = base::MonotonicNow() + 1s;
   Advance(0ms);
   REQUIRE(store_.commits_.size() == 1);
   const metadata::Transaction& again = store_.commits_.front().first;
   CHECK(again.writes_.front().key_ == first.writes_.front().key_);
   CHECK(again.writes_.front().value_ == first.writes_.front().value_);
-  metadata::TransactionResponse isStored;
-  isStored.status_ = StoreStatus::Conflict;
-  isStored.current_.push_back(
+  metadata::TransactionResponse storedResponse;
+  storedResponse.status_ = StoreStatus::Conflict;
+  storedResponse.current_.push_back(
     { first.writes_.front().key_, first.writes_.front().value_, 7 });
-  Respond(isStored);
+  Respond(storedResponse);
   CHECK(StoredCount("a") == 1);
   CHECK_FALSE(writer_.IsStoring("a"));
 }
@@ -145,13 +145,13 @@
                  "ResultWriter_HandedOver_ResultsAreInTheTransaction")
 {
   Begin("a");
-  Finish("a", 0);
+  AddResult("a", 0);
   metadata::Transaction transaction;
   CHECK_FALSE(writer_.AddUnstored(transaction, *jobs_.Find("a")));
   CHECK(transaction.writes_.size() == 1);
   Begin("b");
-  Finish("b", 0);
-  Finish("b", 1);
+  AddResult("b", 0);
+  AddResult("b", 1);
   CHECK(writer_.AddUnstored(transaction, *jobs_.Find("b")));
 }
 
--- a/Tests/Platform/TokenCapTest.cpp
+++ b/Tests/Platform/TokenCapTest.cpp
@@ -8,7 +8,8 @@
 using nlohmann::json;
 
 /// Jobs of items with 9 tokens each on a route with a cap of 100 waiting
-/// tokens, and servers that fail all items until LetServersAnswer() is called.
+/// tokens, and servers that fail their first kFailedAttempts attempts each,
+/// unless LetItemsSucceed() is called.
 class TokenCapFixture : protected BatchJobsFixture
 {
 protected:
@@ -22,6 +23,7 @@
     }
   }
 
+  /// Sets the cap and waits until all hosts have the new configuration.
   void SetCap(std::uint64_t aCap)
   {
     json route = MakeTestRoute("lots", "batch");
@@ -29,19 +31,19 @@
     route["maxAttempts"] = 1000;
     const json configuration = {
       { "version", ++version_ },
-      { "routes", { std::move(route), MakeTestRoute(MarkerRoute(), "safe") } },
+      { "routes", { std::move(route), MakeTestRoute(VersionRoute(), "safe") } },
       { "services", { { { "name", "service" }, { "maxConns", 100 } } } }
     };
     store_.Put("op/config", configuration.dump());
     for (const auto& host : hosts_) {
       RunUntil([&] {
-        return SendAndWait(*host, "GET", "/" + MarkerRoute() + "/1")->status_ !=
-               404;
+        return SendAndWait(*host, "GET", "/" + VersionRoute() + "/1")
+                 ->status_ != 404;
       });
     }
   }
 
-  unsigned SubmitAs(TestHost& aHost, const std::string& aJob, int aItems)
+  unsigned SubmitJob(TestHost& aHost, const std::string& aJob, int aItems)
   {
     return SendJob(aHost, aJob, aItems)->status_;
   }
@@ -59,8 +61,8 @@
     return "Attempt-Id: " + aJob + "\r\n";
   }
 
-  /// Makes the servers answer successfully.
-  void LetServersAnswer()
+  /// Makes the servers complete items from now on.
+  void LetItemsSucceed()
   {
     for (const auto& server : servers_) {
       server->ClearScripts();
@@ -81,7 +83,8 @@
   static constexpr int kFailedAttempts = 400;
 
 private:
-  [[nodiscard]] std::string MarkerRoute() const
+  /// A route whose presence shows that a host has the current configuration.
+  [[nodiscard]] std::string VersionRoute() const
   {
     return fmt::format("mark{}", version_);
   }
@@ -93,8 +96,8 @@
 TEST_CASE_METHOD(TokenCapFixture,
                  "TokenCap_JobDoesNotFit_IsRejectedWithRetryAfter")
 {
-  CHECK(SubmitAs(*entry_, "a", 6) == 202);
-  CHECK(SubmitAs(*entry_, "b", 5) == 202);
+  CHECK(SubmitJob(*entry_, "a", 6) == 202);
+  CHECK(SubmitJob(*entry_, "b", 5) == 202);
   const auto refused = SendJob(*entry_, "c", 1);
   CHECK(refused->status_ == 429);
   CHECK_FALSE(refused->retryAfter_.empty());
@@ -104,7 +107,8 @@
 
 // Guards against concurrent hosts exceeding the cap together, and against
 // rejecting a job because of a stale ledger.
-TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ManyHostsAtOnce_FillItExactly")
+TEST_CASE_METHOD(TokenCapFixture,
+                 "TokenCap_SeveralHostsAccept_CapIsFilledExactly")
 {
   TestHost& second = StartHost("second", batch::BatchPreference::Fallback);
   TestHost& third = StartHost("third", batch::BatchPreference::Fallback);
@@ -136,9 +140,9 @@
 {
   TestHost& other = StartHost("other", batch::BatchPreference::Fallback);
   SetCap(100);
-  CHECK(SubmitAs(*entry_, "a", 11) == 202);
-  CHECK(SubmitAs(other, "a", 11) == 202);
-  CHECK(SubmitAs(other, "b", 1) == 429);
+  CHECK(SubmitJob(*entry_, "a", 11) == 202);
+  CHECK(SubmitJob(other, "a", 11) == 202);
+  CHECK(SubmitJob(other, "b", 1) == 429);
   CHECK(WaitingTokens() == 99);
 }
 
@@ -146,50 +150,50 @@
 {
   StartWorker("worker");
   SetCap(100);
-  CHECK(SubmitAs(*entry_, "a", 11) == 202);
-  CHECK(SubmitAs(*entry_, "b", 2) == 429);
-  LetServersAnswer();
-  RunUntil([this] { return SubmitAs(*entry_, "b", 2) == 202; });
+  CHECK(SubmitJob(*entry_, "a", 11) == 202);
+  CHECK(SubmitJob(*entry_, "b", 2) == 429);
+  LetItemsSucceed();
+  RunUntil([this] { return SubmitJob(*entry_, "b", 2) == 202; });
   RunUntil([this] { return WaitingTokens() == 0; });
 }
 
-// Guards against counting the tokens of an ended job.
+// Guards against counting the tokens of a cancelled job.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_JobIsEnded_NewJobIsAccepted")
 {
   StartWorker("worker");
   SetCap(100);
-  CHECK(SubmitAs(*entry_, "a", 11) == 202);
+  CHECK(SubmitJob(*entry_, "a", 11) == 202);
   CHECK(SendAndWait(*entry_, "DELETE", "/api/lots/a")->status_ == 200);
-  RunUntil([this] { return SubmitAs(*entry_, "b", 11) == 202; });
+  RunUntil([this] { return SubmitJob(*entry_, "b", 11) == 202; });
 }
 
 // Guards against dropping accepted jobs when the cap is lowered below the
 // waiting tokens.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_CapLowered_KeepsAcceptedJobs")
 {
-  CHECK(SubmitAs(*entry_, "a", 11) == 202);
+  CHECK(SubmitJob(*entry_, "a", 11) == 202);
   SetCap(20);
-  CHECK(SubmitAs(*entry_, "b", 1) == 429);
-  LetServersAnswer();
+  CHECK(SubmitJob(*entry_, "b", 1) == 429);
+  LetItemsSucceed();
   RunUntil([this] {
     return SendAndWait(*entry_, "GET", "/api/lots/a?after=10")
              ->body_.find("a-item") != std::string::npos;
   });
-  RunUntil([this] { return SubmitAs(*entry_, "b", 1) == 202; });
+  RunUntil([this] { return SubmitJob(*entry_, "b", 1) == 202; });
 }
 
 // Guards against ignoring jobs that were accepted before the route had a cap.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_CapSetLater_CountsWaitingJobs")
 {
   SetCap(0);
-  CHECK(SubmitAs(*entry_, "a", 11) == 202);
+  CHECK(SubmitJob(*entry_, "a", 11) == 202);
   CHECK(store_.Get("pumiceturn/tokens/lots").empty());
   SetCap(100);
   RunUntil([this] { return WaitingTokens() == 99; });
-  CHECK(SubmitAs(*entry_, "b", 1) == 429);
+  CHECK(SubmitJob(*entry_, "b", 1) == 429);
 }
 
-// Guards against rejecting or counting a job twice after a lost response.
+// Guards against rejecting a job, or counting it twice, after a lost response.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_ResponseLost_JobCountsOnce")
 {
   store_.SetBehaviour(StoreBehaviour::DroppingWriteResponses);
@@ -200,19 +204,19 @@
   RunUntil([&call] { return call->HasEnded(); });
   CHECK(call->status_ == 202);
   CHECK(WaitingTokens() == 54);
-  CHECK(SubmitAs(*entry_, "b", 5) == 202);
+  CHECK(SubmitJob(*entry_, "b", 5) == 202);
 }
 
 // Guards against a permanently corrupt ledger: its rows must be restored.
 TEST_CASE_METHOD(TokenCapFixture, "TokenCap_LedgerCorrupt_IsRebuilt")
 {
-  CHECK(SubmitAs(*entry_, "a", 10) == 202);
+  CHECK(SubmitJob(*entry_, "a", 10) == 202);
   store_.Put("pumiceturn/tokens/lots", "[[[");
   RunUntil([this] {
     const std::string text = store_.Get("pumiceturn/tokens/lots");
     return text != "[[[" && WaitingTokens() == 90;
   });
-  CHECK(SubmitAs(*entry_, "b", 2) == 429);
+  CHECK(SubmitJob(*entry_, "b", 2) == 429);
 }
 
 } // namespace pumiceturn::adapter
