--- a/Libraries/LibEndpoint/CompletionStream.cpp
+++ b/Libraries/LibEndpoint/CompletionStream.cpp
@@ -126,7 +126,7 @@
   if (!done_ || end.finishReason_.empty()) {
     end.code_ = base::ResultCode::EndpointCrashed;
     end.ran_ = base::Ran::Unknown;
-    end.detail_ = "event stream ended before the response was complete";
+    end.detail_ = "the stream ended before the answer was whole";
   }
   return end;
 }
--- a/Libraries/LibEndpoint/EngineClient.cpp
+++ b/Libraries/LibEndpoint/EngineClient.cpp
@@ -260,10 +260,10 @@
     return cancelled.load() || aShouldStop();
   };
   CompletionStream stream(aOnToken, shouldStop);
-  CompletionEnd end = shouldStop()
-                        ? MakeNotSent(base::ResultCode::Cancelled,
-                                      "cancelled before the request was sent")
-                        : state_->RunStream(*client, body, stream, cancelled);
+  CompletionEnd end =
+    shouldStop()
+      ? MakeNotSent(base::ResultCode::Cancelled, "stopped before it was sent")
+      : state_->RunStream(*client, body, stream, cancelled);
   state_->Unregister(aRequest.id_);
   if (stream.IsDone()) {
     state_->pool_.Release(std::move(client));
--- a/Libraries/LibEntry/EntryFunction.cpp
+++ b/Libraries/LibEntry/EntryFunction.cpp
@@ -114,7 +114,7 @@
   const std::weak_ptr<EntryCore> weak = aCore;
   aCore->context_.metrics_.AddGauge(
     "pumiceturn_open_calls",
-    "Open calls and job submissions that a shutdown would interrupt.",
+    "Calls and lots that a shutdown would cut off.",
     {},
     [weak] {
       const auto core = weak.lock();
--- a/Libraries/LibEntry/OnlineCalls.cpp
+++ b/Libraries/LibEntry/OnlineCalls.cpp
@@ -40,18 +40,18 @@
   , nextCall_(MakeFirstCallNumber())
   , started_(
       aContext.metrics_.GetCounter("pumiceturn_calls_total",
-                                   "Online calls accepted after their checks."))
+                                   "Online calls that passed their checks."))
   , retries_(aContext.metrics_.GetCounter("pumiceturn_call_retries_total",
-                                          "Additional runs of online calls."))
-  , failed_(
-      aContext.metrics_.GetCounter("pumiceturn_calls_failed_total",
-                                   "Online calls without a durable result."))
-  , firstToken_(aContext.metrics_.GetHistogram(
-      "pumiceturn_call_first_token_seconds",
-      "Time from the call to its first streamed text."))
-  , duration_(
-      aContext.metrics_.GetHistogram("pumiceturn_call_duration_seconds",
-                                     "Time from the call to its result."))
+                                          "Runs of online calls beyond the "
+                                          "first."))
+  , failed_(aContext.metrics_.GetCounter("pumiceturn_calls_failed_total",
+                                         "Online calls that ended without a "
+                                         "durable result."))
+  , firstToken_(
+      aContext.metrics_.GetHistogram("pumiceturn_call_first_token_seconds",
+                                     "Time to the first streamed text."))
+  , duration_(aContext.metrics_.GetHistogram("pumiceturn_call_duration_seconds",
+                                             "Time to the last message."))
 {
 }
 
--- a/Libraries/LibEntry/OnlineRequest.cpp
+++ b/Libraries/LibEntry/OnlineRequest.cpp
@@ -673,8 +673,7 @@
   }
   if (crashes_ >= kCrashesToQuarantine) {
     actions_.emplace_back(QuarantineContent{});
-    EndWithError(
-      ResultCode::Quarantined, "the request crashed two endpoints", aNow);
+    EndWithError(ResultCode::Quarantined, "crashed two endpoints", aNow);
     return;
   }
   if (begunRuns_ >= description_.maxAttempts_) {
@@ -683,8 +682,7 @@
     return;
   }
   if (!HasTimeForRetry(aNow)) {
-    EndWithError(
-      aCode, "not enough time before the deadline for a retry", aNow);
+    EndWithError(aCode, "no time left for another run", aNow);
     return;
   }
   const routing::Backoff backoff{ description_.backoff_ };
--- a/Libraries/LibGateway/AccessControl.cpp
+++ b/Libraries/LibGateway/AccessControl.cpp
@@ -145,10 +145,9 @@
           { "version", accessControl_.shared_.routes_.Version() },
           { "age_ms", age ? base::ToMs(*age) : -1 } });
       accessControl_.shared_.metrics_
-        .GetCounter(
-          "pumiceturn_callers_refused_total",
-          "Requests rejected because their caller was not authenticated.",
-          fmt::format("reason=\"{}\"", aReason))
+        .GetCounter("pumiceturn_callers_refused_total",
+                    "Requests whose caller was not let through.",
+                    fmt::format("reason=\"{}\"", aReason))
         .Add();
     }
   };
@@ -281,7 +280,7 @@
               { "come_back_ms", base::ToMs(aRefusal.retryAfter_) } });
   shared_.metrics_
     .GetCounter("pumiceturn_requests_over_rate_total",
-                "Requests rejected because of their organisation's rate limit.")
+                "Requests beyond their organisation's limit.")
     .Add();
   aExchange.Respond(shared_.codec_.MakeRateLimited(aRefusal.retryAfter_));
 }
--- a/Libraries/LibGateway/BatchWorker.cpp
+++ b/Libraries/LibGateway/BatchWorker.cpp
@@ -511,7 +511,7 @@
               { "last_event", aAttempt.Progress().lastEvent_ } });
   shared_.metrics_
     .GetCounter("pumiceturn_item_runs_total",
-                "Ended attempts to run items of batch jobs.",
+                "Ended runs of lots' items.",
                 fmt::format("end=\"{}\"", NameOf(aOutcome)))
     .Add();
   RecordDuration(aAttempt, aOutcome);
--- a/Libraries/LibGateway/Gateway.cpp
+++ b/Libraries/LibGateway/Gateway.cpp
@@ -188,7 +188,7 @@
 {
   shared_.metrics_.AddGauge(
     "pumiceturn_store_prefixes_followed",
-    "Store prefixes that this host follows for its peers.",
+    "Prefixes of the store that this host follows for its peers.",
     {},
     [this] { return mirrors_.FollowedCount(); });
   shared_.metrics_.AddGauge("pumiceturn_endpoint_connections_made_total",
@@ -197,30 +197,31 @@
                             [this] { return shared_.pool_.OpenedCount(); });
   shared_.metrics_.AddGauge(
     "pumiceturn_caller_connections",
-    "Open connections from callers.",
+    "Open connections of callers.",
     {},
     [this] { return callerListener_.ConnectionCount(); });
   shared_.metrics_.AddGauge("pumiceturn_batch_runs",
-                            "Batch items that this host is running.",
+                            "Items that this host runs now.",
                             {},
                             [this] { return worker_.AttemptCount(); });
   shared_.metrics_.AddGauge(
     "pumiceturn_suspect_runs",
-    "Attempts known here that broke off before their first event.",
+    "Runs known here that broke off before their first event.",
     {},
     [this] {
       return shared_.suspects_.BrokenAttempts(base::MonotonicNow()).size();
     });
-  shared_.metrics_.AddGauge("pumiceturn_held_lots",
-                            "Batch jobs spooled to this host's disk.",
-                            {},
-                            [this] { return spool_ ? spool_->Count() : 0; });
+  shared_.metrics_.AddGauge(
+    "pumiceturn_held_lots",
+    "Lots on this host's disk that the store doesn't have yet.",
+    {},
+    [this] { return spool_ ? spool_->Count() : 0; });
   shared_.metrics_.AddGauge("pumiceturn_peers_heard",
-                            "Other hosts whose messages arrive here directly.",
+                            "Other hosts whose own messages arrive here.",
                             {},
                             [this] { return peerMessenger_.ReachableCount(); });
   shared_.metrics_.AddGauge("pumiceturn_configuration_version",
-                            "Version of the configuration in force.",
+                            "Version in force.",
                             {},
                             [this] { return shared_.routes_.Version(); });
 }
--- a/Libraries/LibGateway/OnlineProxy.cpp
+++ b/Libraries/LibGateway/OnlineProxy.cpp
@@ -520,12 +520,11 @@
   const std::string label =
     fmt::format("route=\"{}\",end=\"{}\"", route_.name_, NameOf(aOutcome));
   shared_.metrics_
-    .GetCounter(
-      "pumiceturn_online_requests_total", "Online requests that ended.", label)
+    .GetCounter("pumiceturn_online_requests_total", "Ended requests.", label)
     .Add();
   shared_.metrics_
     .GetHistogram("pumiceturn_online_first_piece_seconds",
-                  "Time from arrival to the first event or the final response.")
+                  "Arrival to first piece or final answer.")
     .Record(std::chrono::duration<double>(first).count());
   deadlineTimer_.cancel();
 }
--- a/Libraries/LibGateway/PeerMessenger.cpp
+++ b/Libraries/LibGateway/PeerMessenger.cpp
@@ -345,7 +345,7 @@
     // Only counted, as anyone can send to this port.
     shared_.metrics_
       .GetCounter("pumiceturn_peer_datagrams_unreadable_total",
-                  "Datagrams that could not be parsed.")
+                  "Datagrams that are no message of a peer.")
       .Add();
   }
 }
--- a/Libraries/LibKeeper/JobService.cpp
+++ b/Libraries/LibKeeper/JobService.cpp
@@ -271,12 +271,11 @@
   for (const base::RunId& run : aPartition.table_.UncertainRuns()) {
     // A previous owner started the run and its end is not in the log. It may
     // have run, so it is not run again.
-    EndWithoutRun(
-      route,
-      run,
-      base::ResultCode::OutcomeUnknown,
-      base::Ran::Unknown,
-      "the item was started before a takeover, and its outcome is unknown");
+    EndWithoutRun(route,
+                  run,
+                  base::ResultCode::OutcomeUnknown,
+                  base::Ran::Unknown,
+                  "started by a former owner");
   }
   base::Log(kServingJobs,
             { { "partition", aIndex },
--- a/Libraries/LibKeeper/JobServiceRuns.cpp
+++ b/Libraries/LibKeeper/JobServiceRuns.cpp
@@ -485,7 +485,7 @@
                   id,
                   base::ResultCode::Quarantined,
                   base::Ran::NotRun,
-                  "the content is quarantined because it crashed endpoints");
+                  "its content crashed endpoints");
     return;
   }
   jobs::RunInFlight* run = scheduler_.FindRun(id);
@@ -667,8 +667,7 @@
                   { aJob, 0, job->items_.front().attempt_ },
                   base::ResultCode::OutcomeUnknown,
                   base::Ran::Unknown,
-                  "the outcome of the request is unknown because its entry or "
-                  "owner was lost");
+                  "the entry that ran it was lost");
     return;
   }
   if (partition.table_.MarkOrphaned(aJob)) {
--- a/Libraries/LibKeeper/KeeperMetrics.cpp
+++ b/Libraries/LibKeeper/KeeperMetrics.cpp
@@ -19,39 +19,37 @@
     "Online requests recorded as accepted." },
   { &JobCounts::acceptedItems_,
     "pumiceturn_batch_items_accepted_total",
-    "Items of accepted batch jobs." },
+    "Items of accepted lots." },
   { &JobCounts::duplicateSubmissions_,
     "pumiceturn_duplicate_submissions_total",
-    "Requests and batch jobs submitted again after they were accepted." },
+    "Requests and lots that were accepted before." },
   { &JobCounts::keyConflicts_,
     "pumiceturn_key_conflicts_total",
-    "Keys used again with different content." },
+    "Keys used again with other content." },
   { &JobCounts::succeeded_,
     "pumiceturn_items_succeeded_total",
-    "Results recorded with the code Ok." },
+    "Results recorded as Ok." },
   { &JobCounts::failed_,
     "pumiceturn_items_failed_total",
     "Results recorded with another code." },
   { &JobCounts::resultsDropped_,
     "pumiceturn_results_dropped_total",
-    "Results not recorded because their item has ended or their job does not "
-    "exist." },
+    "Results that came after the first one of their item." },
   { &JobCounts::withdrawn_,
     "pumiceturn_requests_withdrawn_total",
-    "Online requests that were not run and may be sent again." },
+    "Online requests that were certainly not run." },
   { &JobCounts::cancelledJobs_,
     "pumiceturn_jobs_cancelled_total",
     "Jobs cancelled by their partner." },
   { &JobCounts::requeued_,
     "pumiceturn_items_requeued_total",
-    "Items returned to the queue because a run was refused, failed, was lost "
-    "or could not be started." },
+    "Runs that ended without a result, whose item waits again." },
   { &JobCounts::startedOrphans_,
     "pumiceturn_orphans_run_total",
     "Online requests run by their owner after their entry was lost." },
   { &JobCounts::startedBatchRuns_,
     "pumiceturn_batch_runs_started_total",
-    "Batch runs sent to agents." },
+    "Batch runs given to agents." },
   { &JobCounts::appendsFailed_,
     "pumiceturn_appends_failed_total",
     "Appends to the log that were not acknowledged." },
@@ -60,7 +58,7 @@
     "Jobs finished after their due time." },
   { &JobCounts::expiredJobs_,
     "pumiceturn_jobs_expired_total",
-    "Jobs dropped after their retention time, and abandoned submissions." },
+    "Jobs dropped after their retention time." },
 };
 
 } // namespace
@@ -74,7 +72,7 @@
   }
   const std::weak_ptr<JobService> weak = aService;
   aRegistry.AddGauge("pumiceturn_batch_items_waiting",
-                     "Batch items of this keeper that wait for a credit.",
+                     "Batch items that wait for a credit at this owner.",
                      {},
                      [weak] {
                        const auto service = weak.lock();
@@ -82,14 +80,16 @@
                                 ? static_cast<double>(service->WaitingItems())
                                 : 0.0;
                      });
-  aRegistry.AddGauge(
-    "pumiceturn_owner_runs",
-    "Runs of this keeper that are at agents and have not ended.",
-    {},
-    [weak] {
-      const auto service = weak.lock();
-      return service ? static_cast<double>(service->RunningItems()) : 0.0;
-    });
+  aRegistry.AddGauge("pumiceturn_owner_runs",
+                     "Runs that this owner gave to agents and that have not "
+                     "ended.",
+                     {},
+                     [weak] {
+                       const auto service = weak.lock();
+                       return service
+                                ? static_cast<double>(service->RunningItems())
+                                : 0.0;
+                     });
 }
 
 void
