--- a/Libraries/LibKeeper/JobServiceRequests.cpp
+++ b/Libraries/LibKeeper/JobServiceRequests.cpp
@@ -227,8 +227,8 @@
     return;
   }
   OwnedPartition& partition = *route.partition_;
-  const jobs::Job* existingJob = partition.table_.Find(id);
-  const bool isAccepted = existingJob != nullptr && existingJob->IsAccepted();
+  const jobs::Job* existing = partition.table_.Find(id);
+  const bool isAccepted = existing != nullptr && existing->IsAccepted();
   if (!isAccepted && (draining_ || !ports_.hasRoom_())) {
     reply.code_ =
       draining_ ? base::ResultCode::Draining : base::ResultCode::DiskFull;
@@ -261,8 +261,7 @@
     case jobs::AcceptAction::Finished:
       ++counts_.duplicateSubmissions_;
       reply.duplicate_ = true;
-      reply.job_ =
-        existingJob == nullptr ? aFrame.job_ : existingJob->description_;
+      reply.job_ = existing == nullptr ? aFrame.job_ : existing->description_;
       break;
     case jobs::AcceptAction::Conflict:
       ++counts_.keyConflicts_;
